--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -560,7 +560,7 @@
                 self.on_news(w);
                 let ran = self.since(started.unwrap_or(sent)).max(1.0);
                 self.learn_run(class, w, ran, size);
-                self.count_done(slots * ran);
+                self.count_done(slots * ran, slots * size * self.classes[class].run);
                 if !self.settings.tells_start {
                     self.accepted(slots);
                 }
@@ -656,8 +656,8 @@
             self.workers.iter_mut().for_each(|w| (w.listed, w.active) = (false, false));
         }
         for row in rows {
-            let (w, restarted) = self.enter(row);
-            if restarted {
+            let (w, fresh) = self.enter(row);
+            if fresh {
                 self.workers[w].budget = -self.rng.f64() * self.mean_run;
             }
         }
--- a/crates/core/src/state/list.rs
+++ b/crates/core/src/state/list.rs
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Enters a row of the list; tells the worker's place and whether it has started anew.
+    /// Enters a row of the list; tells the worker's place and whether it has started anew, or comes back into
+    /// use. Guards against credit for a cold worker that all save up while none may send there.
     pub(crate) fn enter(&mut self, row: &Row) -> (usize, bool) {
         let w = *self.index.entry(row.worker).or_insert(self.workers.len());
         if w == self.workers.len() {
@@ -51,12 +52,16 @@
             worker.trials = 0;
             worker.shun_until = 0;
             (worker.wait, worker.errors, worker.turned_away) = (0.0, 0, 0);
+        }
+        let back = worker.online_since > 0 && worker.active && self.live.binary_search(&w).is_err();
+        let fresh = restarted || back;
+        if fresh {
             worker.budget_at = self.now;
         }
         if let Some((until, trials)) = self.told_to_shun.remove(&row.worker) {
             (worker.shun_until, worker.trials) = (until, trials);
         }
-        (w, restarted)
+        (w, fresh)
     }
 
     /// Where on the ring a key's workers begin; all dispatchers with the same list agree. The ring is
--- a/crates/core/src/state/rates.rs
+++ b/crates/core/src/state/rates.rs
@@ -91,15 +91,16 @@
         self.coming.count(self.now, 1.0, COMING_SPAN * self.mean_run);
     }
 
-    /// Counts work that was done: slots for a span.
-    pub(crate) fn count_done(&mut self, work: f64) {
+    /// Counts work that was done, slots for a span, and at what it is reckoned when it is sent: a cold worker's
+    /// budget is in the same measure, so that it holds as many jobs whatever is believed of how long they run.
+    pub(crate) fn count_done(&mut self, work: f64, reckoned: f64) {
         let span = COMING_SPAN * self.mean_run;
         self.done.count(self.now, work, span);
         // Recounted as they warm; by the warmth of its time, as a fleet half replaced does not do more by the rest.
         if self.warmth < self.live.len() as f64 {
             self.warmth = self.live.iter().map(|&w| self.warm_share(w)).sum();
         }
-        self.by_warm.count(self.now, work / self.warmth.max(1.0), span);
+        self.by_warm.count(self.now, reckoned / self.warmth.max(1.0), span);
     }
 
     /// Slots that were at work for this dispatcher lately at a warm worker.
--- /dev/null
+++ b/crates/core/tests/mechanism/cold_sum.rs
@@ -0,0 +1,149 @@
+//! What all dispatchers together send cold workers, at every size and over restarts, in virtual time.
+//!
+//! It owns the verdicts. It must never loosen what is chance: 2 x root of N + 2 jobs beyond the N that the
+//! settings allow, over the sum of all dispatchers.
+
+use oakshed_core::interface::*;
+
+use crate::cold_fleet::*;
+use crate::common::*;
+
+const SIZES: [u32; 6] = [1, 3, 6, 24, 100, 300];
+/// Between two looks of a script, and how long all are warm and at work before it begins.
+const STEP: Micros = 100 * MS;
+const BEFORE: Micros = 6_000 * MS;
+/// The least share of what cold workers surely could that they are to get, where there is more to do than the
+/// warm ones can.
+const LEAST_USED: f64 = 0.4;
+
+/// Three kinds of settings: share, ramp, multiple and span, and the least slots of a job.
+fn kinds() -> [(Settings, f64); 3] {
+    let kind = |cold_share, ramp, fall_multiple, fall_span, least_slots| {
+        (Settings { cold_share, ramp, fall_multiple, fall_span, ..settings() }, least_slots)
+    };
+    [
+        kind(0.32, 9_000 * MS, 3.0, 2_000 * MS, 1.0),
+        kind(0.2, 3_500 * MS, 2.5, 3_000 * MS, 0.2),
+        kind(0.6, 21_000 * MS, 3.0, 2_000 * MS, 1.0),
+    ]
+}
+
+fn plan(kind: &(Settings, f64), dispatchers: u32) -> Plan {
+    let settings = Settings { dispatchers, ..kind.0.clone() };
+    let (workers, slots, run, load, uneven) = (20, 4.0, 100 * MS, 0.9, 4.0);
+    Plan { settings, workers, slots, run, load, uneven, least_slots: kind.1, seed: 7 }
+}
+
+/// Plays a script until all are warm again. No cold worker gets more than it may; tells what they got of what
+/// they surely could.
+fn play(what: &str, plan: Plan, script: impl Fn(&mut Fleet, u64)) -> f64 {
+    let (s, mut fleet) = (plan.settings.clone(), Fleet::new(plan));
+    fleet.go(BEFORE);
+    for at in (0..s.ramp + 8_000 * MS).step_by(STEP as usize) {
+        script(&mut fleet, at / MS);
+        fleet.go(STEP);
+    }
+    let (mut got, mut sure) = (0, 0.0);
+    for (w, worker) in fleet.workers.iter().enumerate().filter(|(_, worker)| worker.start > 0) {
+        let warm = worker.start + s.ramp;
+        let came: Vec<Micros> =
+            worker.came.iter().copied().filter(|at| (worker.start..warm).contains(at)).collect();
+        for (n, &at) in came.iter().enumerate() {
+            let count = came[..=n].iter().rev().take_while(|t| **t + s.fall_span >= at).count() as f64;
+            let most = s.fall_multiple * fleet.share(w, at) * fleet.warm_jobs(s.fall_span);
+            assert!(
+                count <= most + 2.0 * most.sqrt() + 2.0,
+                "{what}, {} dispatchers: {count} jobs to worker {w}, {} ms after its start; N is {most:.0}",
+                s.dispatchers,
+                (at - worker.start) / MS
+            );
+        }
+        got += came.len();
+        let steps = (0..s.ramp).step_by(STEP as usize);
+        sure += steps.map(|t| fleet.share(w, worker.start + t) * fleet.warm_jobs(STEP)).sum::<f64>();
+    }
+    got as f64 / sure
+}
+
+/// Six in ten replaced within six seconds, told again and again, in changes and in whole lists: what is told
+/// twice gives nothing new. One starts twice.
+#[test]
+fn the_sum_holds_while_most_workers_are_replaced() {
+    for kind in &kinds() {
+        for dispatchers in SIZES {
+            let got = play("release", plan(kind, dispatchers), |fleet, at| {
+                if at % 500 == 0 && at < 6_000 {
+                    fleet.replace(at as usize / 500);
+                }
+                if at == 2_500 {
+                    fleet.replace(0);
+                }
+                fleet.tell_all(if at % 1_000 == 0 { ListKind::All } else { ListKind::Changes });
+            });
+            assert!(
+                got > LEAST_USED,
+                "{dispatchers} dispatchers: {got:.2} of what cold workers surely could"
+            );
+        }
+    }
+}
+
+/// Guards against dispatchers that reckon the jobs they send by their aims, of which they know nothing else yet,
+/// and the work that they see done by how long it ran: after a restart, or where little came before, all
+/// together gave cold workers a quarter of what they surely could.
+#[test]
+fn the_sum_holds_and_cold_workers_are_used_where_all_dispatchers_know_little() {
+    let [first, _, last] = kinds();
+    for kind in [first, last] {
+        for dispatchers in SIZES {
+            let twelve = |fleet: &mut Fleet| {
+                (0..12).for_each(|w| fleet.replace(w));
+                fleet.tell_all(ListKind::Changes);
+            };
+            let restarted = play("all restart", plan(&kind, dispatchers), |fleet, at| match at {
+                0 => twelve(fleet),
+                1_500 => (0..dispatchers as usize).for_each(|d| fleet.restart(d)),
+                _ => {}
+            });
+            let quiet = Plan { load: 0.2, ..plan(&kind, dispatchers) };
+            let burst = play("quiet, then a burst", quiet, |fleet, at| match at {
+                0 => twelve(fleet),
+                1_500 => fleet.plan.load = 1.2,
+                _ => {}
+            });
+            let least = restarted.min(burst);
+            assert!(
+                least > LEAST_USED,
+                "{dispatchers} dispatchers: {restarted:.2} and {burst:.2} of what surely could"
+            );
+        }
+    }
+}
+
+/// Guards against credit that all save up for a worker while it may not be used: it drains as soon as it has
+/// started, and comes back, with its start as it was, to a burst and as the only one.
+#[test]
+fn the_sum_holds_where_a_cold_worker_comes_back_into_use() {
+    for kind in &kinds() {
+        for dispatchers in SIZES {
+            let back = kind.0.ramp / MS * 2 / 3 / 100 * 100;
+            let three = Plan { workers: 3, load: 0.8, ..plan(kind, dispatchers) };
+            play("back into use", three, |fleet, at| {
+                match at {
+                    0 => fleet.replace(0),
+                    100 => fleet.use_again(0, false),
+                    at if at == back => {
+                        (0..3).for_each(|w| fleet.use_again(w, w == 0));
+                        fleet.plan.load = 8.0;
+                    }
+                    at if at == back + 1_000 => {
+                        (0..3).for_each(|w| fleet.use_again(w, true));
+                        fleet.plan.load = 0.8;
+                    }
+                    _ => return,
+                }
+                fleet.tell_all(ListKind::Changes);
+            });
+        }
+    }
+}
--- a/crates/core/tests/mechanism/main.rs
+++ b/crates/core/tests/mechanism/main.rs
@@ -4,6 +4,8 @@
 
 mod cap;
 mod cold;
+mod cold_fleet;
+mod cold_sum;
 #[path = "../common/mod.rs"]
 mod common;
 mod failing;
