--- a/crates/server/src/net/handover.rs
+++ b/crates/server/src/net/handover.rs
@@ -26,8 +26,10 @@
 use tracing::{info, warn};
 
 use super::Net;
+use crate::config::Config;
 use crate::list::Answer;
 use oakshed_core::facade::{Learned, Micros};
+use oakshed_core::names::number_of;
 
 /// What a new process says first. Another version is declined, and the new one starts plainly.
 const HELLO: &str = "oakshed-handover 1\n";
@@ -99,6 +101,9 @@
 /// What the old process tells.
 #[derive(Serialize, Deserialize)]
 struct Message {
+    /// Under which settings it serves; an older version does not say so.
+    #[serde(default)]
+    under: u64,
     list: Option<Answer>,
     #[serde(with = "LearnedForm")]
     learned: Learned,
@@ -113,6 +118,12 @@
     avoided: Vec<(Rc<str>, Micros, u32)>,
 }
 
+/// Stands for settings and the director's address. Guards against another customer's figures and workers: a list
+/// whose number this one's director has reached too would be believed for good.
+fn under(config: &Config, director: SocketAddr) -> u64 {
+    number_of(&format!("{director} {:?} {:?}", config.settings, config.names))
+}
+
 /// What a start got from an old process.
 pub(super) struct Taken {
     pub listener: TcpListener,
@@ -122,10 +133,11 @@
 }
 
 /// Asks the process that serves now for its place. Blocks, as nothing depends on this process yet.
-pub(super) fn take_over(folder: &Folder, listen: SocketAddr) -> Option<Taken> {
-    match ask(folder, listen) {
-        Ok(taken) => {
-            info!("hand-over: took the socket of the process before");
+pub(super) fn take_over(folder: &Folder, config: &Config) -> Option<Taken> {
+    match ask(folder, config) {
+        Ok((taken, same)) => {
+            let rest = if same { "" } else { "; it has other settings, and what it knows is left out" };
+            info!("hand-over: took the socket of the process before{rest}");
             Some(taken)
         }
         // No folder or nobody in it: the usual start.
@@ -137,7 +149,7 @@
     }
 }
 
-fn ask(folder: &Folder, listen: SocketAddr) -> io::Result<Taken> {
+fn ask(folder: &Folder, config: &Config) -> io::Result<(Taken, bool)> {
     let start = Instant::now();
     let socket = socket2::Socket::new(socket2::Domain::UNIX, socket2::Type::STREAM, None)?;
     // Guards against a queue that is full: connecting would wait for room in it.
@@ -178,12 +190,13 @@
     let message: Message = serde_json::from_slice(&text[head..head + length]).map_err(io::Error::other)?;
     let passed = socket2::Socket::from(passed.ok_or_else(|| wrong("no socket came along"))?);
     let address = passed.local_addr()?.as_socket();
-    if address != Some(listen) || !passed.is_listener()? {
+    if address != Some(config.listen) || !passed.is_listener()? {
         return Err(wrong("the socket that came along is another one"));
     }
     passed.set_nonblocking(true)?;
-    let Message { list, learned } = message;
-    Ok(Taken { listener: passed.into(), list, learned, link })
+    let same = message.under == under(config, config.director);
+    let (list, learned) = if same { (message.list, message.learned) } else { Default::default() };
+    Ok((Taken { listener: passed.into(), list, learned, link }, same))
 }
 
 /// Who shares this scheduler's means with this process.
@@ -318,7 +331,8 @@
 
 async fn lead(net: &Rc<Net>, mut link: BufReader<UnixStream>, listener: &OwnedFd) -> io::Result<()> {
     let learned = net.facade.borrow().learned(net.clock.now());
-    let text = serde_json::to_string(&Message { list: net.held.borrow().whole(), learned })?;
+    let (under, list) = (under(&net.config, *net.director.borrow()), net.held.borrow().whole());
+    let text = serde_json::to_string(&Message { under, list, learned })?;
     let text = format!("{}\n{text}", text.len());
     let send = async {
         let sent = link.get_ref().async_io(Interest::WRITABLE, || {
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -219,7 +219,7 @@
     let (durable, told) = durable::open(&config, clock.now())?;
     let peers = peers::open(&config, clock.now())?;
     let folder = handover::Folder::open(config.tmp.as_deref(), config.listen).map(Rc::new);
-    let (listener, before) = match folder.as_ref().and_then(|f| handover::take_over(f, config.listen)) {
+    let (listener, before) = match folder.as_ref().and_then(|f| handover::take_over(f, &config)) {
         Some(taken) => {
             config.known = taken.list.or(config.known);
             facade.learn(clock.now(), taken.learned);
@@ -304,8 +304,9 @@
             }
         };
         let old = &net.config;
-        let limits = |c: &Config| (c.listen, c.sockets, c.memory);
-        let kept = (limits(&new), &new.settings, &new.names) == (limits(old), &old.settings, &old.names);
+        let limits = |c: &Config| (c.listen, c.admin, c.sockets, c.memory);
+        let told = |c: &Config| (c.name.clone(), c.names.clone(), c.settings.clone());
+        let kept = (limits(&new), told(&new)) == (limits(old), told(old));
         let rest = if kept { "" } else { "; what else has changed needs a restart" };
         info!(director = %new.director, "reload: director {}{rest}", new.director);
         net.director.send_if_modified(|at| std::mem::replace(at, new.director) != new.director);
--- /dev/null
+++ b/crates/server/tests/sockets/customers.rs
@@ -0,0 +1,69 @@
+//! Another customer's configuration: what one process had is not believed under other settings.
+//!
+//! It owns the tests of settings that change between two processes, or under one. It must never let a name, a
+//! figure or a worker cross them.
+
+use oakshed_standin::*;
+
+/// Guards against another customer's workers: where both directors' lists have one number, the list that came with
+/// the socket was believed for good.
+#[test]
+fn what_a_process_of_other_settings_knew_is_left_out() {
+    let (theirs, own, place) = ([good(), good()], good(), Place::new());
+    let [before, now] = [&theirs[0], &own].map(|peer| Director::new(&[("s-1", peer.address)]));
+    let other = Director::new(&[("s-1", theirs[1].address)]);
+    assert_eq!(before.number(), now.number());
+    let bookings = [(r#""name":"transfer""#, r#""name":"booking""#)];
+    let shorter = [(r#""aim-ms":120"#, r#""aim-ms":121"#)];
+    let mut old = Program::start_at(&place, &before, 512, &[]);
+    // Another customer; other names and figures at the same director; the same settings at another one.
+    let cases = [
+        (&now, &own, "booking", &bookings),
+        (&now, &own, "transfer", &shorter),
+        (&other, &theirs[1], "transfer", &shorter),
+    ];
+    for (director, worker, class, edits) in cases {
+        let new = Program::start_at(&place, director, 512, edits);
+        until("the socket", || new.log().contains("took the socket of the process before; it has other"));
+        old.signal("-TERM");
+        assert_eq!(old.wait().code(), Some(0), "{}", old.log());
+        let count = worker.count();
+        assert_eq!(ask(place.listen, &req(class, "id-1")).map(|m| m.status()), Some(200), "{class}");
+        assert_eq!(worker.count(), count + 1, "another customer's worker had it");
+        old = new;
+    }
+}
+
+/// Guards against a reload that takes half of a file: the director moves, of the rest nothing changes, and one line
+/// says so, whatever else it is that differs.
+#[test]
+fn a_reload_moves_the_director_and_says_that_the_rest_needs_a_restart() {
+    let (first, second) = (good(), good());
+    let [old, new] = [&first, &second].map(|peer| Director::new(&[("s-1", peer.address)]));
+    let program = Program::start_with(&old, 1024, &[ADMIN]);
+    let said = || program.log().matches("what else has changed needs a restart").count();
+    let edits = [
+        (r#""aim-ms":120"#, r#""aim-ms":121"#),
+        (r#""name":"new-plate""#, r#""name":"new-plates""#),
+        (r#""quota-rps":5000"#, r#""quota-rps":5"#),
+        (r#""name":"n0""#, r#""name":"n1""#),
+        (r#""admin":"127.0.0.1:0""#, r#""admin":"127.0.0.1:1""#),
+    ];
+    let mut reloads = 0;
+    let mut reload = |from: &str, to: &str| {
+        reloads += 1;
+        program.reload(from, to);
+        until(to, || program.log().matches("reload: director").count() == reloads);
+    };
+    for (n, (from, to)) in edits.into_iter().enumerate() {
+        reload(from, to);
+        assert_eq!(said(), n + 1, "{to}: {}", program.log());
+        reload(to, from);
+        assert_eq!(said(), n + 1, "{from}: {}", program.log());
+    }
+    let ours = r#""name":"new-plate""#;
+    reload(ours, r#""name":"booking""#);
+    reload(&old.peer.address.to_string(), &new.peer.address.to_string());
+    until("the new list", || program.ask(&req("new-plate", "id-1")).status() == 200 && second.count() == 1);
+    assert_eq!(program.ask(&req("booking", "id-2")).status(), 404, "not a class before a restart");
+}
--- a/crates/server/tests/sockets/main.rs
+++ b/crates/server/tests/sockets/main.rs
@@ -2,6 +2,7 @@
 //! that its protocol promises, and for each failure found.
 
 mod backends;
+mod customers;
 mod director;
 mod malformed;
 mod passing;
