--- a/crates/server/tests/sockets/customers.rs
+++ b/crates/server/tests/sockets/customers.rs
@@ -67,3 +67,44 @@
     until("the new list", || program.ask(&req("new-plate", "id-1")).status() == 200 && second.count() == 1);
     assert_eq!(program.ask(&req("booking", "id-2")).status(), 404, "not a class before a restart");
 }
+
+/// Guards against a limit of another deployment under which nothing is served any more: what a file may say, or
+/// leave out, is refused at the start with its place, or serves.
+#[test]
+fn limits_at_their_ends_serve() {
+    let backend = good();
+    let director = Director::new(&[("s-1", backend.address)]);
+    let edits = [
+        (r#""connect-timeout-ms":200,"#, ""),
+        (r#""idle-close-ms":5000,"#, ""),
+        (r#""idle-close-ms":5000"#, r#""idle-close-ms":1"#),
+        (r#""ask-every-ms":10000"#, r#""ask-every-ms":31536000000"#),
+        (r#""ask-every-ms":10000"#, r#""ask-every-ms":1"#),
+        (r#""resolution-ms":4"#, r#""resolution-ms":0"#),
+        (r#""max-retry-after-ms":2000,"#, ""),
+        (r#""max-attempts":4"#, r#""max-attempts":1"#),
+        (r#""memory-span-ms":7500"#, r#""memory-span-ms":0"#),
+        (r#""dedup-scope":"all""#, r#""dedup-scope":"cell""#),
+        (r#""importance":10"#, r#""importance":0"#),
+        (r#""give-up-ms":5000"#, r#""give-up-ms":31536000000"#),
+        (r#""give-up-ms":5000"#, r#""give-up-ms":60"#),
+        (r#""balancers":1"#, r#""balancers":4294967295"#),
+        (r#","azs":["hofdi","selfoss"]"#, ""),
+        (r#","machine-types":["fast-7"]"#, ""),
+        (r#"{"name":"storholt-bilar","quota-rps":5000}"#, ""),
+        (r#""quota-rps":5000"#, r#""quota-rps":0"#),
+        (r#""ramp-time-ms":9000"#, r#""ramp-time-ms":0"#),
+        (r#""fall-ms":2000"#, r#""fall-ms":0"#),
+        (r#""cold-share":0.32"#, r#""cold-share":0"#),
+        (r#""fall-multiple":3"#, r#""fall-multiple":0"#),
+    ];
+    for (from, to) in edits {
+        let program = Program::start_with(&director, 1024, &[(from, to)]);
+        for class in ["transfer", "new-plate"] {
+            let answer = program.ask(&req(class, "id-1"));
+            assert_eq!(answer.status(), 200, "{class} with {to:?} for {from}: {}", program.log());
+        }
+        let stranger = req("transfer", "id-2").replace("storholt-bilar", "nobody-known");
+        assert_eq!(program.ask(&stranger).status(), 200, "a tenant unknown, with {to:?} for {from}");
+    }
+}
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -203,3 +203,62 @@
         assert_eq!(answer(extras), plain, "{extras}");
     }
 }
+
+/// Guards against anything that one dispatcher learns, or is told, and another of the same process acts on: each
+/// does byte for byte what it does alone, whoever else lives beside it with other settings.
+#[test]
+fn dispatchers_of_one_process_share_nothing() {
+    let boot = BOOT.replace('\n', "");
+    let other = boot
+        .replace("400.0", "60.0")
+        .replace("6000", "900")
+        .replace("single_shot", "guarded")
+        .replace(r#""balancers":1"#, r#""balancers":40,"tenants":[{"name":"t","quota-rps":30}]"#)
+        .replace(r#""cold-share":0.3"#, r#""cold-share":0.6"#);
+    let mut lines = vec![r#"{"what":"BATCH","clock-ms":1000}"#.to_owned()];
+    for (n, (boot, condition)) in [(&boot, "active"), (&other, "leaving")].into_iter().enumerate() {
+        let row = |w: usize, condition| {
+            format!(
+                r#"{{"worker":"10.0.0.{w}:5000","hall":{n},"model":0,"block":{w},"condition":"{condition}","online-since-ms":{}}}"#,
+                900 * w
+            )
+        };
+        let rows = [row(1, "active"), row(2, condition), row(3, "active")].join(",");
+        lines.extend([
+            format!(r#"{{"what":"DIRECTORY","slot":{n},"rows-in":[{rows}]}}"#),
+            format!(r#"{{"what":"SPAWN","scheduler":"s-{n}","rng-seed":{n},"boot-info":{boot}}}"#),
+            format!(r#"{{"what":"TOPOLOGY","scheduler":"s-{n}","kind":"remembered","slot":{n}}}"#),
+        ]);
+    }
+    lines.push(r#"{"what":"OVER_TO_YOU"}"#.into());
+    let mut rng = 7u32;
+    for step in 0..600u32 {
+        // A plain generator of numbers: the same play each time.
+        rng = rng.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
+        let (n, class, wait) = (rng >> 30 & 1, rng >> 29 & 1, rng >> 20 & 63);
+        let id = |step: u32| format!("00000000-0000-0000-0000-{step:012x}");
+        let about =
+            |what: &str, step: u32| format!(r#"{{"what":"{what}","scheduler":"s-{n}","req":"{}""#, id(step));
+        let ending = ["delivered", "delivered", "shed", "dropped"][(rng >> 18 & 3) as usize];
+        let finished = ending == "delivered";
+        let comes = format!(r#"{},"class":{class},"tenant":0,"remaining-ms":900}}"#, about("INBOUND", step));
+        // One of an earlier step, which may be the other's: unknown to this one then.
+        let earlier = step.saturating_sub(1 + (rng >> 16 & 3));
+        let starts = format!(r#"{},"trial":0,"topic":1}}"#, about("INTERIM", earlier));
+        let ends =
+            format!(r#"{},"trial":0,"ending":"{ending}","finished":{finished}}}"#, about("SETTLED", earlier));
+        let tick = format!(r#"{{"what":"TICK_DUE","scheduler":"s-{n}","tag":0}}"#);
+        lines.extend(batch(1001.0 + f64::from(step * 40 + wait % 40), &[&comes, &starts, &ends, &tick]));
+    }
+    let both = run(&lines).expect("served");
+    for n in 0..2 {
+        let (own, other) = (format!(r#""scheduler":"s-{n}""#), format!(r#""scheduler":"s-{}""#, 1 - n));
+        let alone: Vec<String> = lines.iter().filter(|l| !l.contains(&other)).cloned().collect();
+        let of = |out: &str| -> Vec<String> {
+            out.lines().filter(|l| l.contains(&own)).map(str::to_owned).collect()
+        };
+        let (alone, beside) = (of(&run(&alone).expect("served")), of(&both));
+        assert!(alone.len() > 300 && alone.iter().any(|l| l.contains("SAY_NO")), "{} lines", alone.len());
+        assert_eq!(alone, beside, "s-{n} acts otherwise beside another");
+    }
+}
