--- a/crates/trials/src/checks.rs
+++ b/crates/trials/src/checks.rs
@@ -22,6 +22,20 @@
     pub stops: Vec<Span>,
     /// Which list numbers it has taken in, and when.
     pub told: Vec<(u64, u64)>,
+    /// When it could not reach the director, or not be answered.
+    pub cut_off: Vec<Span>,
+}
+
+impl SchedulerFacts {
+    /// The last moment up to `at` of which its clock begins anew: `from`, the start of its life, and the end of a
+    /// stop or of a time without the director. None where it did not live then, or cannot know yet.
+    fn since(&self, from: u64, at: u64) -> Option<u64> {
+        let life = self.lives.iter().find(|l| l.meets(at, at))?;
+        let hindered = self.stops.iter().chain(&self.cut_off).filter(|s| s.meets(from, at));
+        hindered
+            .map(|s| s.to.filter(|to| *to <= at))
+            .try_fold(from.max(life.from), |last, to| Some(last.max(to?)))
+    }
 }
 
 /// A worker, as its checkers see it.
@@ -38,6 +52,8 @@
     /// Since when it is not to get anything new: the list's number that says so, for each span of numbers up
     /// to that at which it is ready again.
     pub drains: Vec<(u64, Option<u64>)>,
+    /// When the director had these changes.
+    pub drained: Vec<Span>,
     /// When it started cold.
     pub starts: Vec<u64>,
 }
@@ -68,6 +84,16 @@
 
 /// How long after its scheduler was told a drained worker may still get something new, in microseconds.
 pub const DRAIN_SLACK: u64 = 300_000;
+/// Whatever happens to calls and watches, a change counts as told so long after the director had it and could be
+/// reached, in microseconds.
+pub const TOLD_ANYWAY: u64 = 6_000_000;
+/// So long after its client has left no attempt of a req begins, in microseconds: 0.1 s. The rest is for a machine that
+/// is busy with other tests, on which what began in time came up to 0.5 s late; who waits, or is tried again, for a
+/// client that has gone is in the way for longer. The 0.1 s themselves are held by tests on sockets.
+pub const LEFT_SLACK: u64 = 100_000 + 900_000;
+/// Within this a process is ready after its start, in microseconds, and how many of ten are.
+pub const READY_WITHIN: u64 = 10_000_000;
+const READY_OF_TEN: usize = 9;
 
 /// What may run once has run at most once, over all workers.
 pub fn nothing_runs_twice(facts: &Facts) -> Vec<Breach> {
@@ -144,7 +170,82 @@
     breaches
 }
 
-/// What a cold worker may get: in any time of `fall` (seconds) at most N + 3 x root of N + 3 jobs, N being the
+/// No scheduler sends a worker anything new later than the slack after a drain counts as told: 6 s after the director
+/// had it and could be reached, whether or not anything came. Its clock begins anew with its life, with the end of a
+/// stop, and with each end of a time in which it was cut off.
+pub fn told_in_time(facts: &Facts) -> Vec<Breach> {
+    let senders: BTreeMap<&str, usize> = facts.reqs.iter().map(|r| (r.id.as_str(), r.scheduler)).collect();
+    let mut breaches = Vec::new();
+    for worker in &facts.workers {
+        for arrival in &worker.arrivals {
+            let Some(drain) = worker.drained.iter().rev().find(|d| d.meets(arrival.at, arrival.at)) else {
+                continue;
+            };
+            let scheduler = senders.get(arrival.req.as_str()).map(|&s| &facts.schedulers[s]);
+            let Some(since) = scheduler.and_then(|s| s.since(drain.from, arrival.at)) else { continue };
+            if arrival.at > since + TOLD_ANYWAY + DRAIN_SLACK {
+                let (id, late) = (&arrival.req, (arrival.at - since) / 1_000);
+                let what = format!("{id} {late} ms after the director had its drain and could be reached");
+                breaches.push(Breach { at: arrival.at, node: worker.name.clone(), what });
+            }
+        }
+    }
+    breaches
+}
+
+/// No attempt, first or further, begins later than the slack after its client has left. A scheduler that was
+/// stopped sees it when it goes on.
+pub fn nothing_for_who_left(facts: &Facts) -> Vec<Breach> {
+    let left = facts.reqs.iter().filter(|r| matches!(r.end, End::Left | End::Silence));
+    let left: BTreeMap<&str, &Req> = left.map(|r| (r.id.as_str(), r)).collect();
+    let mut breaches = Vec::new();
+    for worker in &facts.workers {
+        for arrival in &worker.arrivals {
+            let Some(req) = left.get(arrival.req.as_str()).filter(|r| r.ended <= arrival.at) else {
+                continue;
+            };
+            let Some(seen) = facts.schedulers[req.scheduler].since(req.ended, arrival.at) else { continue };
+            if arrival.at > seen + LEFT_SLACK {
+                let what = format!("{} {} ms after its client had left", req.id, (arrival.at - seen) / 1_000);
+                breaches.push(Breach { at: arrival.at, node: worker.name.clone(), what });
+            }
+        }
+    }
+    breaches
+}
+
+/// Nine in ten of the processes that took an earlier one's place listen and have a list within 10 s. One that was
+/// stopped or cut off begins anew then; one that ended before its time was up does not count.
+pub fn restarted_in_time(facts: &Facts, until: u64) -> Vec<Breach> {
+    let (mut counted, mut late) = (0, Vec::new());
+    for scheduler in &facts.schedulers {
+        for life in scheduler.lives.iter().skip(1) {
+            let end = life.to.unwrap_or(until);
+            let first = |times: &mut dyn Iterator<Item = u64>| times.filter(|at| life.meets(*at, *at)).min();
+            let listens = first(&mut scheduler.listens.iter().copied());
+            let told = first(&mut scheduler.told.iter().map(|(at, _)| *at));
+            let ready = listens.zip(told).map(|(listens, told)| listens.max(told));
+            let Some(since) = scheduler.since(life.from, ready.unwrap_or(end)) else { continue };
+            if ready.is_none() && end < since + READY_WITHIN {
+                continue;
+            }
+            counted += 1;
+            if ready.is_none_or(|at| at > since + READY_WITHIN) {
+                late.push((ready.unwrap_or(end), &scheduler.name, since));
+            }
+        }
+    }
+    if 10 * (counted - late.len()) >= READY_OF_TEN * counted {
+        return Vec::new();
+    }
+    let breach = |(at, name, since): (u64, &String, u64)| {
+        let what = format!("not ready {} ms after its start, as too many of {counted}", (at - since) / 1_000);
+        Breach { at, node: name.clone(), what }
+    };
+    late.into_iter().map(breach).collect()
+}
+
+/// What a cold worker may get: in any time of `fall` (seconds) at most N + 2 x root of N + 2 jobs, N being the
 /// multiple of its present capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct ColdRule {
@@ -171,7 +272,7 @@
                 let age = (at - start) as f64 / 1e6;
                 let share = rule.cold_share + (1.0 - rule.cold_share) * age / rule.ramp;
                 let most = rule.multiple * share * worker.jobs_per_second * rule.fall;
-                let most = most + 3.0 * most.sqrt() + 3.0;
+                let most = most + 2.0 * most.sqrt() + 2.0;
                 if count > most {
                     let what =
                         format!("{count} jobs in {} s, {age:.2} s after its start; {most:.0} may", rule.fall);
--- a/crates/trials/src/history.rs
+++ b/crates/trials/src/history.rs
@@ -19,8 +19,10 @@
     Broken,
     /// It could not be sent: no connection.
     Unsent,
-    /// Nothing came for much longer than its deadline.
+    /// Nothing came for much longer than its deadline, and its client went.
     Silence,
+    /// Its client went before that, of its own will.
+    Left,
 }
 
 /// One req of a client.
@@ -56,6 +58,15 @@
     pub fn meets(&self, from: u64, to: u64) -> bool {
         self.from <= to && self.to.is_none_or(|end| end >= from)
     }
+
+    /// Notes that something begins now, unless it lasts already, or ends.
+    pub(crate) fn note(spans: &mut Vec<Span>, begins: bool) {
+        match spans.last_mut().filter(|s| s.to.is_none()) {
+            None if begins => spans.push(Span { from: now_us(), to: None }),
+            Some(open) if !begins => open.to = Some(now_us()),
+            _ => {}
+        }
+    }
 }
 
 /// A line of a scheduler's log.
--- a/crates/trials/src/load.rs
+++ b/crates/trials/src/load.rs
@@ -33,6 +33,10 @@
 const INSISTS: u64 = 40_000_000;
 const AGAIN: Duration = Duration::from_millis(50);
 
+/// One req in so many has a client that goes after so long, where clients leave.
+const LEAVES: usize = 8;
+const LEAVES_AFTER: Duration = Duration::from_millis(30);
+
 type Sender = SendRequest<Full<Bytes>>;
 
 struct Pool {
@@ -106,6 +110,8 @@
     pools: Vec<Pool>,
     /// Clients come again with the same id until they have an answer that is final.
     insists: bool,
+    /// Some go before their answer comes.
+    leave: bool,
     stop: Cell<bool>,
     under_way: Cell<usize>,
     sent: Cell<usize>,
@@ -117,21 +123,27 @@
 impl Load {
     /// Sends so many reqs a second, each to a scheduler by chance.
     pub fn start(world: &World, per_second: f64, seed: u64) -> Load {
-        Load::of(world, per_second, seed, false)
+        Load::of(world, per_second, seed, false, false)
+    }
+
+    /// The same, of clients of which some go soon, whatever becomes of their reqs.
+    pub fn leaving(world: &World, per_second: f64, seed: u64) -> Load {
+        Load::of(world, per_second, seed, false, true)
     }
 
     /// The same, of clients that come again with the same id until their answer is final: 200, or 502 for what
     /// may have run. For durable jobs, where an id names a job for good.
     pub fn insist(world: &World, per_second: f64, seed: u64) -> Load {
-        Load::of(world, per_second, seed, true)
+        Load::of(world, per_second, seed, true, false)
     }
 
-    fn of(world: &World, per_second: f64, seed: u64, insists: bool) -> Load {
+    fn of(world: &World, per_second: f64, seed: u64, insists: bool, leave: bool) -> Load {
         let pool = |s: &crate::scheduler::Scheduler| Pool { front: s.front, idle: RefCell::default() };
         let shared = Rc::new(Shared {
             history: world.history.clone(),
             pools: world.schedulers.iter().map(pool).collect(),
             insists,
+            leave,
             stop: Cell::new(false),
             under_way: Cell::new(0),
             sent: Cell::new(0),
@@ -148,13 +160,9 @@
                 if shared.under_way.get() < MOST {
                     shared.sent.set(n + 1);
                     shared.under_way.set(shared.under_way.get() + 1);
-                    tokio::task::spawn_local(one(
-                        shared.clone(),
-                        scheduler,
-                        format!("{seed:x}-{n}"),
-                        class,
-                        once,
-                    ));
+                    let goes = (shared.leave && n % LEAVES == 0).then_some(LEAVES_AFTER);
+                    let job = one(shared.clone(), scheduler, format!("{seed:x}-{n}"), class, once, goes);
+                    tokio::task::spawn_local(job);
                 }
             }
         });
@@ -175,9 +183,20 @@
     }
 }
 
-async fn one(shared: Rc<Shared>, scheduler: usize, id: String, class: &'static str, once: bool) {
+async fn one(
+    shared: Rc<Shared>,
+    scheduler: usize,
+    id: String,
+    class: &'static str,
+    once: bool,
+    goes: Option<Duration>,
+) {
     let sent = now_us();
-    let (mut end, mut dialled) = shared.pools[scheduler].send(class, &id).await;
+    let answer = shared.pools[scheduler].send(class, &id);
+    let (mut end, mut dialled) = match goes {
+        Some(after) => timeout(after, answer).await.unwrap_or((End::Left, sent)),
+        None => answer.await,
+    };
     while shared.insists && !matches!(end, End::Answer(200 | 502)) && now_us() < sent + INSISTS {
         sleep(AGAIN).await;
         (end, dialled) = shared.pools[scheduler].send(class, &id).await;
--- a/crates/trials/src/plays/director.rs
+++ b/crates/trials/src/plays/director.rs
@@ -91,8 +91,7 @@
     watched_by_all(world).await?;
     let (cut, whole): (Vec<usize>, Vec<usize>) = (0..schedulers).partition(|s| s % 2 == 0);
     for &s in &cut {
-        let name = world.schedulers[s].name.clone();
-        world.relays.set(&name, DIRECTOR, Faults { cut_back: true, ..Faults::none() });
+        world.to_director(s, Faults { cut_back: true, ..Faults::none() });
     }
     let number = world.drain(0);
     let on = |which: Vec<usize>| move |w: &mut World| which.iter().all(|&s| w.schedulers[s].holds(number));
@@ -106,8 +105,7 @@
     let noticed = world.until("a fresh call of each that is cut off", PATIENCE, again).await?;
     let heard = cut.iter().filter(|&&s| world.schedulers[s].holds(number)).count();
     for &s in &cut {
-        let name = world.schedulers[s].name.clone();
-        world.relays.set(&name, DIRECTOR, Faults::none());
+        world.to_director(s, Faults::none());
     }
     let healed = world.until("the drain on all", PATIENCE, on(cut.clone())).await?;
     calm(world, 200, &load).await?;
--- a/crates/trials/src/plays/mixed.rs
+++ b/crates/trials/src/plays/mixed.rs
@@ -27,7 +27,7 @@
 pub(super) async fn mixed(world: &mut World) -> Result<Told, String> {
     let (schedulers, seed) = (world.setup.schedulers, world.setup.seed);
     began_with_list(world).await?;
-    let load = Load::start(world, 200.0, seed);
+    let load = Load::leaving(world, 200.0, seed);
     let steps = schedule(seed, schedulers, WORKERS, FAULTS);
     let played = steps.len();
     for Step { after, fault } in steps {
@@ -52,9 +52,6 @@
 
 async fn act(world: &mut World, fault: Fault) -> Result<(), String> {
     let name = |world: &World, s: usize| world.schedulers[s].name.clone();
-    let director = |world: &World, s: usize, faults: Faults| {
-        world.relays.set(&name(world, s), DIRECTOR, faults);
-    };
     match fault {
         Fault::Kill(s) => world.kill(s).await,
         Fault::Restart(s, true) => world.start(s, Known::Held).map_err(|e| e.to_string())?,
@@ -62,10 +59,10 @@
         Fault::Stop(s) => world.stop(s),
         Fault::GoOn(s) => world.go_on(s),
         Fault::CutDirector(s, cut_there, cut_back) => {
-            director(world, s, Faults { cut_there, cut_back, ..Faults::none() });
+            world.to_director(s, Faults { cut_there, cut_back, ..Faults::none() });
         }
-        Fault::StallDirector(s) => director(world, s, Faults { stall: true, ..Faults::none() }),
-        Fault::HealDirector(s) => director(world, s, Faults::none()),
+        Fault::StallDirector(s) => world.to_director(s, Faults { stall: true, ..Faults::none() }),
+        Fault::HealDirector(s) => world.to_director(s, Faults::none()),
         Fault::ResetWorker(s, w) => _ = world.relays.reset(&name(world, s), &world.workers[w].0),
         Fault::DelayWorker(s, w, ms) => {
             let delay = Duration::from_millis(ms);
@@ -75,10 +72,7 @@
                 Faults { delay, jitter: delay, ..Faults::none() },
             );
         }
-        Fault::Down(down) => {
-            world.history.note(DIRECTOR, if down { "down" } else { "up" });
-            world.director.down(down);
-        }
+        Fault::Down(down) => world.down(down),
         Fault::Slow(ms) => {
             world.history.note(DIRECTOR, format!("slow by {ms} ms"));
             world.director.slow(Duration::from_millis(ms));
--- a/crates/trials/src/plays/mod.rs
+++ b/crates/trials/src/plays/mod.rs
@@ -204,6 +204,9 @@
         ("runs once", checks::nothing_runs_twice(&facts)),
         ("answered", checks::all_answered(&facts)),
         ("drained", checks::drained_in_time(&facts)),
+        ("told", checks::told_in_time(&facts)),
+        ("left", checks::nothing_for_who_left(&facts)),
+        ("restarted", checks::restarted_in_time(&facts, now())),
         ("cold", checks::cold_budgets(&facts, cold)),
     ];
     broken.extend(rules.into_iter().flat_map(lines));
--- a/crates/trials/src/relays/mod.rs
+++ b/crates/trials/src/relays/mod.rs
@@ -9,14 +9,27 @@
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
-use std::net::{IpAddr, SocketAddr};
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
+use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
 use tokio::sync::watch;
 
 use crate::history::History;
 
+/// Addresses that no other trial and no dialer of this machine uses: an address of 127.0.0.0/8 by this
+/// process's id, whose ports the system picks. Dialers get theirs at 127.0.0.1.
+pub(crate) fn own_addresses() -> (u32, IpAddr, IpAddr) {
+    static NEXT: AtomicU32 = AtomicU32::new(0);
+    let (pid, number) = (std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
+    let ip = |part: u32| {
+        let last = 1 + (2 * number + part) % 250;
+        IpAddr::V4(Ipv4Addr::new(127, 64 + (pid >> 8) as u8 % 128, pid as u8, last as u8))
+    };
+    (number, ip(0), ip(1))
+}
+
 /// What is wrong with the way from one node to another. The default: nothing.
 ///
 /// `there` is the way of who dials, requests; `back` that of answers. For datagrams only `there` counts, as
--- a/crates/trials/src/world.rs
+++ b/crates/trials/src/world.rs
@@ -7,10 +7,9 @@
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::io;
-use std::net::{IpAddr, Ipv4Addr, SocketAddr};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
-use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
 
 use oakshed_standin::fleet::{now_us, FleetDirector, FleetWorker, FleetWorkerOptions};
@@ -21,7 +20,7 @@
 use crate::checks::{Facts, SchedulerFacts, WorkerFacts};
 use crate::history::{History, Span};
 use crate::process::{Log, Process, Start};
-use crate::relays::Relays;
+use crate::relays::{own_addresses, Faults, Relays};
 use crate::scheduler::{Known, Scheduler};
 use crate::settings::settings;
 use crate::watchdog::{Watchdog, FOLDERS};
@@ -87,24 +86,16 @@
     /// When it was made, in microseconds of Unix time.
     pub began: u64,
     drains: BTreeMap<String, Vec<(u64, Option<u64>)>>,
+    drained: BTreeMap<String, Vec<Span>>,
+    /// When the director was down for all, and when one scheduler was cut off from it.
+    down: Vec<Span>,
+    cut_off: BTreeMap<usize, Vec<Span>>,
     starts: BTreeMap<String, Vec<u64>>,
     // Processes end before the folder goes: fields are dropped in this order.
     watchdog: Rc<Watchdog>,
     folder: Folder,
 }
 
-/// Addresses that no other trial and no dialer of this machine uses: an address of 127.0.0.0/8 by this
-/// process's id, whose ports the system picks. Dialers get theirs at 127.0.0.1.
-fn own_addresses() -> (u32, IpAddr, IpAddr) {
-    static NEXT: AtomicU32 = AtomicU32::new(0);
-    let (pid, number) = (std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
-    let ip = |part: u32| {
-        let last = 1 + (2 * number + part) % 250;
-        IpAddr::V4(Ipv4Addr::new(127, 64 + (pid >> 8) as u8 % 128, pid as u8, last as u8))
-    };
-    (number, ip(0), ip(1))
-}
-
 impl World {
     /// Makes a fleet, with its workers listed as ready and warm; no scheduler is started yet.
     ///
@@ -165,7 +156,8 @@
             }
         });
         let rng = fastrand::Rng::with_seed(setup.seed);
-        let (drains, starts) = (BTreeMap::new(), BTreeMap::new());
+        let (drains, drained, starts) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
+        let (down, cut_off) = (Vec::new(), BTreeMap::new());
         let began = now_us();
         history.note(DIRECTOR, format!("{}: all ready", director.number()));
         Ok(World {
@@ -178,6 +170,9 @@
             rng,
             began,
             drains,
+            drained,
+            down,
+            cut_off,
             starts,
             watchdog,
             folder,
@@ -296,6 +291,7 @@
         let name = self.workers[w].0.clone();
         let number = self.director.lifecycle(&name, "draining");
         self.history.note(DIRECTOR, format!("{number}: drain {name}"));
+        self.drained.entry(name.clone()).or_default().push(Span { from: now_us(), to: None });
         self.drains.entry(name).or_default().push((number, None));
         number
     }
@@ -305,10 +301,25 @@
         let name = self.workers[w].0.clone();
         let number = self.director.lifecycle(&name, "ready");
         self.history.note(DIRECTOR, format!("{number}: ready {name}"));
+        let drained = self.drained.entry(name.clone()).or_default();
+        drained.last_mut().into_iter().for_each(|d| d.to = Some(now_us()));
         self.drains.entry(name).or_default().last_mut().into_iter().for_each(|d| d.1 = Some(number));
         number
     }
 
+    /// The director is down, or up again.
+    pub fn down(&mut self, down: bool) {
+        self.history.note(DIRECTOR, if down { "down" } else { "up" });
+        Span::note(&mut self.down, down);
+        self.director.down(down);
+    }
+
+    /// What lies between a scheduler and the director is so from now on.
+    pub fn to_director(&mut self, s: usize, faults: Faults) {
+        Span::note(self.cut_off.entry(s).or_default(), faults != Faults::none());
+        self.relays.set(&self.schedulers[s].name, DIRECTOR, faults);
+    }
+
     /// Starts a worker anew, cold, and tells the director; `step` is how far the clock of its start is off.
     pub fn restart_worker(&mut self, w: usize, step: Duration) -> u64 {
         let (name, worker) = &self.workers[w];
@@ -342,12 +353,13 @@
 
     /// What the checkers read.
     pub fn facts(&self) -> Facts {
-        let scheduler = |s: &Scheduler| SchedulerFacts {
+        let scheduler = |(n, s): (usize, &Scheduler)| SchedulerFacts {
             name: s.name.clone(),
             lives: s.lives.clone(),
             listens: s.listens(),
             stops: s.stops.clone(),
             told: s.told(),
+            cut_off: self.cut_off.get(&n).into_iter().flatten().chain(&self.down).copied().collect(),
         };
         let options = &self.setup.worker;
         let jobs_per_second = options.slots as f64 / options.service.as_secs_f64();
@@ -357,10 +369,11 @@
             opened: worker.opened(),
             jobs_per_second,
             drains: self.drains.get(name).cloned().unwrap_or_default(),
+            drained: self.drained.get(name).cloned().unwrap_or_default(),
             starts: self.starts.get(name).cloned().unwrap_or_default(),
         };
         Facts {
-            schedulers: self.schedulers.iter().map(scheduler).collect(),
+            schedulers: self.schedulers.iter().enumerate().map(scheduler).collect(),
             workers: self.workers.iter().map(worker).collect(),
             reqs: self.history.record().reqs,
             calls: self.director.calls(),
--- a/crates/trials/tests/checks.rs
+++ b/crates/trials/tests/checks.rs
@@ -97,15 +97,88 @@
     let rule = ColdRule { cold_share: 0.5, ramp: 10.0, multiple: 2.0, fall: 1.0 };
     let mut facts = facts();
     facts.workers[0].starts = vec![10 * S];
-    // N is 2 x 0.5 x 10 jobs in a second at the start: 10 + 3 x root of 10 + 3 are 22.
-    facts.workers[0].arrivals = (0..22).map(|n| arrival(10 * S + n, "a")).collect();
+    // N is 2 x 0.5 x 10 jobs in a second at the start: 10 + 2 x root of 10 + 2 are 18.
+    facts.workers[0].arrivals = (0..18).map(|n| arrival(10 * S + n, "a")).collect();
     assert_eq!(cold_budgets(&facts, rule), []);
-    facts.workers[0].arrivals.push(arrival(10 * S + 22, "b"));
+    facts.workers[0].arrivals.push(arrival(10 * S + 18, "b"));
     assert_eq!(cold_budgets(&facts, rule).len(), 1);
     facts.workers[0].starts = vec![0];
     assert_eq!(cold_budgets(&facts, rule), [], "it is warm by then");
 }
 
+#[test]
+fn a_job_long_after_a_drain_is_found_whether_or_not_it_was_heard() {
+    let mut facts = facts();
+    facts.reqs = vec![req("a", S, 30 * S, End::Answer(200))];
+    facts.workers[0].drained = vec![Span { from: 2 * S, to: Some(29 * S) }];
+    let last = 2 * S + TOLD_ANYWAY + DRAIN_SLACK;
+    let at = |facts: &mut Facts, at: u64| {
+        facts.workers[0].arrivals = vec![arrival(at, "a")];
+        told_in_time(facts).len()
+    };
+    assert_eq!((at(&mut facts, last), at(&mut facts, last + 1), at(&mut facts, 29 * S + 1)), (0, 1, 0));
+    // The director could not be reached: its time begins with the end of that, and while it lasts there is none.
+    facts.schedulers[0].cut_off = vec![Span { from: S, to: Some(3 * S) }, Span { from: 20 * S, to: None }];
+    assert_eq!((at(&mut facts, last + S), at(&mut facts, last + S + 1), at(&mut facts, 20 * S)), (0, 1, 0));
+    // So with a stop, and with a new life.
+    facts.schedulers[0].stops = vec![Span { from: S, to: Some(5 * S) }];
+    assert_eq!((at(&mut facts, last + 3 * S), at(&mut facts, last + 3 * S + 1)), (0, 1));
+    facts.schedulers[0].lives = vec![Span { from: S, to: Some(6 * S) }, Span { from: 7 * S, to: None }];
+    assert_eq!((at(&mut facts, last + 5 * S), at(&mut facts, last + 5 * S + 1)), (0, 1));
+    // What was over before the drain gives no time.
+    facts.schedulers[0] = SchedulerFacts {
+        cut_off: vec![Span { from: S, to: Some(2 * S - 1) }],
+        ..self::facts().schedulers.remove(0)
+    };
+    assert_eq!(at(&mut facts, last + 1), 1);
+}
+
+#[test]
+fn an_attempt_for_a_client_that_has_left_is_found() {
+    let mut facts = facts();
+    facts.reqs = vec![req("a", 2 * S, 3 * S, End::Left), req("b", 2 * S, 3 * S, End::Answer(200))];
+    facts.workers[0].arrivals =
+        vec![arrival(2 * S, "a"), arrival(3 * S + LEFT_SLACK, "a"), arrival(4 * S, "b")];
+    assert_eq!(nothing_for_who_left(&facts), []);
+    facts.workers[1].arrivals = vec![arrival(3 * S + LEFT_SLACK + 1, "a")];
+    assert_eq!(nothing_for_who_left(&facts).len(), 1, "a further attempt, on another worker");
+    facts.reqs[0].end = End::Silence;
+    assert_eq!(nothing_for_who_left(&facts).len(), 1, "it gave up, and went");
+    facts.schedulers[0].stops = vec![Span { from: 2 * S, to: Some(3 * S + 1) }];
+    assert_eq!(nothing_for_who_left(&facts), [], "it was stopped, and saw it when it went on");
+}
+
+#[test]
+fn restarts_of_which_over_a_tenth_are_late_are_found() {
+    let restarted = |n: usize, ready: Option<u64>| {
+        let lives = vec![Span { from: S, to: Some(5 * S) }, Span { from: 6 * S, to: None }];
+        let told = ready.map(|at| (at, 1)).into_iter().collect();
+        SchedulerFacts {
+            name: format!("s{n}"),
+            lives,
+            listens: vec![2 * S, 7 * S],
+            told,
+            ..SchedulerFacts::default()
+        }
+    };
+    let last = 6 * S + READY_WITHIN;
+    let fleet = |late: usize, ready: Option<u64>| {
+        let schedulers = (0..20).map(|n| restarted(n, if n < late { ready } else { Some(last) })).collect();
+        Facts { schedulers, ..Facts::default() }
+    };
+    assert_eq!(restarted_in_time(&fleet(2, Some(last + 1)), 60 * S), [], "one in ten may be late");
+    assert_eq!(restarted_in_time(&fleet(3, Some(last + 1)), 60 * S).len(), 3);
+    assert_eq!(restarted_in_time(&fleet(3, None), 60 * S).len(), 3, "never");
+    assert_eq!(restarted_in_time(&fleet(3, None), last - 1), [], "their time is not up");
+    let mut cut = fleet(3, Some(last + 1));
+    cut.schedulers[0].cut_off = vec![Span { from: S, to: Some(6 * S + 1) }];
+    assert_eq!(restarted_in_time(&cut, 60 * S), [], "one had no director until then");
+    // A first start is none.
+    let mut first = fleet(3, None);
+    first.schedulers.iter_mut().for_each(|s| _ = s.lives.remove(0));
+    assert_eq!(restarted_in_time(&first, 60 * S), []);
+}
+
 #[test]
 fn calls_are_counted_by_kind_and_caller() {
     let call = |caller, at, from, outcome| Call { caller, at, from, outcome, done: None };
