--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -630,10 +630,9 @@
         if share >= 1.0 {
             return true;
         }
-        let usual = self.usual().max(0.5 / f64::from(s.dispatchers));
-        // Two processes of this scheduler, while both live, take their parts of its one budget.
-        let part = COLD_SAFETY / (1 + self.sharers) as f64;
-        let rate = part * s.fall_multiple * share * usual;
+        // Two processes of this scheduler, while both live, each count what they have done themselves.
+        let least = 0.5 / f64::from(s.dispatchers) / (1 + self.sharers) as f64;
+        let rate = COLD_SAFETY * s.fall_multiple * share * self.usual().max(least);
         let budget = self.workers[w].budget + rate * self.since(self.workers[w].budget_at);
         self.workers[w].budget = budget.min(0.5 * rate * s.fall_span as f64);
         self.workers[w].budget_at = self.now;
--- a/crates/core/tests/mechanism/cold_fleet.rs
+++ b/crates/core/tests/mechanism/cold_fleet.rs
@@ -25,6 +25,8 @@
     pub uneven: f64,
     /// The least slots of a job; the most is 1.
     pub least_slots: f64,
+    /// Processes of each scheduler, all of which get requests.
+    pub processes: usize,
     pub seed: u64,
 }
 
@@ -60,7 +62,7 @@
 
 impl Fleet {
     pub fn new(plan: Plan) -> Fleet {
-        let (all, workers) = (plan.settings.dispatchers as usize, plan.workers);
+        let (all, workers) = (plan.settings.dispatchers as usize * plan.processes, plan.workers);
         let mut fleet = Fleet {
             now: START,
             workers: (0..workers).map(|_| Worker::default()).collect(),
@@ -84,7 +86,9 @@
 
     fn born(&mut self, d: usize) -> Dispatcher {
         let settings = Settings { zone: d as u32 % 3, ..self.plan.settings.clone() };
-        Dispatcher::new(settings, self.rng.u64(..)).expect("usable")
+        let mut new = Dispatcher::new(settings, self.rng.u64(..)).expect("usable");
+        new.share(self.plan.processes);
+        new
     }
 
     fn at(&mut self, at: Micros, what: What) {
--- a/crates/core/tests/mechanism/cold_sum.rs
+++ b/crates/core/tests/mechanism/cold_sum.rs
@@ -19,7 +19,9 @@
 /// Three kinds of settings: share, ramp, multiple and span, and the least slots of a job.
 fn kinds() -> [(Settings, f64); 3] {
     let kind = |cold_share, ramp, fall_multiple, fall_span, least_slots| {
-        (Settings { cold_share, ramp, fall_multiple, fall_span, ..settings() }, least_slots)
+        // The kind with small jobs charges crossings as well: its jobs stay in their zones.
+        let cross_price = if least_slots < 1.0 { 0.03 } else { 0.0 };
+        (Settings { cold_share, ramp, fall_multiple, fall_span, cross_price, ..settings() }, least_slots)
     };
     [
         kind(0.32, 9_000 * MS, 3.0, 2_000 * MS, 1.0),
@@ -31,7 +33,7 @@
 fn plan(kind: &(Settings, f64), dispatchers: u32) -> Plan {
     let settings = Settings { dispatchers, ..kind.0.clone() };
     let (workers, slots, run, load, uneven) = (20, 4.0, 100 * MS, 0.9, 4.0);
-    Plan { settings, workers, slots, run, load, uneven, least_slots: kind.1, seed: 7 }
+    Plan { settings, workers, slots, run, load, uneven, least_slots: kind.1, processes: 1, seed: 7 }
 }
 
 /// Plays a script until all are warm again. No cold worker gets more than it may; tells what they got of what
@@ -120,6 +122,26 @@
     }
 }
 
+/// Each scheduler has two processes, as while one replaces the other.
+#[test]
+fn the_sum_holds_while_all_hand_over() {
+    for kind in &kinds() {
+        for dispatchers in SIZES {
+            let two = Plan { processes: 2, ..plan(kind, dispatchers) };
+            let got = play("hand-over", two, |fleet, at| {
+                if at == 0 {
+                    (0..12).for_each(|w| fleet.replace(w));
+                    fleet.tell_all(ListKind::Changes);
+                }
+            });
+            assert!(
+                got > LEAST_USED,
+                "{dispatchers} dispatchers: {got:.2} of what cold workers surely could"
+            );
+        }
+    }
+}
+
 /// Guards against credit that all save up for a worker while it may not be used: it drains as soon as it has
 /// started, and comes back, with its start as it was, to a burst and as the only one.
 #[test]
--- a/crates/server/src/net/handover.rs
+++ b/crates/server/src/net/handover.rs
@@ -213,7 +213,7 @@
 }
 
 impl Others {
-    /// Processes that share the descriptors, the memory and the cold budgets, this one included.
+    /// Processes that share the descriptors and the memory, this one included.
     pub(super) fn sharers(&self) -> usize {
         1 + usize::from(self.before.get()) + usize::from(self.after.get())
     }
