--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -68,13 +68,13 @@
 const COLD_SAFETY: f64 = 0.8;
 /// Probes out at once.
 const MOST_PROBES: u32 = 16;
-/// Where more schedulers than a few share the director, each leaves it this long for every one of them, up to
-/// a share of the time within which it must ask; a sixth without a list, as nobody is served until it comes.
+/// Where more schedulers than a few share the director, each leaves it this long for every one beyond: what a
+/// start without a list needs. Such a start is ready within 10 s, the turn and the answer included.
 const FEW: u32 = 4;
-const ASK_SPACING: Micros = 150_000;
-const ASK_SHARE: f64 = 0.7;
+const ASK_SPACING: Micros = 25_000;
+const LONGEST_START: Micros = 7_000_000;
 /// The least gap between two calls for the list, in microseconds, whatever the settings say.
-const LEAST_ASK_GAP: Micros = 20_000;
+const LEAST_ASK_GAP: f64 = 20_000.0;
 
 impl Dispatcher {
     /// A dispatcher that knows nothing yet; `seed` is its only source of randomness.
@@ -644,10 +644,11 @@
 
     fn on_list(&mut self, kind: ListKind, rows: &[Row]) {
         if kind == ListKind::Refused {
-            // Doubling, jittered gaps, well within the time after which it is deemed told.
-            let gap = (self.settings.ask_every >> 6 << self.ask_failures.min(4)).max(LEAST_ASK_GAP) as f64;
-            let gap = gap.max(2.0 / 3.0 * self.ask_spread());
-            self.ask_at = self.now + (gap * (0.5 + self.rng.f64())) as Micros;
+            // Doubling, jittered gaps, within the quarter that `ask_quarter` leaves for them while there is a
+            // list to serve from. Where it is pushed, what comes counts as told at once: nothing is spread.
+            let first = (self.settings.ask_quarter() >> 4 << self.ask_failures.min(4)) as f64;
+            let gap = if self.settings.list_on_request { self.ask_spread().max(first) } else { 0.0 };
+            self.ask_at = self.now + (gap.max(LEAST_ASK_GAP) * (0.25 + 0.75 * self.rng.f64())) as Micros;
             self.ask_failures = self.ask_failures.saturating_add(1);
             return;
         }
@@ -671,9 +672,8 @@
     /// one that comes while too many wait fails, but takes its turn all the same. Watches cost it nothing.
     pub(crate) fn ask_spread(&self) -> f64 {
         let s = &self.settings;
-        let spacing = if self.live.is_empty() { ASK_SPACING / 6 } else { ASK_SPACING };
-        let all = if s.dispatchers > FEW { u64::from(s.dispatchers) * spacing } else { 0 };
-        (all as f64).min(ASK_SHARE * s.ask_every as f64)
+        let most = if self.live.is_empty() { LONGEST_START } else { s.ask_quarter() };
+        (u64::from(s.dispatchers.saturating_sub(FEW)) * ASK_SPACING).min(most) as f64
     }
 
     /// Taken out or back by hand. What was bad of a worker before is void once it is used again; what
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -5,7 +5,7 @@
 
 mod settings;
 
-pub use settings::{Class, Effect, Reports, Scope, Settings, SettingsError};
+pub use settings::{Class, Effect, Reports, Scope, Settings, SettingsError, TOLD_ANYWAY};
 
 /// A point in time or a span, in microseconds.
 pub type Micros = u64;
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -60,6 +60,10 @@
     None,
 }
 
+/// Whatever the director has to tell counts as told so long after it had it and could be reached, arrived or not:
+/// the protocol's figure, which goes before all others.
+pub const TOLD_ANYWAY: Micros = 6_000_000;
+
 /// Everything a dispatcher is told at start. The default is one dispatcher with a pushed list,
 /// no reports and no classes yet.
 #[derive(Clone, Debug, PartialEq)]
@@ -115,6 +119,22 @@
     pub fall_span: Micros,
 }
 
+impl Settings {
+    /// A quarter of the time after which a change counts as told to one whose call has failed: `TOLD_ANYWAY`, or
+    /// four times `ask_every` where that is shorter. The one sum that the calls keep within that time: a quarter for
+    /// the pause after the failure at the most; two for a call that is silent, or one that fails and the pause after
+    /// it, dial and turn included; one for the dial, the turn and the answer of the next. A watch fallen silent is
+    /// noticed within two quarters of `TOLD_ANYWAY`, and two are left: for two calls, or a failed one, a pause and a
+    /// call. No grace for drains is in it, and no more than a quarter for the turns of all schedulers.
+    pub fn ask_quarter(&self) -> Micros {
+        if self.ask_every == 0 {
+            TOLD_ANYWAY / 4
+        } else {
+            self.ask_every.min(TOLD_ANYWAY / 4)
+        }
+    }
+}
+
 impl Default for Settings {
     fn default() -> Self {
         Settings {
--- a/crates/core/tests/mechanism/list.rs
+++ b/crates/core/tests/mechanism/list.rs
@@ -54,6 +54,31 @@
     assert!(sent(&actions, id).is_some(), "the old list still serves");
 }
 
+/// Guards against pauses that grow with the settings' time for asking, or the fleet, beyond the quarter that the
+/// sum of `ask_quarter` leaves for each: what changes meanwhile counts as told. And, where the list is pushed,
+/// against any: what the director has to tell counts as told at once.
+#[test]
+fn a_pause_after_a_failure_is_a_quarter_of_what_is_left_at_the_most() {
+    let fleets = [(10_000, 300), (1_200_000, 1), (60_000, 300), (2_000, 3), (500, 1), (500, 300), (0, 300)];
+    for (ask_every, dispatchers) in fleets {
+        for list_on_request in [ask_every > 0, false] {
+            let ask_every = ask_every * MS;
+            let mut bench = Bench::new(Settings { dispatchers, ask_every, list_on_request, ..settings() }, 3);
+            let most = if list_on_request { ask_every.min(1_500 * MS) } else { 20 * MS };
+            // The first call of a start with a list, and then one after each failure.
+            for n in 0..20 {
+                if n > 0 || list_on_request && !bench.actions.contains(&Action::Subscribe) {
+                    let asks = |_: &u64| bench.wait(2 * MS).contains(&Action::Subscribe);
+                    let after = (1..10_000).find(asks).map(|n| 2 * n);
+                    let in_time = after.is_some_and(|ms| ms <= most / MS + 4);
+                    assert!(in_time, "ask-every {ask_every}, {dispatchers}: call {n} after {after:?} ms");
+                }
+                bench.event(Event::List { kind: ListKind::Refused, rows: &[] });
+            }
+        }
+    }
+}
+
 /// Guards against a table of workers, and of their names, that grows for as long as machines are replaced.
 #[test]
 fn workers_long_gone_are_forgotten_and_what_is_out_there_is_not() {
