--- /dev/null
+++ b/crates/server/src/net/director/watch.rs
@@ -0,0 +1,162 @@
+//! The watch on the list: when the director is called, for how long it may hold, when a call counts as silent.
+//!
+//! It owns the timing alone, so that it can be tried in virtual time. It must never open a socket, nor let a call
+//! wait without bound, nor spend more than the sum that stands at `Settings::ask_quarter`.
+
+use std::future::{pending, Future};
+use std::pin::pin;
+use std::time::Duration;
+
+use tokio::time::{sleep, sleep_until, timeout, Instant};
+
+use crate::list::Answer;
+use oakshed_core::facade::{Micros, Settings, TOLD_ANYWAY};
+
+/// A watch fallen silent is noticed within half of the time after which what it misses counts as told: its hold,
+/// and what its answer may take beyond that. The other half is that of two calls beside it. The hold is never
+/// shorter than a quarter, however slow the director is: it would be called the more often for it.
+const NOTICED: Duration = Duration::from_micros(TOLD_ANYWAY / 2);
+const LONGEST_QUIET: Duration = Duration::from_micros(TOLD_ANYWAY / 8);
+const LONGEST_HOLD: Duration = NOTICED.saturating_sub(LONGEST_QUIET);
+const SHORTEST_HOLD: Duration = Duration::from_micros(TOLD_ANYWAY / 4);
+/// What the answer of a watch that goes on may take beyond its hold, and twice what such answers took lately, as
+/// it may have to wait for its turn.
+const QUIET: Duration = Duration::from_millis(300);
+/// The pause after an answer that came at once and holds no news: half the time within which the next call of a
+/// watch must come. A new watch holds no longer at first, so that one that is not answered is soon noticed.
+const PAUSE: Duration = Duration::from_millis(100);
+
+/// What the timing needs of the director, and of the scheduler.
+pub(super) trait Director {
+    /// A connection, kept from one call to the next.
+    type Link;
+    /// One call, on the connection or on a new one; without a number it is for the whole list.
+    async fn call(
+        &self,
+        link: Option<Self::Link>,
+        from: Option<u64>,
+        hold: Duration,
+    ) -> Result<(Answer, Self::Link), String>;
+    /// Returns when the facade wants a call.
+    async fn wanted(&self);
+    /// Over what span the calls of all schedulers are spread now.
+    fn spread(&self) -> Micros;
+    /// Whether there is a list to serve from, which grows old while a call waits.
+    fn holds_a_list(&self) -> bool;
+    /// Takes in an answer.
+    fn told(&self, answer: &Answer);
+    /// A call is overdue, and another one goes out beside it.
+    fn silent(&self);
+    /// The watch has failed; the facade says when to call again.
+    fn failed(&self, why: &str);
+}
+
+/// How calls go at one address.
+pub(super) struct Watch<'a, D: Director> {
+    director: &'a D,
+    settings: &'a Settings,
+    rng: fastrand::Rng,
+    link: Option<D::Link>,
+    /// How much later than their holds answers without news came lately: what a turn at the director takes.
+    turn: Duration,
+}
+
+impl<'a, D: Director> Watch<'a, D> {
+    pub(super) fn new(director: &'a D, settings: &'a Settings, seed: u64) -> Self {
+        let rng = fastrand::Rng::with_seed(seed);
+        Watch { director, settings, rng, link: None, turn: Duration::ZERO }
+    }
+
+    /// Watches the list whenever the facade asks for it, and now where that is wanted.
+    pub(super) async fn run(mut self, generation: &mut Option<u64>, mut now: bool) {
+        loop {
+            let told = std::mem::take(&mut now);
+            if !told {
+                self.director.wanted().await;
+            }
+            let first = generation.is_none() && !told;
+            // Half of the time for which a scheduler without a watch is held to the list that it has.
+            let half = Duration::from_micros(self.settings.ask_every.min(TOLD_ANYWAY) / 2);
+            let pause = Duration::from_micros(self.director.spread()).min(half);
+            let mut fresh = true;
+            let failure = loop {
+                let called = Instant::now();
+                let answer = match self.ask(*generation, fresh).await {
+                    Ok(answer) => answer,
+                    Err(failure) => break failure,
+                };
+                fresh = false;
+                let whole = generation.replace(answer.generation).is_none();
+                self.director.told(&answer);
+                // Guards against a director that does not hold: calls would chase each other.
+                if answer.instances.is_empty() && called.elapsed() < PAUSE {
+                    sleep(PAUSE).await;
+                }
+                // Guards against watches that keep those waiting who have no list yet.
+                if whole && first {
+                    sleep_until(called + pause).await;
+                }
+            };
+            self.director.failed(&failure);
+        }
+    }
+
+    /// One call of a watch. Where its answer is overdue, a second one goes out beside it, on a connection of its
+    /// own, and a third beside both; the first answer counts. Guards against taking silence for a refusal: after
+    /// one, a director in trouble is spared. And against giving up the turn of a call that only waits.
+    async fn ask(&mut self, from: Option<u64>, fresh: bool) -> Result<Answer, String> {
+        let quiet = (QUIET + 2 * self.turn).min(LONGEST_QUIET);
+        let quarter = Duration::from_micros(self.settings.ask_quarter()).max(QUIET);
+        let (hold, overdue) = match from {
+            // Who has no list has nothing to lose by waiting.
+            None if !self.director.holds_a_list() => (Duration::ZERO, Duration::from_micros(TOLD_ANYWAY)),
+            None => (Duration::ZERO, 2 * quarter),
+            Some(_) if fresh => (PAUSE, 2 * quarter),
+            // By chance, as all schedulers begin anew whenever there is news: else all would find a silent
+            // director, and call it, at one moment.
+            Some(_) => {
+                let hold = SHORTEST_HOLD + (LONGEST_HOLD - SHORTEST_HOLD).mul_f64(self.rng.f64());
+                (hold, hold + quiet)
+            }
+        };
+        let (director, again) = (self.director, hold.min(PAUSE));
+        let called = Instant::now();
+        let first = director.call(self.link.take(), from, hold);
+        let second = beside(director, first, overdue, director.call(None, from, again));
+        let third = beside(director, second, overdue + quarter, director.call(None, from, again));
+        // Those that only wait keep their turns: given up and made anew, calls would bring a slow director to a stand.
+        let asked = timeout(overdue + quarter + NOTICED, third).await;
+        let (answer, link) = asked.unwrap_or_else(|_| Err("no answer in time".into()))?;
+        self.link = Some(link);
+        if called.elapsed() < overdue && (from.is_none() || answer.instances.is_empty()) {
+            let turn = called.elapsed().saturating_sub(hold);
+            self.turn = if self.turn.is_zero() { turn } else { (self.turn + turn) / 2 };
+        }
+        Ok(answer)
+    }
+}
+
+/// The first answer of two calls, of which the newer one goes out once the older is overdue. That one's failure
+/// counts no more then: the newer one decides.
+async fn beside<D: Director, T>(
+    director: &D,
+    older: impl Future<Output = Result<T, String>>,
+    overdue: Duration,
+    newer: impl Future<Output = Result<T, String>>,
+) -> Result<T, String> {
+    let mut older = pin!(older);
+    if let Ok(answer) = timeout(overdue, older.as_mut()).await {
+        return answer;
+    }
+    director.silent();
+    let older = async {
+        match older.await {
+            Ok(answer) => answer,
+            Err(_) => pending().await,
+        }
+    };
+    tokio::select! {
+        answer = older => Ok(answer),
+        answer = newer => answer,
+    }
+}
--- a/crates/server/tests/sockets/director.rs
+++ b/crates/server/tests/sockets/director.rs
@@ -63,14 +63,14 @@
     assert!(!program.log().contains("malformed"), "{}", program.log());
 }
 
-/// Silent twice in a row, it is a director in trouble: it is left alone for a moment, and then asked again.
+/// A watch and two calls beside it unanswered, it is a director in trouble: it is left alone for a moment, and then
+/// asked again.
 #[test]
 fn a_director_that_stays_silent_is_given_up_and_asked_again() {
     let backend = good();
     let director = Director::new(&[("s-1", backend.address)]);
-    let edits = [(r#""ask-every-ms":10000"#, r#""ask-every-ms":2000"#)]; // a hold of 1 s at the most
-    let program = Program::start_with(&director, 1024, &edits);
-    director.spoilt.lock().unwrap().extend(["", ""]); // the calls are read, and never answered
+    let program = Program::start(&director);
+    director.spoilt.lock().unwrap().extend(["", "", ""]); // the calls are read, and never answered
     until("the calls' end", || program.log().contains("no answer in time"));
     director.set("s-1", "draining");
     until("the news after", || program.log().contains("0 backends ready"));
@@ -82,10 +82,7 @@
 fn a_watch_that_fell_silent_is_opened_anew_before_what_it_missed_counts_as_told() {
     let backend = good();
     let director = Director::new(&[("s-1", backend.address)]);
-    let edits = [
-        (r#""balancers":1"#, r#""balancers":100"#),
-        (r#""ask-every-ms":10000"#, r#""ask-every-ms":6000"#), // a hold of 3 s at the most
-    ];
+    let edits = [(r#""balancers":1"#, r#""balancers":100"#)];
     let mut program = Program::start_with(&director, 1024, &edits);
     until("a watch that goes on", || director.peer.count() >= 2);
     director.spoilt.lock().unwrap().push("");
--- a/crates/server/tests/sockets/main.rs
+++ b/crates/server/tests/sockets/main.rs
@@ -9,6 +9,7 @@
 mod stages;
 mod start;
 mod stop;
+mod told;
 
 use std::io::BufReader;
 use std::process::Command;
--- /dev/null
+++ b/crates/server/tests/sockets/told.rs
@@ -0,0 +1,130 @@
+//! What the director has to tell is heard before it counts as told, whatever becomes of the calls for it.
+//!
+//! It owns the crossings of failed, silent and moved calls with a drain. It must never wait for a moment.
+
+use std::io::Write;
+use std::net::TcpListener;
+use std::sync::mpsc::channel;
+use std::sync::Mutex;
+use std::time::{Duration, Instant};
+
+use oakshed_standin::*;
+
+use super::serve;
+
+/// Whatever the director has to tell counts as told so long after it had it.
+const TOLD_ANYWAY: Duration = Duration::from_secs(6);
+/// The longest time for asking that settings may name in earnest: pauses must not grow with it.
+const SELDOM: (&str, &str) = (r#""ask-every-ms":10000"#, r#""ask-every-ms":1200000"#);
+const BUSY: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+const HALF: &str = "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"generation\":2,";
+
+/// A drain right after a watch and the calls after it went wrong like this.
+fn drained_after(wrong: &[&'static str]) {
+    let backend = good();
+    let director = Director::new(&[("s-1", backend.address)]);
+    let program = Program::start_with(&director, 1024, &[SELDOM]);
+    until("a watch that goes on", || director.peer.count() >= 2);
+    director.spoilt.lock().unwrap().extend(wrong);
+    until("the first of it", || director.spoilt.lock().unwrap().len() < wrong.len());
+    director.set("s-1", "draining");
+    let drained = Instant::now();
+    until("the news", || program.log().contains("0 backends ready"));
+    assert!(drained.elapsed() < TOLD_ANYWAY, "{wrong:?}: heard after {:?}", drained.elapsed());
+    assert!(director.spoilt.lock().unwrap().is_empty(), "{wrong:?}: not all of it was met");
+}
+
+/// Guards against taking a reset watch for a refusal by a director that has too many callers: the pause after it
+/// grew with the time for asking, beyond that after which a change counts as told.
+#[test]
+fn a_drain_right_after_a_watch_was_reset_is_heard_before_it_counts_as_told() {
+    std::thread::scope(|s| {
+        for wrong in [&[CLOSED][..], &[CLOSED, BUSY], &[BUSY, CLOSED], &[CLOSED, ""]] {
+            s.spawn(|| drained_after(wrong));
+        }
+    });
+}
+
+/// Guards against a second call beside a silent watch that takes the time left for a third, or whose failure does.
+#[test]
+fn a_drain_in_a_silence_whose_second_call_fails_too_is_heard_before_it_counts_as_told() {
+    std::thread::scope(|s| {
+        for wrong in [&["", BUSY][..], &["", CLOSED], &["", ""], &["", HALF], &[HALF, BUSY]] {
+            s.spawn(|| drained_after(wrong));
+        }
+    });
+}
+
+/// Guards against waiting for the first list of a new director as one does who has no list to lose by it.
+#[test]
+fn moved_to_a_director_that_is_silent_at_first_it_hears_a_drain_before_it_counts_as_told() {
+    let backend = good();
+    let (old, new) = (Director::new(&[("s-1", backend.address)]), Director::new(&[("s-1", backend.address)]));
+    let program = Program::start(&old);
+    until("a watch", || old.peer.count() >= 1);
+    new.set("s-1", "draining");
+    new.spoilt.lock().unwrap().push("");
+    let moved = Instant::now();
+    program.reload(&old.peer.address.to_string(), &new.peer.address.to_string());
+    until("the news", || program.log().contains("0 backends ready"));
+    assert!(moved.elapsed() < TOLD_ANYWAY, "heard after {:?}", moved.elapsed());
+    assert!(new.spoilt.lock().unwrap().is_empty(), "nothing was silent");
+}
+
+const READY: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
+const PUSHED: (&str, &str) = (r#""membership-mode":"on_request""#, r#""membership-mode":"pushed""#);
+
+/// Where the list is pushed, what the agent has counts as told from the first moment. Guards against sending by the
+/// list of a start while the agent's answer, which is held back here, is under way.
+#[test]
+fn a_start_with_an_old_list_where_it_is_pushed_waits_for_the_agent() {
+    let (before, after) = (good(), good());
+    let known = Director::new(&[("s-1", before.address)]);
+    let present = Director::new(&[("s-1", before.address), ("s-2", after.address)]);
+    present.set("s-1", "draining");
+    let (open, gate) = channel::<()>();
+    let (gate, list) = (Mutex::new(gate), present.known());
+    let agent = Peer::new(move |_, stream| {
+        _ = gate.lock().unwrap().recv();
+        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
+        stream.write_all((head + &list).as_bytes()).is_ok()
+    });
+    let path = config(agent.address, &known.known(), 1024);
+    edit(&path, PUSHED);
+    let (mut child, listen, _log, _) = serve(&path, &[]);
+    until("the call", || agent.count() >= 1);
+    let ready = ask(listen, READY).map(|m| m.status());
+    assert_eq!((ready, before.count()), (Some(503), 0), "ready by what was known at the start");
+    open.send(()).expect("released");
+    until("ready", || ask(listen, READY).is_some_and(|m| m.status() == 200));
+    assert_eq!(ask(listen, &req("transfer", "id-1")).map(|m| m.status()), Some(200));
+    assert_eq!((before.count(), after.count()), (0, 1));
+    _ = child.kill();
+    _ = child.wait();
+    _ = std::fs::remove_file(path);
+}
+
+/// Guards against a start that never serves where the agent is down, or silent: what was known is the best then.
+#[test]
+fn a_start_with_an_old_list_where_the_agent_does_not_answer_serves_by_it() {
+    let backend = good();
+    let director = Director::new(&[("s-1", backend.address)]);
+    let closed = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
+    let silent = Peer::new(|_, _| true);
+    for agent in [closed, silent.address] {
+        let path = config(agent, &director.known(), 1024);
+        edit(&path, PUSHED);
+        let (mut child, listen, _log, _) = serve(&path, &[]);
+        until("ready", || ask(listen, READY).is_some_and(|m| m.status() == 200));
+        assert_eq!(ask(listen, &req("transfer", "id-1")).map(|m| m.status()), Some(200));
+        _ = child.kill();
+        _ = child.wait();
+        _ = std::fs::remove_file(path);
+    }
+}
+
+fn edit(path: &std::path::Path, (from, to): (&str, &str)) {
+    let text = std::fs::read_to_string(path).expect("its configuration");
+    assert!(text.contains(from), "{from}");
+    std::fs::write(path, text.replace(from, to)).expect("written");
+}
--- a/crates/standin/src/director.rs
+++ b/crates/standin/src/director.rs
@@ -9,6 +9,9 @@
 
 use crate::peer::Peer;
 
+/// Among what is spoilt: the connection ends without an answer.
+pub const CLOSED: &str = "closed";
+
 /// What the director has to tell: the list by name, and its number.
 type Told = (u64, Vec<(String, SocketAddr, &'static str, u64)>);
 
@@ -41,7 +44,7 @@
             }
             if spoilt() {
                 let raw = spoil.lock().unwrap().remove(0);
-                return stream.write_all(raw.as_bytes()).is_ok();
+                return raw != CLOSED && stream.write_all(raw.as_bytes()).is_ok();
             }
             let fresh = from == Some(told.0);
             let body = list(&told, !fresh, fresh);
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -22,7 +22,7 @@
 mod worker;
 
 pub use clients::*;
-pub use director::Director;
+pub use director::{Director, CLOSED};
 pub use ledger::{Ledger, Line, Word};
 pub use message::Message;
 pub use peer::*;
--- a/crates/trials/src/plays/director.rs
+++ b/crates/trials/src/plays/director.rs
@@ -10,8 +10,8 @@
 use crate::relays::Faults;
 use crate::world::{Setup, World, DIRECTOR};
 
-/// What a watch that fell silent has missed counts as told after 6 s, and a drain is then given 0.3 s.
-const TOLD_ANYWAY: Duration = Duration::from_millis(6_300);
+/// What a watch that fell silent has missed counts as told after 6 s. The grace for drains is not relied on.
+const TOLD_ANYWAY: Duration = Duration::from_secs(6);
 /// So long after the watches fell silent the calls of all are counted.
 const COUNTED: u64 = 8_000_000;
 
