--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -524,12 +524,13 @@
     // ---- Attempts and time-outs ----
 
     fn send(&mut self, id: RequestId, w: usize) {
+        let whole_by = self.requests.get(&id).and_then(|r| self.whole_by(r));
         let Some(class) = self.open_attempt(id, w) else { return };
         let r = &self.requests[&id];
         let cost = r.slots * r.size * self.expected_run(class, w);
         let worker = &mut self.workers[w];
         (worker.budget, worker.dither) = (worker.budget - cost, self.rng.f64());
-        self.actions.extend(worker.id.map(|worker| Action::Send { id, worker, abandon_at: None }));
+        self.actions.extend(worker.id.map(|worker| Action::Send { id, worker, whole_by }));
         if worker.trials > 0 {
             self.shun(w, PATIENCE * self.mean_run);
         }
@@ -607,15 +608,11 @@
     }
 
     fn may_resend(&self, r: &Request) -> bool {
-        let c = &self.settings.classes[r.class];
-        let first = r.attempts.iter().find(|a| a.may_have_run);
         let room = r.attempts.len() < self.settings.max_attempts as usize && self.now < r.deadline;
-        room && first.is_none_or(|first| match c.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => false,
-            // Held until leave_by at the latest, so the window must reach past that.
-            Effect::Keyed => r.leave_by + self.settings.tick < first.sent + c.window,
-        })
+        let ran = r.attempts.iter().any(|a| a.may_have_run);
+        // Held until leave_by at the latest, so the window must reach past that.
+        let in_window = self.whole_by(r).is_none_or(|by| r.leave_by < by);
+        room && in_window && !(ran && self.settings.classes[r.class].effect == Effect::Unsafe)
     }
 
     // ---- The cold budget ----
--- a/crates/core/src/facade/mod.rs
+++ b/crates/core/src/facade/mod.rs
@@ -292,15 +292,16 @@
 
     fn act(&mut self, now: Micros, action: Action) {
         match action {
-            Action::Send { id, worker, abandon_at } => {
+            Action::Send { id, worker, whole_by } => {
                 let backend = self.backends.get(&worker).cloned();
                 let (Some(backend), Some(open)) = (backend, self.reqs.get_mut(&(id.0 as u64))) else {
                     return self.must(false, "a fetch for an unknown req or backend");
                 };
                 let over = open.over;
-                let (fetch, until) = (open.fetches.len(), abandon_at.unwrap_or(open.deadline));
+                let (fetch, until) = (open.fetches.len(), open.deadline);
+                let whole_by = whole_by.map_or(until, |by| by.min(until));
                 open.fetches.push(Some(worker));
-                open.push(Step::Fetch { fetch, backend, until: until.min(open.deadline) });
+                open.push(Step::Fetch { fetch, backend, until, whole_by });
                 self.tally.fetches += 1;
                 self.must(!over, "a fetch after the final answer");
             }
--- a/crates/core/src/facade/types.rs
+++ b/crates/core/src/facade/types.rs
@@ -40,6 +40,8 @@
         backend: Rc<str>,
         /// When it has timed out.
         until: Micros,
+        /// From then on nothing more of it may be written: what is not whole by then never ran.
+        whole_by: Micros,
     },
     /// Final: the result of this fetch is the answer.
     Serve {
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -219,8 +219,8 @@
         id: RequestId,
         /// Where to.
         worker: WorkerId,
-        /// When to give the attempt up; `None`: when the client does.
-        abandon_at: Option<Micros>,
+        /// When its last byte must have been written, or none of the rest is; `None`: at any time.
+        whole_by: Option<Micros>,
     },
     /// Final answer: not run, try again later.
     Refuse {
--- a/crates/core/src/state/list.rs
+++ b/crates/core/src/state/list.rs
@@ -21,6 +21,14 @@
         (c.effect == Effect::Keyed).then_some((c.scope, first.worker))
     }
 
+    /// Until when a repeat of a keyed request that may have run must have been written whole: its group knows
+    /// the first one for the window from its sending, for which the decision on it stands, as the earliest.
+    pub(crate) fn whole_by(&self, r: &Request) -> Option<Micros> {
+        let c = &self.settings.classes[r.class];
+        let first = r.attempts.iter().find(|a| a.may_have_run).filter(|_| c.effect == Effect::Keyed)?;
+        Some(first.sent.saturating_add(c.window).saturating_sub(self.settings.tick))
+    }
+
     /// Whether two workers drop repeats of the same keyed request. Two zones that the settings don't
     /// know have the same number, and may be two.
     pub(crate) fn same_group(&self, scope: Scope, a: usize, b: usize) -> bool {
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -175,9 +175,9 @@
             .iter()
             .any(|f| !matches!(f.ended, Some(Ending::Shed | Ending::DialFailed | Ending::Unused)));
         let end = match step {
-            Step::Fetch { fetch, backend, until } => {
+            Step::Fetch { fetch, backend, until, whole_by } => {
                 assert_eq!(fetch, r.fetches.len(), "fetches are numbered in order");
-                assert!(fetch < 4 && until >= self.now);
+                assert!(fetch < 4 && until >= self.now && whole_by <= until);
                 let number = backend[2..].parse::<usize>().expect("a number");
                 assert!(self.ready[number], "a fetch to who drains");
                 assert!(!self.banned[number], "a fetch to who was taken out");
--- a/crates/core/tests/rules.rs
+++ b/crates/core/tests/rules.rs
@@ -90,7 +90,7 @@
     fn act(&mut self, action: Action) {
         let now = self.now;
         match action {
-            Action::Send { id, worker, .. } => {
+            Action::Send { id, worker, whole_by } => {
                 assert!(!self.stopped.contains_key(&(worker.0 as u32)), "sent to a draining worker");
                 let r = self.requests.get_mut(&id.0).expect("a known request");
                 assert!(r.answers == 0 && !r.lapsed, "sent after its end");
@@ -103,9 +103,10 @@
                     (Effect::Unsafe, Some(_)) => panic!("an unsafe request was sent twice"),
                     (Effect::Keyed, Some(first)) => {
                         assert_eq!(first.worker / 3, worker.0 as u32 / 3, "left its group");
-                        assert!(now <= first.at + class.window, "after the window");
+                        let by = whole_by.expect("a repeat has its time");
+                        assert!(now < by && by <= first.at + class.window, "after the window");
                     }
-                    _ => {}
+                    _ => assert_eq!(whole_by, None, "only a keyed request's repeats are bounded"),
                 }
                 r.sends.push(Sent {
                     worker: worker.0 as u32,
--- a/crates/jobs/src/machine/attempts.rs
+++ b/crates/jobs/src/machine/attempts.rs
@@ -103,7 +103,14 @@
     }
 
     /// An attempt is decided on: its lease is written, and it leaves once that is durable.
-    pub(super) fn lease(&mut self, id: JobId, fetch: usize, worker: Rc<str>, until: Micros) {
+    pub(super) fn lease(
+        &mut self,
+        id: JobId,
+        fetch: usize,
+        worker: Rc<str>,
+        until: Micros,
+        whole_by: Micros,
+    ) {
         let listed = self.starts.get(&worker).copied().unwrap_or(0);
         let start_ms = if self.fresh { listed } else { HEARSAY };
         let (now, hold) = (self.now, self.limits.lease);
@@ -112,6 +119,7 @@
         let lease = Lease { token, worker: worker.to_string(), start_ms, sent: now };
         let mut a = Attempt::new(lease.clone(), Stand::Out);
         (a.fetch, a.worker, a.alive_until) = (Some(fetch), worker, until.min(now + hold));
+        a.whole_by = whole_by;
         job.attempts.push(a);
         let lease = self.logical_lease(&lease);
         self.write(Record::Leased { id, lease });
@@ -126,12 +134,12 @@
         if a.stand != Stand::Out {
             return;
         }
-        if now >= until {
+        if now >= until.min(a.whole_by) {
             return self.never_ran(id, token, Ending::Unused, None, facade);
         }
         (a.let_out, a.alive_until) = (true, now + hold);
-        let worker = a.worker.clone();
-        self.ready.push_back(Effect::Fetch { id, token, worker, until, order });
+        let (worker, whole_by) = (a.worker.clone(), a.whole_by);
+        self.ready.push_back(Effect::Fetch { id, token, worker, until, whole_by, order });
         self.plan(id);
     }
 
--- a/crates/jobs/src/machine/job.rs
+++ b/crates/jobs/src/machine/job.rs
@@ -37,6 +37,8 @@
     pub(super) stand: Stand,
     /// Its bytes may leave: the lease is durable.
     pub(super) let_out: bool,
+    /// When it must have been written whole, or it never ran.
+    pub(super) whole_by: Micros,
     pub(super) alive_until: Micros,
     /// When to ask next, and after what gap again.
     pub(super) ask_at: Micros,
@@ -54,6 +56,7 @@
             fetch,
             stand,
             let_out: false,
+            whole_by: Micros::MAX,
             alive_until: 0,
             ask_at: 0,
             gap: FENCE_AGAIN,
--- a/crates/jobs/src/machine/mod.rs
+++ b/crates/jobs/src/machine/mod.rs
@@ -177,7 +177,9 @@
             let waker = Waker::from(Arc::new(JobWaker(id, self.woken.clone())));
             let Poll::Ready(step) = facade.pick(req, &waker) else { return };
             match step {
-                Step::Fetch { fetch, backend, until } => self.lease(id, fetch, backend, until),
+                Step::Fetch { fetch, backend, until, whole_by } => {
+                    self.lease(id, fetch, backend, until, whole_by);
+                }
                 Step::Serve { fetch } => {
                     let job = self.jobs.get_mut(&id);
                     let a = job.and_then(|j| j.attempts.iter_mut().find(|a| a.fetch == Some(fetch)));
--- a/crates/jobs/src/machine/types.rs
+++ b/crates/jobs/src/machine/types.rs
@@ -62,6 +62,8 @@
         worker: Rc<str>,
         /// When it has timed out.
         until: Micros,
+        /// When it must have been written whole.
+        whole_by: Micros,
         /// What to send.
         order: Rc<Order>,
     },
--- a/crates/jobs/tests/world/scheduler.rs
+++ b/crates/jobs/tests/world/scheduler.rs
@@ -241,7 +241,7 @@
                     self.handle(Event::Kill { boot: false });
                 }
             }
-            Effect::Fetch { id, token, worker, until, order } => {
+            Effect::Fetch { id, token, worker, until, order, .. } => {
                 let class = usize::from(order.class != "transfer");
                 let Some(w) = self.at(&worker) else {
                     let conn = self.conns.len() as u64;
--- a/crates/server/src/net/backends/fetch.rs
+++ b/crates/server/src/net/backends/fetch.rs
@@ -3,8 +3,7 @@
 //! It owns the proof of whether a request was written in full. It must never send a request a second time on
 //! its own, send to a backend that is not listed as ready, or call a fetch unsent where that is in doubt.
 
-use std::cell::RefCell;
-use std::net::SocketAddr;
+use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -21,7 +20,7 @@
 use super::super::Net;
 use super::link::{Link, Socket};
 use super::stream::{load_in, result_bytes, Line, LONGEST_LINE};
-use super::{dial_limit, keep, LEAST_KEPT};
+use super::{dial_limit, keep, open_address, LEAST_KEPT};
 use oakshed_core::facade::{Ending, Micros, Report};
 
 /// How long the rest of an answer may take until its connection is given up.
@@ -41,6 +40,7 @@
 /// A fetch on its way, as its req's handler sees it.
 pub(crate) struct Fetch {
     task: AbortHandle,
+    gone: Rc<Cell<bool>>,
     result: Option<oneshot::Receiver<Bytes>>,
 }
 
@@ -50,8 +50,15 @@
         self.result.take()?.await.ok()
     }
 
+    /// Whoever it is for has gone. Where attempts may not be cancelled, one that is out goes on; one that has
+    /// not begun, as it is still being dialled, must not begin any more.
+    pub(crate) fn leave(&self) {
+        self.gone.set(true);
+    }
+
     /// Gives the fetch up: its connection is closed.
     pub(crate) fn stop(&self) {
+        self.leave();
         self.task.abort();
     }
 }
@@ -82,16 +89,30 @@
     order: &Rc<Order>,
     whose: W,
     to: Rc<str>,
-    until: Micros,
+    (until, whole_by): (Micros, Micros),
 ) -> Fetch {
     let (tx, rx) = oneshot::channel();
-    let (net, order) = (net.clone(), order.clone());
+    let (net, order, gone) = (net.clone(), order.clone(), Rc::new(Cell::new(false)));
+    let left = gone.clone();
     let task = tokio::task::spawn_local(async move {
         let sent = Sent::default();
-        let run = run(&net, &order, whose, &to, &sent);
-        let until = net.clock.instant(until.min(order.deadline));
-        let ended = tokio::time::timeout_at(until, run).await;
-        let Ended { ending, result, load, rest } = ended.unwrap_or_else(|_| Ending::Expired.into());
+        let until = until.min(order.deadline);
+        let by = whole_by.min(until);
+        let limit = async {
+            tokio::time::sleep_until(net.clock.instant(by)).await;
+            // Guards against a client that waits for an attempt that cannot run any more.
+            if by < until && !sent.in_full() {
+                return Ending::Unused;
+            }
+            tokio::time::sleep_until(net.clock.instant(until)).await;
+            Ending::Expired
+        };
+        let ended = tokio::select! {
+            biased;
+            ended = run(&net, &order, whose, &to, (by, left), &sent) => ended,
+            ending = limit => ending.into(),
+        };
+        let Ended { ending, result, load, rest } = ended;
         // Dropped and Expired are for what may have run; what was not written in full never did.
         let ending = match ending {
             Ending::Dropped | Ending::Expired if !sent.in_full() => Ending::DialFailed,
@@ -107,7 +128,7 @@
             _ = timeout(REST, finish(&net, &to, link, body)).await;
         }
     });
-    Fetch { task: task.abort_handle(), result: Some(rx) }
+    Fetch { task: task.abort_handle(), gone, result: Some(rx) }
 }
 
 /// How a fetch ended, its result, and what is left of its connection where that is still good.
@@ -124,22 +145,28 @@
     }
 }
 
-async fn run<W: Told + Copy>(net: &Net, order: &Order, whose: W, to: &Rc<str>, sent: &Sent) -> Ended {
+async fn run<W: Told + Copy>(
+    net: &Rc<Net>,
+    order: &Order,
+    whose: W,
+    to: &Rc<str>,
+    (by, gone): (Micros, Rc<Cell<bool>>),
+    sent: &Sent,
+) -> Ended {
     let mut link = match connect(net, to).await {
         Ok(link) => link,
         Err(ending) => return ending.into(),
     };
-    // The dial may have outlasted the time in which sends to a draining backend must end, and the
-    // backend may have moved, or been taken out, meanwhile.
-    if open_address(net, to) != Some(link.address) {
-        net.count(|c| &mut c.drained_before_send);
-        return Ending::Unused.into();
-    }
     let Ok(request) = order.request(net.clock.now()) else { return Ending::Unused.into() };
-    let end = link.socket.written.get() + size_of(&request, order.body.len());
+    let size = size_of(&request, order.body.len());
+    let end = link.pass(net, to, size, by, Some(gone));
     *sent.0.borrow_mut() = Some((link.socket.clone(), end));
-    *link.socket.attempt.borrow_mut() = Some((end, net.backends.attempts.clone()));
     let Ok(response) = link.sender.send_request(request).await else {
+        // Closed to it meanwhile, or too late: what is not written whole never ran.
+        if link.socket.shut.get() {
+            net.count(|c| &mut c.drained_before_send);
+            return Ending::Unused.into();
+        }
         net.count(|c| &mut c.resets);
         if let Some(idle) = link.idle {
             net.count(|c| &mut c.idle_resets);
@@ -175,12 +202,8 @@
                 return Ending::Dropped.into();
             }
             let ending = match &*line.state {
-                "started" => {
-                    whose.alive(net, true);
-                    continue;
-                }
-                "running" => {
-                    whose.alive(net, false);
+                word @ ("started" | "running") => {
+                    whose.alive(net, word == "started");
                     continue;
                 }
                 "done" => {
@@ -211,11 +234,6 @@
     Ending::Dropped.into()
 }
 
-/// Where something new may go: a backend that is listed as ready, and that operators have not taken out.
-fn open_address(net: &Net, to: &str) -> Option<SocketAddr> {
-    net.backends.address(to).filter(|_| !net.facade.borrow().is_out(to))
-}
-
 /// An idle connection, or a new one. Its failure says what the fetch ends with.
 pub(super) async fn connect(net: &Net, to: &str) -> Result<Link, Ending> {
     let address = open_address(net, to).ok_or(Ending::Unused)?;
--- a/crates/server/src/net/backends/link.rs
+++ b/crates/server/src/net/backends/link.rs
@@ -19,7 +19,8 @@
 use tokio::net::TcpStream;
 use tokio::task::JoinHandle;
 
-use super::super::end_sending;
+use super::super::{end_sending, Net};
+use super::gate::Gate;
 use super::stream::LONGEST_LINE;
 use oakshed_core::facade::Micros;
 
@@ -44,28 +45,46 @@
 pub(super) struct Socket {
     pub(super) stream: RefCell<TcpStream>,
     pub(super) written: Cell<u64>,
-    /// Where the present attempt ends, and who counts it once it is written whole.
-    pub(super) attempt: RefCell<Option<(u64, Rc<Cell<u64>>)>>,
+    /// What the present attempt has to pass, until it is written whole.
+    pub(super) gate: RefCell<Option<Gate>>,
+    /// It was closed: nothing more leaves on this connection.
+    pub(super) shut: Cell<bool>,
+    /// Something was read, by hyper, since this was last set back.
+    pub(super) unheard: Cell<bool>,
     _slot: Option<Slot>,
 }
 
+impl Socket {
+    /// How much of the next byte lies unread in the system.
+    pub(super) fn peek(&self) -> io::Result<usize> {
+        socket2::SockRef::from(&*self.stream.borrow()).peek(&mut [MaybeUninit::uninit(); 1])
+    }
+}
+
 /// What hyper reads from and writes to.
 struct Io(Rc<Socket>);
 
 impl AsyncRead for Io {
     fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        Pin::new(&mut *self.0.stream.borrow_mut()).poll_read(cx, buf)
+        let before = buf.filled().len();
+        let read = Pin::new(&mut *self.0.stream.borrow_mut()).poll_read(cx, buf);
+        self.0.unheard.set(self.0.unheard.get() || buf.filled().len() > before);
+        read
     }
 }
 
 impl AsyncWrite for Io {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let n = ready!(Pin::new(&mut *self.0.stream.borrow_mut()).poll_write(cx, buf))?;
-        self.0.written.set(self.0.written.get() + n as u64);
-        if let Some((_, whole)) = self.0.attempt.borrow_mut().take_if(|(end, _)| self.0.written.get() >= *end)
-        {
-            whole.set(whole.get() + 1);
+        let (socket, mut gate) = (&self.0, self.0.gate.borrow_mut());
+        if let Some(gate) = &mut *gate {
+            if socket.shut.get() || !ready!(gate.poll(socket.written.get(), cx)) {
+                socket.shut.set(true);
+                return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
+            }
         }
+        let n = ready!(Pin::new(&mut *socket.stream.borrow_mut()).poll_write(cx, buf))?;
+        socket.written.set(socket.written.get() + n as u64);
+        gate.take_if(|gate| socket.written.get() >= gate.end).into_iter().for_each(Gate::passed);
         Poll::Ready(Ok(n))
     }
 
@@ -93,8 +112,9 @@
     pub(super) async fn open(address: SocketAddr, slot: Option<Slot>) -> io::Result<Link> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let (stream, written, attempt) = (RefCell::new(stream), Cell::new(0), RefCell::default());
-        let socket = Rc::new(Socket { stream, written, attempt, _slot: slot });
+        let (stream, written, gate) = (RefCell::new(stream), Cell::new(0), RefCell::default());
+        let (shut, unheard) = (Cell::new(false), Cell::new(false));
+        let socket = Rc::new(Socket { stream, written, gate, shut, unheard, _slot: slot });
         let io = TokioIo::new(Io(socket.clone()));
         let form = Builder::new().max_buf_size(LONGEST_LINE).handshake(io);
         let (sender, connection) = form.await.map_err(io::Error::other)?;
@@ -102,6 +122,24 @@
         Ok(Link { address, sender, socket, task, idle: None })
     }
 
+    /// The next request, of this size, has to pass the gate: as the job of somebody who may go, or as what is
+    /// none. Tells how much the connection will have written at its end.
+    pub(super) fn pass(
+        &self,
+        net: &Rc<Net>,
+        to: &Rc<str>,
+        size: u64,
+        by: Micros,
+        gone: Option<Rc<Cell<bool>>>,
+    ) -> u64 {
+        let start = self.socket.written.get();
+        let (end, job, gone) = (start + size, gone.is_some(), gone.unwrap_or_default());
+        let (net, to, address, turns, turn) = (net.clone(), to.clone(), self.address, None, None);
+        *self.socket.gate.borrow_mut() =
+            Some(Gate { net, to, address, start, end, by, gone, job, turns, turn });
+        end
+    }
+
     /// Opens a connection that no budget counts.
     pub(crate) async fn dial(address: SocketAddr) -> io::Result<Link> {
         Link::open(address, None).await
@@ -110,9 +148,7 @@
     /// Whether an idle connection has ended. Guards against one that the other side has closed
     /// while hyper has not yet been told: a request written to it would count as sent.
     pub(crate) fn is_dead(&self) -> bool {
-        let peeked =
-            socket2::SockRef::from(&*self.socket.stream.borrow()).peek(&mut [MaybeUninit::uninit(); 1]);
-        self.sender.is_closed() || !peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
+        self.sender.is_closed() || !self.socket.peek().is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
     }
 }
 
--- a/crates/server/src/net/backends/mod.rs
+++ b/crates/server/src/net/backends/mod.rs
@@ -1,11 +1,12 @@
 //! The backends: their addresses and the idle connections to them.
 //!
 //! It owns the table of both, and the budget of sockets; `link` owns a connection, `fetch` a fetch on one,
-//! `stream` the form of a job's stream, `probe` what is asked that is no job. It must never send to a backend
+//! `gate` the last look before its bytes leave, `stream` the form of a job's stream, `probe` what is asked that is no job. It must never send to a backend
 //! that is not listed as ready what asks for anything new, and never know for whom a fetch is: who starts one
 //! is told of it through `Told`. Of the network's parts it uses `order` and `answers` alone.
 
 mod fetch;
+mod gate;
 mod link;
 mod probe;
 mod stream;
@@ -20,7 +21,7 @@
 use rustc_hash::FxHashMap;
 
 use super::Net;
-use link::Slot;
+use link::{Slot, Socket};
 use oakshed_core::facade::{Condition, Entry, Micros};
 
 pub(crate) use fetch::{start, Fetch, Told};
@@ -51,7 +52,9 @@
     all: RefCell<FxHashMap<Rc<str>, Backend>>,
     open: Rc<Cell<usize>>,
     /// Attempts that were written whole.
-    attempts: Rc<Cell<u64>>,
+    attempts: Cell<u64>,
+    /// The connections on which news of the list may come now.
+    news: RefCell<Vec<Rc<Socket>>>,
     /// How long an idle connection was last held to be safe, and when.
     safe: Cell<Option<(Micros, Micros)>>,
 }
@@ -97,6 +100,18 @@
         self.attempts.get()
     }
 
+    /// News of the list comes on this connection for as long as the word for it is held.
+    pub(crate) fn listen(&self, link: &Link) -> Listening<'_> {
+        link.socket.unheard.set(false);
+        self.news.borrow_mut().push(link.socket.clone());
+        Listening(self, link.socket.clone())
+    }
+
+    /// Whether news of the list has come that is not taken in yet.
+    fn has_news(&self) -> bool {
+        self.news.borrow().iter().any(|s| s.unheard.get() || matches!(s.peek(), Ok(1..)))
+    }
+
     /// Where a backend was last, ready or not: only what asks it for nothing new goes there.
     fn last_address(&self, name: &str) -> Option<SocketAddr> {
         self.all.borrow().get(name).map(|b| b.address)
@@ -145,6 +160,20 @@
     }
 }
 
+/// A call for the list under way. Its end is that of the turn in which what came is taken in.
+pub(crate) struct Listening<'a>(&'a Backends, Rc<Socket>);
+
+impl Drop for Listening<'_> {
+    fn drop(&mut self) {
+        self.0.news.borrow_mut().retain(|socket| !Rc::ptr_eq(socket, &self.1));
+    }
+}
+
+/// Where something new may go: a backend that is listed as ready, and that operators have not taken out.
+fn open_address(net: &Net, to: &str) -> Option<SocketAddr> {
+    net.backends.address(to).filter(|_| !net.facade.borrow().is_out(to))
+}
+
 /// How long a dial may take. Guards against settings without a limit, under which none would succeed.
 fn dial_limit(net: &Net) -> Duration {
     match net.config.settings.connect_timeout {
--- a/crates/server/src/net/backends/probe.rs
+++ b/crates/server/src/net/backends/probe.rs
@@ -14,21 +14,24 @@
 use super::super::answers::LEASE_TOKEN;
 use super::super::Net;
 use super::dial_limit;
-use super::fetch::connect;
+use super::fetch::{connect, size_of};
 use super::link::Link;
 use super::stream::{load_in, load_of, LoadForm, LONGEST_LINE};
-use oakshed_core::facade::{Report, Seen};
+use oakshed_core::facade::{Micros, Report, Seen};
 
 /// Asks a backend for its load, where the decisions want it.
 pub(crate) async fn probe(net: Rc<Net>, to: Rc<str>) {
-    let load = timeout(2 * dial_limit(&net), ask_load(&net, &to)).await.ok().flatten();
+    let limit = 2 * dial_limit(&net);
+    let by = net.clock.now().saturating_add(limit.as_micros() as Micros);
+    let load = timeout(limit, ask_load(&net, &to, by)).await.ok().flatten();
     net.report(Seen::Probed(&to, load.is_some(), load));
 }
 
-async fn ask_load(net: &Net, to: &str) -> Option<Report> {
+async fn ask_load(net: &Rc<Net>, to: &Rc<str>, by: Micros) -> Option<Report> {
     let mut link = connect(net, to).await.ok()?;
-    let host = net.backends.address(to)?.to_string();
+    let host = link.address.to_string();
     let request = Request::get("/status/load").header(HOST, host).body(Full::default()).ok()?;
+    link.pass(net, to, size_of(&request, 0), by, None);
     let response = link.sender.send_request(request).await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
--- a/crates/server/src/net/director.rs
+++ b/crates/server/src/net/director.rs
@@ -202,6 +202,7 @@
         *link = Some(in_time(DIAL, dial).await?);
     }
     let link = link.as_mut().ok_or("no connection")?;
+    let _news = net.backends.listen(link);
     let path = match from {
         Some(from) => format!("{PATH}?from={from}&hold_ms={}", hold.as_millis()),
         None => PATH.to_owned(),
--- a/crates/server/src/net/durable/mod.rs
+++ b/crates/server/src/net/durable/mod.rs
@@ -181,9 +181,9 @@
                 let fetch = self.fetches.borrow_mut().remove(&(id, token));
                 fetch.iter().for_each(Fetch::stop);
             }
-            Effect::Fetch { id, token, worker, until, order } => {
+            Effect::Fetch { id, token, worker, until, whole_by, order } => {
                 let order = Rc::new(self.order(id, token, until, &order));
-                let fetch = backends::start(net, &order, Attempt(id, token), worker, until);
+                let fetch = backends::start(net, &order, Attempt(id, token), worker, (until, whole_by));
                 self.fetches.borrow_mut().insert((id, token), fetch);
             }
             Effect::Fence { id, token, worker, sure } => {
--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -113,6 +113,7 @@
 impl Drop for Handler<'_> {
     fn drop(&mut self) {
         let drops = self.net.facade.borrow_mut().leave(self.net.clock.now(), self.req);
+        self.fetches.iter().for_each(Fetch::leave);
         drops.into_iter().filter_map(|n| self.fetches.get(n)).for_each(Fetch::stop);
     }
 }
@@ -138,9 +139,10 @@
     let mut handler = Handler { net, req, fetches: Vec::new() };
     loop {
         match net.pick(req).await {
-            Step::Fetch { fetch, backend, until } => {
+            Step::Fetch { fetch, backend, until, whole_by } => {
                 net.must(fetch == handler.fetches.len(), "fetches are numbered in order");
-                handler.fetches.push(backends::start(net, &order, ReqFetch(req, fetch), backend, until));
+                let (whose, times) = (ReqFetch(req, fetch), (until, whole_by));
+                handler.fetches.push(backends::start(net, &order, whose, backend, times));
             }
             Step::Serve { fetch } => {
                 let result = match handler.fetches.get_mut(fetch) {
--- a/crates/wire/src/host.rs
+++ b/crates/wire/src/host.rs
@@ -337,12 +337,9 @@
     };
     let ms = |t: Micros| t as f64 / 1000.0;
     match *action {
-        Action::Send { id, worker, abandon_at } => {
+        Action::Send { id, worker, .. } => {
             about(out, "FORWARD", id)?;
             write!(out, ",\"worker\":\"{}\"", worker_name(worker))?;
-            if let Some(at) = abandon_at {
-                write!(out, ",\"abandon-at-ms\":{}", ms(at))?;
-            }
         }
         Action::Refuse { id, retry_after } => {
             about(out, "SAY_NO", id)?;
