--- a/crates/server/src/net/backends/fetch.rs
+++ b/crates/server/src/net/backends/fetch.rs
@@ -175,6 +175,11 @@
         }
         return Ending::Dropped.into();
     };
+    // A worker starts once the last byte has come: one that answers before is not sent the rest.
+    if !sent.in_full() {
+        net.count(|c| &mut c.resets);
+        return Ending::Dropped.into();
+    }
     net.must(link.socket.written.get() == end, "a request is as long as reckoned");
     let (head, mut body) = response.into_parts();
     if head.status != StatusCode::OK {
@@ -183,7 +188,7 @@
         let ending = if declined && busy { Ending::Shed } else { Ending::Error };
         return Ended { ending, result: None, load: load_in(&head.headers), rest: Some((link, body)) };
     }
-    let mut buffer = BytesMut::new();
+    let (mut buffer, mut begun) = (BytesMut::new(), false);
     while let Some(Ok(frame)) = body.frame().await {
         let Ok(data) = frame.into_data() else { continue };
         buffer.extend_from_slice(&data);
@@ -203,6 +208,7 @@
             }
             let ending = match &*line.state {
                 word @ ("started" | "running") => {
+                    begun = true;
                     whose.alive(net, word == "started");
                     continue;
                 }
@@ -215,7 +221,9 @@
                     return Ended { ending: Ending::Delivered, result, load, rest: Some((link, body)) };
                 }
                 "failed" => Ending::Error,
-                "returned" => Ending::Shed,
+                "returned" if !begun => Ending::Shed,
+                // Handed back though it was said to run: in doubt.
+                "returned" => Ending::Dropped,
                 "lost" => {
                     net.count(|c| &mut c.lost_jobs);
                     Ending::Dropped
--- a/crates/server/tests/sockets/passing.rs
+++ b/crates/server/tests/sockets/passing.rs
@@ -128,7 +128,7 @@
 #[test]
 fn a_transfer_that_may_have_run_is_not_sent_again() {
     // Each way in which an attempt ends without proof that it never ran.
-    let endings: [fn(&Message, &mut std::net::TcpStream) -> bool; 8] = [
+    let endings: [fn(&Message, &mut std::net::TcpStream) -> bool; 14] = [
         |_, _| false,
         |_, stream| status(stream, "500 Internal Server Error"),
         |_, stream| status(stream, "503 Service Unavailable"),
@@ -150,6 +150,29 @@
             chunk(stream, true, &"no line ".repeat(10_000));
             true
         },
+        // Half a line and a close; no line; a whole one that is not ended; another kind of value.
+        |_, stream| {
+            chunk(stream, true, "{\"id\":\"id-1\",\"state\":\"retu");
+            false
+        },
+        |_, stream| {
+            stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n").is_ok()
+        },
+        |_, stream| {
+            chunk(stream, true, "{\"id\":\"id-1\",\"state\":\"returned\"}");
+            stream.write_all(b"0\r\n\r\n").is_ok()
+        },
+        |_, stream| {
+            chunk(stream, true, "{\"id\":1,\"state\":\"returned\"}\n");
+            true
+        },
+        |_, stream| status(stream, "101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x"),
+        // Handed back though it runs: in doubt.
+        |_, stream| {
+            chunk(stream, true, "{\"id\":\"id-1\",\"state\":\"started\"}\n");
+            chunk(stream, false, "{\"id\":\"id-1\",\"state\":\"returned\"}\n");
+            stream.write_all(b"0\r\n\r\n").is_ok()
+        },
         // A head without bound would take the memory of many reqs.
         |message, stream| {
             let head = format!(
