--- a/crates/server/src/net/backends/fetch.rs
+++ b/crates/server/src/net/backends/fetch.rs
@@ -186,7 +186,9 @@
         let declined = head.headers.get(&SRV_DECLINED).is_some_and(|v| v == "1");
         let busy = matches!(head.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT);
         let ending = if declined && busy { Ending::Shed } else { Ending::Error };
-        return Ended { ending, result: None, load: load_in(&head.headers), rest: Some((link, body)) };
+        // It bears no id: said once more, late, it would pass for the next request's answer, and as a proof that
+        // this one never ran. So nothing follows on this connection.
+        return Ended { load: load_in(&head.headers), ..ending.into() };
     }
     let (mut buffer, mut begun) = (BytesMut::new(), false);
     while let Some(Ok(frame)) = body.frame().await {
--- a/crates/server/tests/sockets/main.rs
+++ b/crates/server/tests/sockets/main.rs
@@ -1,6 +1,7 @@
 //! The program from outside: it is started, and spoken to over sockets. One test for each thing
 //! that its protocol promises, and for each failure found.
 
+mod answers;
 mod attempts;
 mod backends;
 mod director;
