--- a/crates/server/src/net/director/mod.rs
+++ b/crates/server/src/net/director/mod.rs
@@ -115,6 +115,8 @@
                 dialled.map_err(|e| format!("cannot connect: {e}"))?
             }
         };
+        // Until its answer has been taken in, which is in the same turn: what comes meanwhile counts as told.
+        let _news = self.net.backends.listen(&link);
         let path = match from {
             Some(from) => format!("{PATH}?from={from}&hold_ms={}", hold.as_millis()),
             None => PATH.to_owned(),
