--- a/crates/server/src/net/admin.rs
+++ b/crates/server/src/net/admin.rs
@@ -49,7 +49,10 @@
     let mut errors = 0_u64;
     loop {
         let mut stream = match listener.accept().await {
-            Ok((stream, _)) => stream,
+            Ok((stream, _)) => {
+                _ = stream.set_nodelay(true);
+                stream
+            }
             Err(e) => {
                 errors += 1;
                 if errors.is_power_of_two() {
@@ -99,7 +102,7 @@
     };
     if let Ok(written) = tokio::time::timeout(ANSWER, stream.write_all(answer.as_bytes())).await {
         written?;
-        super::end_sending(stream)?;
+        front::part(stream, b"", None).await;
     }
     Ok(())
 }
--- a/crates/server/src/net/front/clients.rs
+++ b/crates/server/src/net/front/clients.rs
@@ -16,6 +16,9 @@
 /// The time that a new connection has to bring a req before it is the first to make room, in
 /// microseconds.
 const GRACE: Micros = 200_000;
+/// So many connections that end may hold descriptors beside the clients' share, out of the reserve for what is on
+/// its way from closed to gone. Further ones give up the rest of their time as soon as others want in.
+const PARTING: usize = 4;
 /// Between two looks at what is overdue.
 const SWEEP: Duration = Duration::from_millis(250);
 
@@ -26,6 +29,8 @@
     /// It has brought a whole req.
     pub(super) known: Cell<bool>,
     pub(super) told_to_close: Cell<bool>,
+    /// Since when nothing is sent on it any more.
+    pub(super) parting: Cell<Option<Micros>>,
     pub(super) close: Notify,
     pub(super) intake: Rc<Intake>,
 }
@@ -46,13 +51,13 @@
 
 impl Clients {
     /// Asks the connection that is missed least to close; tells whether there was one. First goes who has
-    /// said nothing in the time to bring a req, longest first; then whose req has begun and makes no
-    /// progress; then who is idle between reqs; last who came just now. Never one whose req is taken, or
-    /// still comes in, however slowly. Guards against usual clients that lose theirs to hundreds that say
+    /// said nothing in the time to bring a req, longest first; then whose req has begun, or whose
+    /// answer has, and makes no progress; then who is idle between reqs; last who came just now. Never one whose req is taken, or
+    /// still comes in, however slowly, or whose answer still goes out. Guards against usual clients that lose theirs to hundreds that say
     /// nothing or half of something, and against closing, in a full house, always on the one just accepted.
     pub(super) fn close_one(&self, now: Micros) -> bool {
         let at = tokio::time::Instant::now();
-        let rank = |c: &Client, since: Micros| match c.intake.part(at) {
+        let rank = |c: &Client, since: Micros| match c.intake.part(at).or(c.intake.unwritten(at)) {
             Some(true) => None,
             Some(false) => Some(1),
             None if c.known.get() => Some(2),
@@ -66,6 +71,24 @@
         least.map(|(_, client)| client.close()).is_some()
     }
 
+    /// Whether one more may be accepted. The one that has been ending for longest is let go where it is in the way.
+    pub(super) fn has_room(&self, share: usize) -> bool {
+        let open = self.open.borrow();
+        let parting = || open.iter().filter(|c| c.parting.get().is_some());
+        let room = open.len() < share + PARTING;
+        if !room {
+            parting().min_by_key(|c| c.parting.get()).into_iter().for_each(|c| c.close.notify_one());
+        }
+        room && open.len() - parting().count() < share
+    }
+
+    /// Has one connection make room, unless one is about to; tells whether one was asked to.
+    pub(super) fn make_room(&self, now: Micros) -> bool {
+        let asked = |c: &Rc<Client>| c.told_to_close.get() && c.parting.get().is_none();
+        let under_way = self.open.borrow().iter().any(asked);
+        !under_way && self.close_one(now)
+    }
+
     pub(super) async fn all_gone(&self) {
         while !self.open.borrow().is_empty() {
             self.changed.notified().await;
@@ -81,7 +104,8 @@
         let most = sockets / 3 * 3 / 4;
         if open.len() > most && known().count() > most {
             // One that was answered just now may not have all of its answer yet.
-            let begun = |c: &Client| c.intake.part(tokio::time::Instant::now()).is_some();
+            let at = tokio::time::Instant::now();
+            let begun = |c: &Client| c.intake.part(at).or(c.intake.unwritten(at)).is_some();
             let idle = known().filter(|c| !begun(c));
             let idle = idle.filter_map(|c| Some((c.idle_since.get().filter(|at| now > at + GRACE)?, c)));
             idle.min_by_key(|(since, _)| *since).into_iter().for_each(|(_, client)| client.close());
@@ -89,13 +113,14 @@
     }
 }
 
-/// Closes connections whose req began too long ago and is not there yet; one that never said
-/// anything is such a one, one that is idle between reqs is not.
+/// Closes connections whose req began too long ago and is not there yet, or whose answer is not taken; one that
+/// never said anything is such a one, one that is idle between reqs is not.
 pub(super) async fn sweep(net: Rc<Net>, clients: Rc<Clients>) {
     loop {
         tokio::time::sleep(SWEEP).await;
         let now = tokio::time::Instant::now();
-        for client in clients.open.borrow().iter().filter(|c| c.intake.overdue(now)) {
+        for client in clients.open.borrow().iter().filter(|c| !c.told_to_close.get() && c.intake.overdue(now))
+        {
             net.count(|c| &mut c.overdue_reqs);
             client.close();
         }
--- a/crates/server/src/net/front/conversation.rs
+++ b/crates/server/src/net/front/conversation.rs
@@ -1,11 +1,11 @@
-//! One client's connection from its first req to its end.
+//! One client's connection from its first req to the last byte of ours.
 //!
-//! It owns what hyper is told to do with it, and what is left to do once hyper is done. It must never close on
-//! a req that has come, or wait without bound for one that has not.
+//! It owns what hyper is told to do with it, and when it is to end; `parting` closes it then. It must never end one
+//! on a req that has come, or wait without bound for one that has not.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
-use std::io;
+use std::mem::MaybeUninit;
 use std::pin::pin;
 use std::rc::Rc;
 use std::time::Duration;
@@ -15,18 +15,15 @@
 use hyper::service::service_fn;
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
+use tokio::time::Instant;
 
 use super::super::reader::{Reader, LONGEST_HEAD};
-use super::super::{end_sending, Net};
+use super::super::Net;
 use super::clients::{Client, Clients};
 use super::handle::respond;
 
 /// How long a connection that is to close is read once more.
 const LAST_LOOK: Duration = Duration::from_millis(50);
-/// How long a connection that is to close may stand without a req.
-const CLOSE_WAIT: Duration = Duration::from_secs(1);
-/// The most bytes that are still read from a client after an answer that closes.
-const LINGER_BYTES: usize = 256 << 10;
 /// The answer to what cannot be read.
 const UNREADABLE: &[u8] = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
@@ -39,7 +36,7 @@
 ) {
     let service = service_fn(|request| async {
         let mut response = respond(net, client, request).await;
-        if client.intake.last.get() || *net.handed.borrow() {
+        if client.intake.last.get() || *net.handed.borrow() || *net.closing.borrow() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         client.idle_since.set(Some(net.clock.now()));
@@ -47,7 +44,7 @@
         clients.keep_room(net.config.sockets, net.clock.now());
         Ok::<_, Infallible>(response)
     });
-    let reader = TokioIo::new(Reader::new(stream, client.intake.clone()));
+    let reader = TokioIo::new(Reader::new(stream.clone(), client.intake.clone()));
     let connection = http1::Builder::new()
         .auto_date_header(false)
         .max_buf_size(LONGEST_HEAD)
@@ -57,12 +54,10 @@
     loop {
         tokio::select! {
             biased;
-            _ = connection.as_mut() => return,
+            ended = connection.as_mut() => return over(net, client, ended),
             _ = closing.wait_for(|closing| *closing) => break,
             () = client.close.notified() => {
-                let now = tokio::time::Instant::now();
-                let comes = client.intake.part(now) == Some(true) && !client.intake.overdue(now);
-                if client.idle_since.get().is_some() && !comes {
+                if may_end(client, &stream) {
                     return;
                 }
                 // A req has come meanwhile, or begun to: another one is to make room.
@@ -71,42 +66,44 @@
             }
         }
     }
-    // Guards against closing on a req that has arrived but was not read yet: hyper closes a
-    // connection without another look, and one accepted last has not been looked at once.
-    tokio::select! {
-        biased;
-        _ = connection.as_mut() => return,
-        () = tokio::time::sleep(LAST_LOOK) => {}
-    }
-    // Idle: it closes now. Busy: it closes after the answer, which says so.
-    connection.as_mut().graceful_shutdown();
-    // Guards against a client that has begun a req and never ends it: hyper would wait for it.
-    while tokio::time::timeout(CLOSE_WAIT, connection.as_mut()).await.is_err() {
-        if client.idle_since.get().is_some() {
+    // A stop. Guards against closing on a req that has arrived but was not read yet (one accepted last has not been
+    // looked at once), on one that still comes in, and on an answer that is still being written: these have until
+    // the last answers are out, and what was taken has its own time.
+    loop {
+        tokio::select! {
+            biased;
+            ended = connection.as_mut() => return over(net, client, ended),
+            () = tokio::time::sleep(LAST_LOOK) => {}
+        }
+        let late = net.last_answer().is_none_or(|last| Instant::now() >= last);
+        if may_end(client, &stream) || late && client.idle_since.get().is_some() {
             return;
         }
     }
 }
 
-/// What is left to do on a connection that hyper is done with: the answer to what cannot be read, of
-/// which hyper knows nothing, and reading on for a moment after an answer that closes. The latter
-/// guards against a reset, on which a client that still sends may throw the answer away.
-pub(super) async fn part(net: &Net, client: &Client, stream: &TcpStream) {
-    if client.intake.unreadable.get() {
+/// Whether nothing would be cut off where the connection ended now. What the runtime knows of its socket is as old
+/// as its last wait: so the system is asked whether anything has come since.
+fn may_end(client: &Client, stream: &Rc<RefCell<TcpStream>>) -> bool {
+    let now = Instant::now();
+    let waits = || socket2::SockRef::from(&*stream.borrow()).peek(&mut [MaybeUninit::uninit(); 1]);
+    client.idle_since.get().is_some()
+        && (client.intake.overdue(now) || !client.intake.under_way(now) && !waits().is_ok_and(|n| n > 0))
+}
+
+/// Counts what could not be read, by the reader or by hyper, which answers it itself.
+fn over(net: &Net, client: &Client, ended: hyper::Result<()>) {
+    if client.intake.spoilt.get() || ended.is_err_and(|e| e.is_parse()) {
         net.count(|c| &mut c.bad_reqs);
-        _ = stream.writable().await;
-        _ = stream.try_write(UNREADABLE);
-    } else if !client.intake.last.get() {
-        return;
     }
-    _ = end_sending(stream);
-    let mut buffer = vec![0; 16 << 10];
-    let mut left = LINGER_BYTES;
-    while stream.readable().await.is_ok() {
-        match stream.try_read(&mut buffer) {
-            Ok(n) if (1..left).contains(&n) => left -= n,
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            _ => return,
-        }
+}
+
+/// What is still to be said on a connection that hyper is done with: the answer to what cannot be read, of which
+/// hyper knows nothing. Behind a req that was being answered there is none: it would be taken for that one's.
+pub(super) fn last_words(client: &Client) -> &'static [u8] {
+    if client.intake.refused() {
+        UNREADABLE
+    } else {
+        b""
     }
 }
--- a/crates/server/src/net/front/mod.rs
+++ b/crates/server/src/net/front/mod.rs
@@ -1,12 +1,13 @@
 //! The clients' side: the listener, and the connections from being accepted to being gone.
 //!
 //! It owns who is accepted, and when no more is. `clients` owns which connection makes room, `conversation` a
-//! connection, `request` the reading of a req, `handle` its way to its answer. It must never decide what a req
+//! connection, `parting` its close, `request` the reading of a req, `handle` its way to its answer. It must never decide what a req
 //! gets, or end before every connection has.
 
 mod clients;
 mod conversation;
 mod handle;
+mod parting;
 mod request;
 
 use std::cell::{Cell, RefCell};
@@ -23,14 +24,13 @@
 use super::reader::Intake;
 use super::Net;
 use clients::{sweep, Client, Clients};
-use conversation::{converse, part};
+use conversation::{converse, last_words};
+pub(crate) use parting::{part, MOST_THROWN_AWAY};
 
 /// How many connections may wait to be accepted.
 const BACKLOG: u32 = 1_024;
 /// How long to wait where accepting fails for want of descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// For how long a client is still read from after an answer that closes.
-const LINGER: Duration = Duration::from_millis(200);
 
 /// Binds the one address given. `shared` lets the next process of this scheduler bind it too.
 pub(crate) fn listen(address: SocketAddr, shared: bool) -> io::Result<TcpListener> {
@@ -51,8 +51,8 @@
     let mut handed = pin!(told.wait_for(|handed| *handed));
     loop {
         // A full house accepts nobody until an idle connection has made room.
-        while clients.open.borrow().len() >= net.socket_share() {
-            if clients.close_one(net.clock.now()) {
+        while !clients.has_room(net.socket_share()) {
+            if clients.make_room(net.clock.now()) {
                 net.count(|c| &mut c.evicted_clients);
             }
             tokio::select! {
@@ -91,7 +91,7 @@
     // BACKLOG, and descriptors for fewer: the others wait until one of these has ended.
     while let Ok(Ok((stream, _))) = tokio::time::timeout(Duration::ZERO, listener.accept()).await {
         welcome(net, &clients, stream);
-        while clients.open.borrow().len() >= net.socket_share() {
+        while !clients.has_room(net.socket_share()) {
             clients.changed.notified().await;
         }
     }
@@ -106,6 +106,7 @@
         idle_since: Cell::new(Some(net.clock.now())),
         known: Cell::new(false),
         told_to_close: Cell::new(false),
+        parting: Cell::new(None),
         close: Notify::new(),
         intake: Rc::new(Intake::new()),
     });
@@ -114,8 +115,15 @@
     tokio::task::spawn_local(async move {
         let stream = Rc::new(RefCell::new(stream));
         converse(&net, &clients, &client, stream.clone()).await;
+        client.told_to_close.set(true);
+        client.parting.set(Some(net.clock.now()));
+        clients.changed.notify_one();
         if let Some(stream) = Rc::into_inner(stream).map(RefCell::into_inner) {
-            _ = tokio::time::timeout(LINGER, part(&net, &client, &stream)).await;
+            tokio::select! {
+                biased;
+                () = part(&stream, last_words(&client), net.end()) => {}
+                () = client.close.notified() => {}
+            }
         }
         clients.open.borrow_mut().retain(|c| !Rc::ptr_eq(c, &client));
         clients.changed.notify_one();
--- /dev/null
+++ b/crates/server/src/net/front/parting.rs
@@ -0,0 +1,46 @@
+//! The end of a connection that was accepted: the one way in which each is closed, a client's or an operator's.
+//!
+//! It owns what is done between the last byte of ours and the close. It must never pass on what it reads, or
+//! wait for a client without bound.
+
+use std::io;
+use std::time::Duration;
+
+use tokio::net::TcpStream;
+use tokio::time::Instant;
+
+use super::super::end_sending;
+
+/// For how long a client is still read from once nothing more is sent to it.
+const LINGER: Duration = Duration::from_millis(200);
+/// The most bytes that are read and thrown away: who sends more has its connection closed over the rest.
+pub(crate) const MOST_THROWN_AWAY: usize = 256 << 10;
+
+/// Says what is still to be said, ends sending, reads on until the client ends too, and lets the connection go then;
+/// `by` at the latest. What is read is thrown away: the client sees the end without an answer, and sends it anew
+/// elsewhere. Guards against a close over unread bytes, which resets the connection, and takes along an answer that
+/// is still on its way.
+pub(crate) async fn part(stream: &TcpStream, last_words: &[u8], by: Option<Instant>) {
+    let limit = Instant::now() + LINGER;
+    let whole = async {
+        if !last_words.is_empty() {
+            _ = stream.writable().await;
+            _ = stream.try_write(last_words);
+        }
+        _ = end_sending(stream);
+        throw_away(stream).await;
+    };
+    _ = tokio::time::timeout_at(by.map_or(limit, |by| by.min(limit)), whole).await;
+}
+
+async fn throw_away(stream: &TcpStream) {
+    let mut buffer = vec![0; 16 << 10];
+    let mut left = MOST_THROWN_AWAY;
+    while stream.readable().await.is_ok() {
+        match stream.try_read(&mut buffer) {
+            Ok(n) if (1..left).contains(&n) => left -= n,
+            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
+            _ => return,
+        }
+    }
+}
--- a/crates/server/src/net/front/request.rs
+++ b/crates/server/src/net/front/request.rs
@@ -129,7 +129,8 @@
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => return Err(too_large()),
         Ok(Err(_)) => return Err(last(StatusCode::BAD_REQUEST, "broken body\n")),
     };
-    job.remaining = deadline.saturating_sub(net.clock.now());
+    let now = net.clock.now();
+    job.remaining = deadline.saturating_sub(now);
     let mut headers = HeaderMap::with_capacity(8);
     for name in [HOST, CONTENT_TYPE, REQ_ID.clone(), IDEMPOTENCY_KEY.clone(), REQ_KIND.clone()] {
         if let Some(value) = fields.remove(&name) {
@@ -139,7 +140,7 @@
     if !headers.contains_key(HOST) {
         return Err(bad("no Host\n"));
     }
-    // A durable job outlives a stop; only its client's wait is cut.
-    let deadline = if net.durable.is_some() { deadline } else { net.bounded(arrived, deadline) };
+    // A durable job outlives a stop; only its client's wait is cut. A req has arrived with its last byte.
+    let deadline = if net.durable.is_some() { deadline } else { net.bounded(now, deadline) };
     Ok((job, Order { method: head.method, target, headers, id, body, deadline, _held: None }, held))
 }
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -47,6 +47,8 @@
 const STOP_MARGIN: Micros = 700_000;
 /// The last answer is out this long before SIGKILL.
 const BEFORE_KILL: Micros = 100_000;
+/// Closing takes so long, the last answers included; the platform's margin is longer.
+const CLOSING: Micros = 250_000;
 /// Between two looks at whether there is something new to log.
 const LOG_EVERY: Duration = Duration::from_secs(10);
 /// Descriptors for what is not a client or a backend: standard streams, the runtime's own, the
@@ -54,7 +56,7 @@
 const RESERVED_SOCKETS: usize = 32;
 /// Where hardly any are left beside those, so many are for clients, and as many for backends.
 const LEAST_SHARE: usize = 4;
-/// What is idle is closed so long before SIGKILL, where the next process serves: later, what comes at the
+/// What is idle is closed so long before SIGKILL, or half of the time there is, where the next process serves: later, what comes at the
 /// last moment could not be answered any more.
 const IDLE_UNTIL: Micros = 1_000_000;
 
@@ -199,6 +201,16 @@
         }
     }
 
+    /// When the last answer of a stop has to be out.
+    pub(crate) fn last_answer(&self) -> Option<tokio::time::Instant> {
+        self.stop.get().map(|(_, last)| self.clock.instant(last))
+    }
+
+    /// When nothing may be left of this process in a stop: a quarter of what is left then until SIGKILL.
+    pub(crate) fn end(&self) -> Option<tokio::time::Instant> {
+        self.stop.get().map(|(_, last)| self.clock.instant(last + BEFORE_KILL / 4))
+    }
+
     /// Descriptors for clients, and as many for backends. Two processes of this scheduler share them.
     pub(crate) fn socket_share(&self) -> usize {
         let operators = if self.config.admin.is_some() { admin::SOCKETS } else { 0 };
@@ -319,7 +331,10 @@
     let longest = net.config.settings.classes.iter().map(|c| c.deadline).max().unwrap_or(0);
     let kill = longest.min(LONGEST_STOP) + STOP_MARGIN;
     let succeeded = net.others.succeeded();
-    let linger = if succeeded { kill - IDLE_UNTIL } else { (kill / 2).max(LINGER) };
+    let half = (kill / 2).max(LINGER);
+    let linger = if succeeded { half.max(kill.saturating_sub(IDLE_UNTIL)) } else { half };
+    // Guards against deadlines so short that SIGKILL comes first.
+    let linger = linger.min(kill - CLOSING);
     let now = net.clock.now();
     net.stop.set(Some((now + LINGER / 2, now + kill.saturating_sub(BEFORE_KILL))));
     info!("told to stop: serving on for {} ms", linger / 1_000);
--- a/crates/server/src/net/reader.rs
+++ b/crates/server/src/net/reader.rs
@@ -1,7 +1,8 @@
 //! The bytes that a client sends, below hyper.
 //!
 //! It owns where each request begins and ends: one is passed on at a time, its head whole, the next
-//! once the one before is answered. It must never answer, change a byte, or hold more than a head.
+//! once the one before is answered. It must never answer, change a byte, hold more than `MOST_HELD`, or stop
+//! reading while a request is answered.
 //!
 //! Guards against what hyper does not show: it drops `Content-Length` beside `Transfer-Encoding`
 //! (before the service sees the head, in either order) and reads on behind it, it waits for the end
@@ -22,15 +23,19 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// The longest head, and the most that is held of a connection.
+use super::front::MOST_THROWN_AWAY;
+
+/// The longest head.
 pub(super) const LONGEST_HEAD: usize = 8 << 10;
+/// The most that is held of a connection: some heads, for clients that send requests ahead.
+const MOST_HELD: usize = 4 * LONGEST_HEAD;
 /// The most header fields; hyper takes as many.
 const MOST_FIELDS: usize = 100;
 /// How much is read at once.
 const CHUNK: usize = 2 << 10;
 /// How long a request may take to arrive from when it began; the first begins with the connection.
 pub(super) const ARRIVAL: Duration = Duration::from_millis(2_400);
-/// A request of which nothing came for so long makes no progress.
+/// A request of which nothing came for so long, or an answer of which nothing went, makes no progress.
 const STALL: Duration = Duration::from_millis(500);
 
 /// What a connection's reader and the service above hyper tell each other.
@@ -41,8 +46,10 @@
     heard: Cell<Option<Instant>>,
     passed: Cell<u64>,
     answered: Cell<u64>,
-    /// What has come cannot be read, and nothing was being answered.
-    pub unreadable: Cell<bool>,
+    /// When last anything was written of an answer that is not written whole.
+    unwritten: Cell<Option<Instant>>,
+    /// What has come cannot be read.
+    pub spoilt: Cell<bool>,
     /// Nothing can follow the request that is being passed on.
     pub last: Cell<bool>,
     waiting: RefCell<Option<Waker>>,
@@ -55,14 +62,16 @@
             heard: Cell::new(None),
             passed: Cell::new(0),
             answered: Cell::new(0),
-            unreadable: Cell::new(false),
+            unwritten: Cell::new(None),
+            spoilt: Cell::new(false),
             last: Cell::new(false),
             waiting: RefCell::new(None),
         }
     }
 
-    /// The service has answered: the next request may come.
+    /// The service has answered: the next request may come once that is written.
     pub(super) fn answered(&self) {
+        self.unwritten.set(Some(Instant::now()));
         self.answered.set(self.answered.get() + 1);
         self.waiting.take().into_iter().for_each(Waker::wake);
     }
@@ -78,9 +87,26 @@
         self.heard.get().map(|at| now < at + STALL)
     }
 
-    /// Whether a request began too long ago and is not there yet.
+    /// Whether an answer is not written whole yet: and if so, whether its client still takes of it.
+    pub(super) fn unwritten(&self, now: Instant) -> Option<bool> {
+        self.unwritten.get().map(|at| now < at + STALL)
+    }
+
+    /// Whether a request comes in, or its answer goes out.
+    pub(super) fn under_way(&self, now: Instant) -> bool {
+        self.part(now) == Some(true) || self.unwritten(now) == Some(true)
+    }
+
+    /// Whether a request began too long ago and is not there yet, or its client has taken nothing of its answer for
+    /// as long.
     pub(super) fn overdue(&self, now: Instant) -> bool {
-        self.began.get().is_some_and(|at| now > at + ARRIVAL)
+        let long_ago = |since: Option<Instant>| since.is_some_and(|at| now > at + ARRIVAL);
+        long_ago(self.began.get()) || long_ago(self.unwritten.get())
+    }
+
+    /// Whether what has come cannot be read, and nothing was being answered.
+    pub(super) fn refused(&self) -> bool {
+        self.spoilt.get() && !self.busy()
     }
 
     fn busy(&self) -> bool {
@@ -111,7 +137,7 @@
     let (mut fields, mut none) = ([const { MaybeUninit::uninit() }; MOST_FIELDS], []);
     let mut request = Request::new(&mut none);
     let head = match request.parse_with_uninit_headers(held, &mut fields) {
-        Ok(Status::Complete(head)) => head,
+        Ok(Status::Complete(head)) if head <= LONGEST_HEAD => head,
         Ok(Status::Partial) if held.len() < LONGEST_HEAD => return Next::Incomplete,
         _ => return Next::Unreadable,
     };
@@ -141,11 +167,13 @@
     seen: usize,
     /// How many bytes more belong to the request that is being passed on.
     left: u64,
+    /// How many bytes were thrown away.
+    thrown_away: usize,
 }
 
 impl Reader {
     pub(super) fn new(stream: Rc<RefCell<TcpStream>>, intake: Rc<Intake>) -> Self {
-        Reader { stream, intake, held: BytesMut::new(), seen: 0, left: 0 }
+        Reader { stream, intake, held: BytesMut::new(), seen: 0, left: 0, thrown_away: 0 }
     }
 
     /// Looks for a head in what is held: at once, and then only where a line that may end one has
@@ -193,10 +221,27 @@
 
     /// What cannot be read ends the connection, whatever waits on it.
     fn refuse(&self) -> io::Error {
-        self.intake.unreadable.set(!self.intake.busy());
+        self.intake.spoilt.set(true);
         io::Error::new(io::ErrorKind::InvalidData, "no request")
     }
 
+    /// Throws away what waits behind a request, where it is too much: nothing can follow that request any more.
+    /// Guards against clients that send much and leave: who is not read from is not seen to go. One that sends
+    /// without end is no client.
+    fn make_room(&mut self) -> io::Result<()> {
+        if self.held.len() < MOST_HELD && self.thrown_away == 0 {
+            return Ok(());
+        }
+        self.intake.last.set(true);
+        self.thrown_away += self.held.len();
+        self.held.clear();
+        self.seen = 0;
+        if self.thrown_away > MOST_THROWN_AWAY {
+            return Err(self.refuse());
+        }
+        Ok(())
+    }
+
     fn pass_on(&mut self, buf: &mut ReadBuf<'_>) {
         let n = self.held.len().min(buf.remaining()).min(usize::try_from(self.left).unwrap_or(usize::MAX));
         buf.put_slice(&self.held[..n]);
@@ -229,9 +274,7 @@
                     return Poll::Ready(Err(self.refuse()));
                 }
                 *self.intake.waiting.borrow_mut() = Some(cx.waker().clone());
-                if self.held.len() >= LONGEST_HEAD {
-                    return Poll::Pending;
-                }
+                self.make_room()?;
             }
             let Reader { stream, held, intake, .. } = &mut *self;
             held.reserve(CHUNK);
@@ -245,50 +288,22 @@
 
 impl AsyncWrite for Reader {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        Pin::new(&mut *self.stream.borrow_mut()).poll_write(cx, buf)
+        let n = ready!(Pin::new(&mut *self.stream.borrow_mut()).poll_write(cx, buf))?;
+        self.intake.unwritten.set(Some(Instant::now()));
+        Poll::Ready(Ok(n))
     }
 
+    /// Called once all that was to be written is.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
+        self.intake.unwritten.set(None);
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         // The answer to what cannot be read is not hyper's, and is still to come.
-        Poll::Ready(if self.intake.unreadable.get() {
-            Ok(())
-        } else {
-            super::end_sending(&self.stream.borrow())
-        })
+        Poll::Ready(if self.intake.refused() { Ok(()) } else { super::end_sending(&self.stream.borrow()) })
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_request_ends_where_its_one_length_says_and_nowhere_else() {
-        let head = |fields: &str| format!("POST /transfer HTTP/1.1\r\nHost: x\r\n{fields}\r\n");
-        let of = |fields: &str| next(head(fields).as_bytes());
-        let bare = head("").len() as u64;
-        assert_eq!(of(""), Next::Request(bare));
-        assert_eq!(of("Content-Length: 4\r\n"), Next::Request(bare + 19 + 4));
-        assert_eq!(of("transfer-encoding: chunked\r\n"), Next::Chunked);
-        for doubt in [
-            "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
-            "Transfer-Encoding: chunked\r\ncontent-length: 4\r\n",
-            "Content-Length: 4\r\nContent-Length: 4\r\n",
-            "Content-Length: -4\r\n",
-            "Content-Length: +4\r\n",
-            "Content-Length: 4, 4\r\n",
-            "Content-Length:\r\n",
-            "Content-Length: 99999999999999999999\r\n",
-            "no field\r\n",
-        ] {
-            assert_eq!(of(doubt), Next::Unreadable, "{doubt}");
-        }
-        assert_eq!(next(b"POST /transfer HT"), Next::Incomplete);
-        assert_eq!(next(b"dy"), Next::Unreadable);
-        assert_eq!(next(&vec![b'A'; LONGEST_HEAD]), Next::Unreadable);
-    }
-}
+mod tests;
--- a/crates/server/tests/daily/handover.rs
+++ b/crates/server/tests/daily/handover.rs
@@ -98,6 +98,26 @@
     }
 }
 
+/// Guards against reckoning the time in which idle connections stay open from deadlines that leave none.
+#[test]
+fn with_the_shortest_deadlines_the_process_before_ends_in_time() {
+    let backend = good();
+    let (director, place) = (Director::new(&[("s-1", backend.address)]), Place::new());
+    let short = (r#""give-up-ms":5000"#, r#""give-up-ms":200"#);
+    let start = || Program::start_at(&place, &director, 512, &[ADMIN, short]);
+    let mut old = start();
+    wait_for_yes(&old);
+    let mut idle = old.connect();
+    assert_eq!(ask_on(&mut idle, &req("transfer", "id-1")).status(), 200);
+    let new = start();
+    wait_for_yes(&new);
+    until("its place", || old.log().contains("the next process can serve"));
+    old.signal("-TERM");
+    assert_eq!(idle.read(&mut [0; 1]).expect("an end and no reset"), 0);
+    assert_eq!(old.wait().code(), Some(0));
+    assert_eq!(ask(place.listen, &req("transfer", "id-2")).map(|m| m.status()), Some(200));
+}
+
 /// A new process that ends before or after its yes leaves the old one serving, and the next one takes over.
 #[test]
 fn a_new_process_that_ends_leaves_the_old_one_as_it_was() {
--- a/crates/server/tests/sockets/main.rs
+++ b/crates/server/tests/sockets/main.rs
@@ -2,7 +2,9 @@
 //! that its protocol promises, and for each failure found.
 
 mod backends;
+mod closing;
 mod director;
+mod leaving;
 mod malformed;
 mod passing;
 mod room;
@@ -77,3 +79,22 @@
     });
     (peer, open)
 }
+
+/// Bytes that have come from an address, and that nobody has read.
+fn unread_from(address: std::net::SocketAddr) -> usize {
+    let std::net::SocketAddr::V4(v4) = address else { panic!("{address} is not of IPv4") };
+    let entry = format!(" {:08X}:{:04X} ", u32::from_ne_bytes(v4.ip().octets()), v4.port());
+    let list = std::fs::read_to_string("/proc/net/tcp").expect("the system's list");
+    // Of each socket: its own address, the other one, its state, and the bytes that it has to send and to be read.
+    let of = |line: &str| {
+        let (own, rest) = line.split_once(&entry)?;
+        let queue = rest.split([' ', ':']).nth(2).filter(|_| own.matches(':').count() == 2)?;
+        Some(usize::from_str_radix(queue, 16).expect("a number"))
+    };
+    list.lines().filter_map(of).sum()
+}
+
+/// Whether a connection was closed and not reset; to be asked once the program has let go of it.
+fn no_reset(client: &std::net::TcpStream) -> bool {
+    client.take_error().expect("its state").is_none()
+}
--- a/crates/server/tests/sockets/malformed.rs
+++ b/crates/server/tests/sockets/malformed.rs
@@ -122,3 +122,64 @@
     assert!(answer.starts_with("HTTP/1.1 413") && answer.contains("connection: close"), "{answer}");
     assert!(start.elapsed().as_millis() < 1_400, "{:?}", start.elapsed());
 }
+
+/// What is odd and no fault is served; what is amiss ends with a 400, and takes nothing along that came before it.
+#[test]
+fn what_is_odd_is_served_and_what_is_amiss_ends_plainly() {
+    let backend = good();
+    let mut program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let text = |id: &str| req("transfer", id);
+    let with =
+        |id: &str, field: &str| text(id).replace("Content-Length", &format!("{field}\r\nContent-Length"));
+    let behind = |id: &str| with(id, "Connection: close");
+    let served = [
+        behind("closes") + &text("not-served"),
+        text("old").replace("HTTP/1.1", "HTTP/1.0"),
+        with("upgrades", "Upgrade: h2c") + &behind("then"),
+        text("absolute").replace("POST /", "POST http://backend.local/") + &behind("follows"),
+        "\r\n\r\n".to_owned() + &behind("late-lines"),
+    ];
+    for text in &served {
+        let answer = told(&program, &[text]);
+        let (whole, ids) = (answer.matches(" 200 OK").count(), text.matches("Req-Id").count());
+        assert_eq!(whole, ids - text.matches("not-served").count(), "{answer} to {text}");
+        assert_eq!(answer.matches("HTTP/1.").count(), whole, "{answer} to {text}");
+    }
+    // Its body comes once it is asked for.
+    let (head, body) = with("expects", "Expect: 100-continue")
+        .split_once("body")
+        .map(|(h, _)| (h.to_owned(), "body"))
+        .expect("a body");
+    let mut client = program.connect();
+    client.write_all(head.as_bytes()).expect("written");
+    let mut word = [0; 25];
+    client.read_exact(&mut word).expect("a word");
+    assert_eq!(&word, b"HTTP/1.1 100 Continue\r\n\r\n");
+    assert_eq!(ask_on(&mut client, body).status(), 200);
+    let before = backend.count();
+    for amiss in [
+        text("nul").replace("storholt", "stor\0holt"),
+        text("nul-id").replace("nul-id", "nul\0id"),
+        text("no-version").replace(" HTTP/1.1", ""),
+        text("later").replace("HTTP/1.1", "HTTP/2.0"),
+        "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".to_owned(),
+        text("target").replace("POST /transfer", "POST transfer"),
+        with("long", &format!("X: {}", "x".repeat(9_000))),
+    ] {
+        let answer = told(&program, &[&amiss]);
+        let one = answer.starts_with("HTTP/1.1 4") && answer.matches("HTTP/1.").count() == 1;
+        assert!(one, "{answer} to {}", &amiss[..amiss.len().min(400)]);
+        // Behind one that is served it ends the connection, once that is answered or at once.
+        let answer = told(&program, &[&text("before"), &amiss]);
+        assert!(answer.matches(" 200 OK").count() <= 1, "{answer} to {}", &amiss[..amiss.len().min(400)]);
+    }
+    let seen = backend.seen.lock().unwrap()[before..].to_vec();
+    assert!(seen.iter().all(|m| m.field("req-id") == Some("before")), "{seen:?}");
+    program.signal("-TERM");
+    assert_eq!(program.wait().code(), Some(0));
+    until("the log's last counts", || program.log().contains("stopped"));
+    let log = program.log();
+    let bad = log.split("bad_reqs: ").last().and_then(|t| t.split(',').next()?.parse().ok());
+    assert!(bad.is_some_and(|bad: usize| (7..=14).contains(&bad)), "{log}");
+    assert!(log.lines().count() < 20, "no line for each: {log}");
+}
--- a/crates/server/tests/sockets/room.rs
+++ b/crates/server/tests/sockets/room.rs
@@ -102,3 +102,42 @@
     assert_eq!(kept[0].read(&mut [0]).expect("an end"), 0, "24 of 32 connections are kept");
     assert_eq!(ask_on(&mut kept[20], &req("transfer", "again")).status(), 200);
 }
+
+/// Guards against idle clients that leave no descriptor for the director: it is down while they come, and each call
+/// needs a new one. The limit is the system's as well.
+#[test]
+fn idle_clients_leave_room_for_the_director_and_for_new_ones() {
+    for sockets in [64, 256] {
+        let backend = good();
+        let down = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
+        let (list, is_down) = (Director::new(&[("s-1", backend.address)]).known(), down.clone());
+        let director = Peer::new(move |_, stream| {
+            let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
+            !is_down.load(Ordering::SeqCst) && stream.write_all(answer.as_bytes()).is_ok()
+        });
+        let path = config(director.address, "null", sockets);
+        let limited = format!("ulimit -n {sockets} && exec \"$0\" serve");
+        let mut command = std::process::Command::new("sh");
+        command
+            .args(["-c", &limited])
+            .arg(Program::binary())
+            .env("ROUTER_CONFIG", &path)
+            .env_remove("TMPDIR");
+        let mut program = Program::run(&mut command, path);
+        let mut crowd: Vec<_> = (0..2 * sockets).map(|_| program.connect()).collect();
+        let (calls, ready) = (director.count(), "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+        until("calls beside the crowd", || director.count() > calls + 1);
+        crowd.extend((0..sockets).map(|_| program.connect()));
+        assert_eq!(program.ask(ready).status(), 503);
+        down.store(false, Ordering::SeqCst);
+        until("the list", || program.ask(ready).status() == 200);
+        for n in 0..8 {
+            crowd.push(program.connect());
+            assert_eq!(program.ask(&req("transfer", &format!("id-{n}"))).status(), 200);
+        }
+        program.signal("-TERM");
+        assert_eq!(program.wait().code(), Some(0));
+        assert!(!program.log().contains("accept failed"), "{}", program.log());
+        drop(crowd);
+    }
+}
--- a/crates/server/tests/sockets/stop.rs
+++ b/crates/server/tests/sockets/stop.rs
@@ -35,21 +35,68 @@
     drop((unused, half));
 }
 
-/// Guards against a req taken late in a stop that waits for its deadline, when SIGKILL comes first
-/// (3.7 s after SIGTERM, as the longest deadline is over 3 s).
+/// Guards against a req taken late in a stop that waits for its deadline, at a backend or for one, when SIGKILL
+/// comes first (3.7 s after SIGTERM, as the longest deadline is over 3 s).
 #[test]
 fn what_is_taken_late_in_a_stop_is_answered_before_the_kill() {
-    let backend = Peer::new(|_, _| true);
-    let mut program = Program::start(&Director::new(&[("s-1", backend.address)]));
-    let mut client = program.connect();
-    client.write_all(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").expect("written");
-    assert_eq!(Message::read(&mut BufReader::new(&mut client)).expect("an answer").status(), 200);
+    std::thread::scope(|s| {
+        // One whose last byte comes late has arrived late, whenever it began.
+        for (lifecycle, begun, expected, sent) in
+            [("ready", 0, 502, 1), ("ready", 100, 502, 1), ("draining", 0, 503, 0)]
+        {
+            s.spawn(move || {
+                let backend = Peer::new(|_, _| true);
+                let director = Director::new(&[("s-1", backend.address)]);
+                let mut program = Program::start(&director);
+                let mut client = program.connect();
+                let ready = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
+                assert_eq!(ask_on(&mut client, ready).status(), 200);
+                director.set("s-1", lifecycle);
+                until("the news", || (ask_on(&mut client, ready).status() == 200) == (lifecycle == "ready"));
+                let text = req("transfer", "id-1");
+                client.write_all(&text.as_bytes()[..begun]).expect("begun");
+                let start = std::time::Instant::now();
+                program.signal("-TERM");
+                std::thread::sleep(std::time::Duration::from_secs(1));
+                assert_eq!(ask_on(&mut client, &text[begun..]).status(), expected);
+                assert_eq!((backend.count(), program.wait().code()), (sent, Some(0)));
+                assert!(start.elapsed().as_millis() < 3_700, "{lifecycle}: {:?}", start.elapsed());
+            });
+        }
+    });
+}
+
+/// Guards against a stop that takes longer than short deadlines leave (1.7 s with 1 s): with a hanging backend, half
+/// a body, a client that takes none of its answers, and one that rests until the end.
+#[test]
+fn with_short_deadlines_the_stop_is_over_before_the_kill() {
+    let backend = Peer::new(|message, stream| match message.field("req-id") {
+        Some("hangs") => true,
+        _ => done(message, stream, &"made ".repeat(8_000)),
+    });
+    let edits = [(r#""give-up-ms":5000"#, r#""give-up-ms":1000"#)];
+    let mut program = Program::start_with(&Director::new(&[("s-1", backend.address)]), 1024, &edits);
+    let (mut greedy, resting) = (program.connect(), program.connect());
+    // More answers than the system holds for a client that reads none.
+    let all: String = (0..160).map(|n| req("transfer", &format!("untaken-{n}"))).collect();
+    greedy.write_all(all.as_bytes()).expect("written");
+    let mut before = 0;
+    until("no answer more", || {
+        std::thread::sleep(std::time::Duration::from_millis(300));
+        std::mem::replace(&mut before, backend.count()) == backend.count()
+    });
+    assert!((1..160).contains(&before), "{before} answers are written");
+    let (mut hangs, mut half) = (program.connect(), program.connect());
+    let text = req("transfer", "half");
+    half.write_all(&text.as_bytes()[..text.len() - 2]).expect("half of it");
+    hangs.write_all(req("transfer", "hangs").as_bytes()).expect("written");
     let start = std::time::Instant::now();
     program.signal("-TERM");
-    std::thread::sleep(std::time::Duration::from_secs(1));
-    assert_eq!(ask_on(&mut client, &req("transfer", "id-1")).status(), 502);
-    assert_eq!((backend.count(), program.wait().code()), (1, Some(0)));
-    assert!(start.elapsed().as_millis() < 3_700, "{:?}", start.elapsed());
+    let answer = Message::read(&mut BufReader::new(hangs)).expect("an answer").status();
+    assert!([502, 503].contains(&answer), "{answer}");
+    assert_eq!(program.wait().code(), Some(0));
+    assert!(start.elapsed().as_millis() < 1_700, "{:?}", start.elapsed());
+    drop((half, greedy, resting));
 }
 
 #[test]
--- a/crates/standin/src/program.rs
+++ b/crates/standin/src/program.rs
@@ -152,13 +152,15 @@
             std::fs::write(path.with_extension("operator"), operator).expect("written");
             command.arg("--operator").arg(path.with_extension("operator"));
         }
-        let mut child = command
-            .env("ROUTER_CONFIG", &path)
-            .env_remove("ROUTER_ADMIN")
-            .env("ROUTER_DISCOVERY", director.peer.address.to_string())
-            .stderr(Stdio::piped())
-            .spawn()
-            .expect("started");
+        command.env("ROUTER_DISCOVERY", director.peer.address.to_string());
+        let program = Program::run(command.env("ROUTER_CONFIG", &path).env_remove("ROUTER_ADMIN"), path);
+        until("ready", || program.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200);
+        program
+    }
+
+    /// By a command of the test's own, with a configuration at a path; without waiting until it is ready.
+    pub fn run(command: &mut Command, path: std::path::PathBuf) -> Program {
+        let mut child = command.stderr(Stdio::piped()).spawn().expect("started");
         let log = Arc::new(Mutex::new(String::new()));
         let (keep, errors) = (log.clone(), child.stderr.take().expect("its log"));
         std::thread::spawn(move || {
@@ -171,7 +173,6 @@
         until("the address in the log", || {
             told(&program.log()).map(|address| program.address = address).is_some()
         });
-        until("ready", || program.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200);
         program
     }
 
