--- a/crates/core/src/decide.rs
+++ b/crates/core/src/decide.rs
@@ -68,7 +68,7 @@
 const COLD_SAFETY: f64 = 0.8;
 /// Probes out at once.
 const MOST_PROBES: u32 = 16;
-/// Where more schedulers than a few share the director, each leaves it this long for every one beyond: what a
+/// Where more schedulers than a few share discovery, each leaves it this long for every one beyond: what a
 /// start without a list needs. Such a start is ready within 10 s, the turn and the answer included.
 const FEW: u32 = 4;
 const ASK_SPACING: Micros = 25_000;
@@ -664,7 +664,7 @@
         }
     }
 
-    /// Guards against many that start, or lose the director, at one moment: it serves calls in turn, and
+    /// Guards against many that start, or lose discovery, at one moment: it serves calls in turn, and
     /// one that comes while too many wait fails, but takes its turn all the same. Watches cost it nothing.
     pub(crate) fn ask_spread(&self) -> f64 {
         let s = &self.settings;
--- a/crates/core/src/facade/types.rs
+++ b/crates/core/src/facade/types.rs
@@ -36,7 +36,7 @@
     Fetch {
         /// Counted from 0 for each req.
         fetch: usize,
-        /// The backend's name in the director's list.
+        /// The backend's name in discovery's list.
         backend: Rc<str>,
         /// When it has timed out.
         until: Micros,
@@ -62,7 +62,7 @@
     },
 }
 
-/// One entry of the director's list, with names resolved to the settings' indices.
+/// One entry of discovery's list, with names resolved to the settings' indices.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     /// The backend's name, the same at every scheduler.
@@ -82,7 +82,7 @@
 /// Something that was seen.
 #[derive(Clone, Copy, Debug)]
 pub enum Seen<'a> {
-    /// News of the director's list; no entries where the call failed.
+    /// News of discovery's list; no entries where the call failed.
     List(ListKind, &'a [Entry]),
     /// The job of a fetch started to run.
     Started(Req, usize),
@@ -99,7 +99,7 @@
 pub struct Due {
     /// When to call `tick` next, unless it is woken before.
     pub next: Option<Micros>,
-    /// Subscribe to the director's list anew.
+    /// Subscribe to discovery's list anew.
     pub subscribe: bool,
     /// Backends whose load to ask for.
     pub probes: Vec<Rc<str>>,
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -60,7 +60,7 @@
     None,
 }
 
-/// Whatever the director has to tell counts as told so long after it had it and could be reached, arrived or not:
+/// Whatever discovery has to tell counts as told so long after it had it and could be reached, arrived or not:
 /// the protocol's figure, which goes before all others.
 pub const TOLD_ANYWAY: Micros = 6_000_000;
 
--- a/crates/core/tests/mechanism/list.rs
+++ b/crates/core/tests/mechanism/list.rs
@@ -1,6 +1,6 @@
-//! The list of workers: drains, calls that are refused, a slow director, and workers long gone.
+//! The list of workers: drains, calls that are refused, slow discovery, and workers long gone.
 //!
-//! It owns the tests of the list. It must never ask a director: the list comes as events.
+//! It owns the tests of the list. It must never ask discovery: the list comes as events.
 
 use oakshed_core::interface::*;
 use oakshed_core::Dispatcher;
@@ -24,7 +24,7 @@
     }
 }
 
-/// Guards against calls that chase each other at a director that is down, where the settings say nothing of
+/// Guards against calls that chase each other at discovery that is down, where the settings say nothing of
 /// how often to ask: the list is pushed on the simulator's wire, and still watched on sockets.
 #[test]
 fn a_list_that_is_refused_at_once_is_not_asked_for_without_pause() {
@@ -56,7 +56,7 @@
 
 /// Guards against pauses that grow with the settings' time for asking, or the fleet, beyond the quarter that the
 /// sum of `ask_quarter` leaves for each: what changes meanwhile counts as told. And, where the list is pushed,
-/// against any: what the director has to tell counts as told at once.
+/// against any: what discovery has to tell counts as told at once.
 #[test]
 fn a_pause_after_a_failure_is_a_quarter_of_what_is_left_at_the_most() {
     let fleets = [(10_000, 300), (1_200_000, 1), (60_000, 300), (2_000, 3), (500, 1), (500, 300), (0, 300)];
@@ -102,10 +102,10 @@
     assert_eq!(bench.dispatcher.accounts().requests, 0);
 }
 
-/// 48 dispatchers that start at one moment, and a director that serves calls in turn, 110 ms each, of which one
+/// 48 dispatchers that start at one moment, and discovery that serves calls in turn, 110 ms each, of which one
 /// that has waited for 2 s fails but takes its turn all the same. Then it goes down, and all lose their watches.
 #[test]
-fn many_that_start_at_one_moment_are_all_heard_by_a_slow_director() {
+fn many_that_start_at_one_moment_are_all_heard_by_slow_discovery() {
     let new = |n: u64| {
         let settings = Settings { dispatchers: 48, list_on_request: true, ..settings() };
         let mut d = Dispatcher::new(settings, n).expect("usable");
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -361,7 +361,7 @@
     }
 }
 
-/// Guards against hundreds that start without a list, at one moment, and all call a director that serves in turn:
+/// Guards against hundreds that start without a list, at one moment, and all call discovery that serves in turn:
 /// it is asked for as many lists a second as it can be taken to give, and the last still has its list in time.
 #[test]
 fn without_a_list_each_of_many_calls_at_a_moment_of_its_own() {
--- a/crates/jobs/src/machine/mod.rs
+++ b/crates/jobs/src/machine/mod.rs
@@ -93,7 +93,7 @@
     trimmed: u64,
     /// Some list has named workers, be it the one remembered from before the start.
     listed: bool,
-    /// The director itself has been heard in this life.
+    /// Discovery itself has been heard in this life.
     fresh: bool,
     failed: bool,
     full: bool,
--- a/crates/peers/src/asking.rs
+++ b/crates/peers/src/asking.rs
@@ -1,4 +1,4 @@
-//! Who may ask the director for the whole list when hundreds start at once.
+//! Who may ask discovery for the whole list when hundreds start at once.
 //!
 //! It owns the order of the askers: the join addresses as the settings name them, as all members know
 //! these before they know each other, then the living by rendezvous hash (Thaler and Ravishankar, 'Using
--- a/crates/peers/src/facts.rs
+++ b/crates/peers/src/facts.rs
@@ -1,9 +1,9 @@
-//! What a newcomer learns from a running process about the workers: the director's list with its
+//! What a newcomer learns from a running process about the workers: discovery's list with its
 //! number, who is leaving, since when each runs.
 //!
-//! It owns the newest list that is known of the own director, by whoever told it, and the changes that
+//! It owns the newest list that is known of the own discovery, by whoever told it, and the changes that
 //! lead to it. It must never let a peer's word relax a rule: an older list never overrides a newer one,
-//! lists of different directors are never compared, and what comes out as news only makes a scheduler
+//! lists of different discoveries are never compared, and what comes out as news only makes a scheduler
 //! more careful (a worker leaves, a worker started later than thought).
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,7 +13,7 @@
 use crate::message::{ListNumber, ListPart};
 use crate::Micros;
 
-/// The longest id of a worker or name of a director, in bytes.
+/// The longest id of a worker or name of discovery, in bytes.
 pub const ID: usize = 64;
 /// Gone workers that are remembered, so that others hear of them.
 const GONE: usize = 256;
@@ -65,9 +65,9 @@
     },
     /// The whole list of this number is held now.
     Whole {
-        /// The director's number.
+        /// Discovery's number.
         number: u64,
-        /// How old the director's word is.
+        /// How old discovery's word is.
         age: Micros,
     },
 }
@@ -94,7 +94,7 @@
 /// The newest list that is known.
 #[derive(Clone, Debug)]
 pub struct Facts {
-    director: String,
+    discovery: String,
     /// The most workers.
     most: usize,
     /// Older words than this are not heard.
@@ -103,25 +103,25 @@
     told: Micros,
     workers: BTreeMap<String, Entry>,
     coming: Option<Coming>,
-    /// Parts of lists of other directors, or older ones, or with more workers than there may be.
+    /// Parts of lists of other discoveries, or older ones, or with more workers than there may be.
     pub not_used: u64,
 }
 
 impl Facts {
-    /// Of one director, known by its address as the settings have it.
-    pub fn new(director: &str, most: usize, oldest: Micros) -> Facts {
-        let director = director.to_owned();
+    /// Of one discovery, known by its address as the settings have it.
+    pub fn new(discovery: &str, most: usize, oldest: Micros) -> Facts {
+        let discovery = discovery.to_owned();
         let (workers, coming) = (BTreeMap::new(), None);
-        Facts { director, most, oldest, number: 0, told: 0, workers, coming, not_used: 0 }
+        Facts { discovery, most, oldest, number: 0, told: 0, workers, coming, not_used: 0 }
     }
 
     /// The list that is held.
     pub fn held(&self) -> ListNumber {
-        let director = crc32fast::hash(self.director.as_bytes()) & 0xff_ffff;
-        ListNumber { director, number: self.number }
+        let discovery = crc32fast::hash(self.discovery.as_bytes()) & 0xff_ffff;
+        ListNumber { discovery, number: self.number }
     }
 
-    /// The own director told the whole list: first-hand, so it counts whatever its number is. True where
+    /// The own discovery told the whole list: first-hand, so it counts whatever its number is. True where
     /// it is news for others.
     pub fn told(&mut self, now: Micros, number: u64, list: &[Worker]) -> bool {
         let news = number != self.number;
@@ -165,7 +165,7 @@
 
     /// The parts that bring a peer from its list to the one that is held.
     pub fn parts(&self, now: Micros, theirs: ListNumber) -> Vec<ListPart> {
-        if theirs.director != self.held().director || theirs.number >= self.number {
+        if theirs.discovery != self.held().discovery || theirs.number >= self.number {
             return Vec::new();
         }
         let base = theirs.number;
@@ -187,7 +187,7 @@
         let Ok(of) = u8::try_from(parts.len()) else { return Vec::new() };
         let age = now.saturating_sub(self.told) / 1_000;
         let part = |(part, workers)| ListPart {
-            director: self.director.clone(),
+            discovery: self.discovery.clone(),
             base,
             number: self.number,
             age,
@@ -200,10 +200,10 @@
 
     /// A part of a peer's list came.
     pub fn hear(&mut self, now: Micros, part: ListPart) -> Vec<News> {
-        let ListPart { director, base, number, age, part, of, workers } = part;
+        let ListPart { discovery, base, number, age, part, of, workers } = part;
         let age = age.saturating_mul(1_000);
         let fits = part < of && workers.len() <= self.most + GONE && workers.iter().all(|w| w.id.len() <= ID);
-        if director != self.director || number <= self.number || age > self.oldest || !fits {
+        if discovery != self.discovery || number <= self.number || age > self.oldest || !fits {
             self.not_used += 1;
             return Vec::new();
         }
--- a/crates/peers/src/message.rs
+++ b/crates/peers/src/message.rs
@@ -8,12 +8,12 @@
 use crate::membership::Met;
 use crate::rows::Owner;
 
-/// A list by its director (24 bits of a hash of its name) and number; number 0: none is held.
+/// A list by its discovery (24 bits of a hash of its name) and number; number 0: none is held.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListNumber {
-    /// Whose numbers these are. Numbers of different directors are never compared.
-    pub director: u32,
-    /// The director's number.
+    /// Whose numbers these are. Numbers of different discoveries are never compared.
+    pub discovery: u32,
+    /// Discovery's number.
     pub number: u64,
 }
 
@@ -73,16 +73,16 @@
     pub rows: Vec<PackedRow>,
 }
 
-/// Changes of a director's list, or all of it.
+/// Changes of discovery's list, or all of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListPart {
     /// Whose list, by name: hashes may meet.
-    pub director: String,
+    pub discovery: String,
     /// The changes are those since this number; 0: all workers.
     pub base: u64,
     /// The list's number.
     pub number: u64,
-    /// How long ago the director told it, in milliseconds.
+    /// How long ago discovery told it, in milliseconds.
     pub age: u64,
     /// Which part of how many.
     pub part: u8,
--- a/crates/peers/src/node/form.rs
+++ b/crates/peers/src/node/form.rs
@@ -22,8 +22,8 @@
     pub key: Option<Vec<u8>>,
     /// Addresses that are asked for the others.
     pub join: Vec<SocketAddr>,
-    /// The director, as the settings name it.
-    pub director: String,
+    /// Discovery, as the settings name it.
+    pub discovery: String,
     /// The most members.
     pub members: usize,
     /// The most workers.
@@ -53,7 +53,7 @@
             installation: installation.to_owned(),
             key: None,
             join,
-            director: String::new(),
+            discovery: String::new(),
             members: 1_024,
             workers: 4_096,
             skew: 60_000_000,
--- a/crates/peers/src/node/mod.rs
+++ b/crates/peers/src/node/mod.rs
@@ -86,7 +86,7 @@
                 inner,
             ),
             rows: Rows::new(me.clone(), limits, now),
-            facts: Facts::new(&config.director, config.workers, config.oldest),
+            facts: Facts::new(&config.discovery, config.workers, config.oldest),
             budget: Budget::new(config.rate, config.burst, now),
             cursor: Cursor::new(rng.u32(..)),
             installation: installation.clone(),
@@ -95,7 +95,7 @@
             listed: BTreeMap::new(),
             asked: 0,
             next_exchange: now + rng.u64(0..config.exchange.max(1)),
-            next_ask: if config.director.is_empty() { Micros::MAX } else { now + rng.u64(0..ASK_EVERY) },
+            next_ask: if config.discovery.is_empty() { Micros::MAX } else { now + rng.u64(0..ASK_EVERY) },
             asks: 0,
             every: config.exchange,
             forget,
@@ -158,7 +158,7 @@
         old.restore(&mut self.rows);
     }
 
-    /// The own director told the whole list.
+    /// The own discovery told the whole list.
     pub fn told(&mut self, now: Micros, number: u64, list: &[Worker]) {
         if self.facts.told(now, number, list) {
             self.tell_list(now);
@@ -244,7 +244,7 @@
     /// The one with the newer list sends what changed, the one with the older asks.
     fn compare_lists(&mut self, now: Micros, from: SocketAddr, theirs: ListNumber) {
         let held = self.facts.held();
-        if theirs.director != held.director || theirs.number == held.number {
+        if theirs.discovery != held.discovery || theirs.number == held.number {
             return;
         }
         if theirs.number > held.number {
--- a/crates/peers/tests/fleet/lists.rs
+++ b/crates/peers/tests/fleet/lists.rs
@@ -1,4 +1,4 @@
-//! What members learn of the director's list from one another.
+//! What members learn of discovery's list from one another.
 
 use std::collections::BTreeMap;
 
@@ -18,7 +18,7 @@
 
 #[test]
 fn a_drain_that_one_was_told_is_heard_by_all_and_an_older_list_overrides_nothing() {
-    let mut world = World::new(100, 1, |config| config.director = "d1".into());
+    let mut world = World::new(100, 1, |config| config.discovery = "d1".into());
     world.until(30 * S, "all know all", World::all_know_all);
     let mut workers = list(60);
     for i in 0..100 {
@@ -53,9 +53,9 @@
     assert!((0..100).all(|i| number(&world, i) == 41));
 }
 
-/// The whole fleet starts without a list. The director answers one call after the other, in 20 ms.
+/// The whole fleet starts without a list. Discovery answers one call after the other, in 20 ms.
 fn cold_start(n: usize, seed: u64, kill_askers: usize) -> (usize, u64) {
-    let mut world = World::new(n, seed, |config| config.director = "d1".into());
+    let mut world = World::new(n, seed, |config| config.discovery = "d1".into());
     let workers = list(60);
     let join: Vec<_> = (0..joins(n)).map(address).collect();
     let (mut calls, mut asked, mut served, mut killed) = (0, BTreeMap::new(), Vec::new(), 0);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn two_hundred_cold_members_spare_the_director() {
+fn two_hundred_cold_members_spare_discovery() {
     for seed in [1, 2, 3] {
         for kill in [0, 2] {
             let (calls, took) = cold_start(200, seed, kill);
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -32,7 +32,7 @@
 const MOST_MEMORY_MB: usize = 1 << 24;
 /// How much of the file is read: what goes on behind is cut off, and can't be used.
 const LARGEST_FILE: u64 = 4 << 20;
-/// The variable with the director's address.
+/// The variable with discovery's address.
 pub(crate) const DISCOVERY: &str = "ROUTER_DISCOVERY";
 
 /// The variable with the operators' address.
@@ -45,8 +45,8 @@
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// The director's address.
-    pub director: SocketAddr,
+    /// Discovery's address.
+    pub discovery: SocketAddr,
     /// Where operators call, if anywhere.
     pub admin: Option<SocketAddr>,
     /// A folder of its own that outlives a process, if there is one.
@@ -57,7 +57,7 @@
     pub sockets: usize,
     /// Bytes of memory that it may use.
     pub memory: usize,
-    /// The list as last held, in the director's form.
+    /// The list as last held, in discovery's form.
     pub known: Option<Answer>,
     /// The settings of the decisions.
     pub settings: Settings,
@@ -142,7 +142,7 @@
         Ok(Config {
             name: var("ROUTER_NAME").or(file.name).unwrap_or_else(|| "scheduler".into()),
             listen: address("ROUTER_LISTEN", "listen", &file.listen)?,
-            director: address(DISCOVERY, "discovery", &file.discovery)?,
+            discovery: address(DISCOVERY, "discovery", &file.discovery)?,
             admin,
             tmp: var("TMPDIR").filter(|path| !path.is_empty()).map(PathBuf::from),
             seed: u64::from_str_radix(&seed, 16).map_err(|_| wrong(&"'seed' is not a hexadecimal number"))?,
--- a/crates/server/src/demo.rs
+++ b/crates/server/src/demo.rs
@@ -1,4 +1,4 @@
-//! A try without a platform: stand-ins of a director and a fleet, a scheduler, and some hundred jobs,
+//! A try without a platform: stand-ins of discovery and a fleet, a scheduler, and some hundred jobs,
 //! all on loopback ports.
 //!
 //! It owns nothing that serves: the scheduler is the same program, started as a process of its own.
@@ -9,7 +9,7 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-use oakshed_standin::{ask, config, req, Director, Message, Worker, WorkerOptions};
+use oakshed_standin::{ask, config, req, Discovery, Message, Worker, WorkerOptions};
 
 const WORKERS: usize = 6;
 /// The unit of processor time in /proc, a second's hundredth on every Linux.
@@ -37,10 +37,10 @@
     let names: Vec<String> = (0..WORKERS).map(|n| format!("s-{n}")).collect();
     let entries: Vec<(&str, SocketAddr)> =
         names.iter().map(String::as_str).zip(fleet.iter().map(|w| w.address)).collect();
-    let director = Director::new(&entries);
+    let discovery = Discovery::new(&entries);
     // A port that is free now: the scheduler takes it in a moment.
     let address = std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()?;
-    let path = config(director.peer.address, "null", 1024);
+    let path = config(discovery.peer.address, "null", 1024);
     let mut command = Command::new(std::env::current_exe()?);
     command.arg("serve");
     let mut leftovers = vec![path.clone()];
@@ -54,11 +54,11 @@
     let child = command
         .env("ROUTER_CONFIG", &path)
         .env("ROUTER_LISTEN", address.to_string())
-        .env("ROUTER_DISCOVERY", director.peer.address.to_string())
+        .env("ROUTER_DISCOVERY", discovery.peer.address.to_string())
         .stdin(Stdio::null())
         .spawn()?;
     let mut scheduler = Scheduler(child, leftovers);
-    println!("{WORKERS} workers, a director at {}, a scheduler at {address}", director.peer.address);
+    println!("{WORKERS} workers, discovery at {}, a scheduler at {address}", discovery.peer.address);
     let start = Instant::now();
     while ask(address, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").is_none_or(|m| m.status() != 200) {
         if start.elapsed() > PATIENCE {
--- a/crates/server/src/list.rs
+++ b/crates/server/src/list.rs
@@ -1,4 +1,4 @@
-//! The director's list in its JSON form, as it comes over the network and in the configuration.
+//! Discovery's list in its JSON form, as it comes over the network and in the configuration.
 //!
 //! It owns that form and the meaning of its words. It must never let a malformed list in, nor read a
 //! word that it does not know as leave to send.
@@ -14,7 +14,7 @@
 /// The word for who is no more in the list.
 const GONE: &str = "gone";
 
-/// An answer of the director: the whole list, or what has changed.
+/// An answer of discovery: the whole list, or what has changed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Answer {
     /// The list's number.
@@ -26,7 +26,7 @@
     pub instances: Vec<Instance>,
 }
 
-/// One entry, as the director words it.
+/// One entry, as discovery words it.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Instance {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The whole list, in the director's form; nothing where none was ever told.
+    /// The whole list, in discovery's form; nothing where none was ever told.
     pub fn whole(&self) -> Option<Answer> {
         let instances: Vec<Instance> = self.instances.values().cloned().collect();
         let (generation, reset) = (self.generation, true);
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -125,10 +125,10 @@
     }
     let c = config(operator)?;
     println!(
-        "{}: listens on {}, director {}, {} classes, {} tenants, {} sockets",
+        "{}: listens on {}, discovery {}, {} classes, {} tenants, {} sockets",
         c.name,
         c.listen,
-        c.director,
+        c.discovery,
         c.names.classes.len(),
         c.names.tenants.len(),
         c.sockets
--- a/crates/server/src/net/backends/mod.rs
+++ b/crates/server/src/net/backends/mod.rs
@@ -46,7 +46,7 @@
     idle: Vec<(Micros, Link)>,
 }
 
-/// All backends that the director has named, and the connections to them.
+/// All backends that discovery has named, and the connections to them.
 #[derive(Default)]
 pub(crate) struct Backends {
     all: RefCell<FxHashMap<Rc<str>, Backend>>,
@@ -60,7 +60,7 @@
 }
 
 impl Backends {
-    /// Takes over what the director tells; in a whole list, who is not named is gone.
+    /// Takes over what discovery tells; in a whole list, who is not named is gone.
     pub(crate) fn update<'a>(&self, whole: bool, list: impl Iterator<Item = (&'a Entry, SocketAddr)>) {
         let mut all = self.all.borrow_mut();
         if whole {
--- a/crates/server/src/net/director/mod.rs
+++ b/crates/server/src/net/discovery/mod.rs
@@ -1,6 +1,6 @@
-//! The director: the list of backends, and the watch on its changes.
+//! Discovery: the list of backends, and the watch on its changes.
 //!
-//! It owns the connections to the director (up to three for as long as a watch seems silent) and the number of
+//! It owns the connections to discovery (up to three for as long as a watch seems silent) and the number of
 //! the list held, and keeps the backends' addresses and the facade's list in step. It must never decide when to
 //! subscribe (the facade says so) or for how long to wait (`watch`), or let a malformed list in.
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Watches the list, always at the director's present address.
+/// Watches the list, always at discovery's present address.
 pub(crate) async fn run(net: Rc<Net>) {
     let settings = &net.config.settings;
     // Where the settings say that the list is pushed, the module never asks for the first one, and the whole is
@@ -71,23 +71,23 @@
     let pushed = !settings.list_on_request;
     let mut generation = net.config.known.as_ref().filter(|_| !pushed).map(|known| known.generation);
     let (mut at_once, unheard) = (pushed, Cell::new(pushed));
-    let mut address = net.director.subscribe();
+    let mut address = net.discovery.subscribe();
     loop {
         let at = *address.borrow_and_update();
         let (seed, failing) = (net.config.seed ^ net.clock.now(), Cell::new(false));
-        let director = At { net: &net, at, unheard: &unheard, failing };
-        // Wherever the watch stands when the director moves (in a call, or waiting for the next),
+        let discovery = At { net: &net, at, unheard: &unheard, failing };
+        // Wherever the watch stands when discovery moves (in a call, or waiting for the next),
         // it ends: the old one may close any moment, and what it tells is old.
         tokio::select! {
             _ = address.changed() => {}
-            () = Watch::new(&director, settings, seed).run(&mut generation, at_once) => {}
+            () = Watch::new(&discovery, settings, seed).run(&mut generation, at_once) => {}
         }
         // The new one may number its lists differently: it is asked for the whole, at once.
         (generation, at_once) = (None, true);
     }
 }
 
-/// The director at one address.
+/// Discovery at one address.
 struct At<'a> {
     net: &'a Rc<Net>,
     at: SocketAddr,
@@ -97,7 +97,7 @@
     failing: Cell<bool>,
 }
 
-impl watch::Director for At<'_> {
+impl watch::Discovery for At<'_> {
     type Link = Link;
 
     async fn call(
@@ -106,7 +106,7 @@
         from: Option<u64>,
         hold: Duration,
     ) -> Result<(Answer, Link), String> {
-        self.net.count(|c| &mut c.director_calls);
+        self.net.count(|c| &mut c.discovery_calls);
         let mut link = match link.filter(|link| !link.is_dead()) {
             Some(link) => link,
             None => {
@@ -162,10 +162,10 @@
 
     fn failed(&self, why: &str) {
         self.unheard.take().then(|| recall(self.net));
-        self.net.count(|c| &mut c.director_failures);
-        // Once for all in a row: a director that is down is called many times a second where the list is pushed.
+        self.net.count(|c| &mut c.discovery_failures);
+        // Once for all in a row: discovery that is down is called many times a second where the list is pushed.
         if !self.failing.replace(true) {
-            warn!("director: {why}");
+            warn!("discovery: {why}");
         }
         self.net.report(Seen::List(ListKind::Refused, &[]));
     }
--- a/crates/server/src/net/director/tests.rs
+++ b/crates/server/src/net/discovery/tests.rs
@@ -1,7 +1,7 @@
-//! The watch on the list in virtual time: whole fleets before a director that serves in turn, resets, refuses,
+//! The watch on the list in virtual time: whole fleets before discovery that serves in turn, resets, refuses,
 //! falls silent, goes down and moves.
 //!
-//! It owns that director. It must never decide on a call: the facade and the watch do.
+//! It owns that discovery. It must never decide on a call: the facade and the watch do.
 
 use std::cell::RefCell;
 use std::future::pending;
@@ -12,7 +12,7 @@
 use tokio::sync::{oneshot, watch, Mutex};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use super::watch::{Director, Watch};
+use super::watch::{Discovery, Watch};
 use crate::list::Answer;
 use oakshed_core::facade::{Condition, Entry, Facade, ListKind, Micros, Seen, Settings};
 use oakshed_core::interface::{Class, Effect, Scope};
@@ -31,7 +31,7 @@
     down: bool,
 }
 
-/// How a scheduler stands with the director.
+/// How a scheduler stands with discovery.
 #[derive(Clone, Copy, PartialEq)]
 enum Standing {
     Calling,
@@ -124,7 +124,7 @@
         self.signal.send_modify(change);
     }
 
-    /// The director serves one call: for itself, as one that its caller has given up takes its turn all the same.
+    /// Discovery serves one call: for itself, as one that its caller has given up takes its turn all the same.
     async fn serve(self: Rc<Fleet>, n: usize, from: Option<u64>, hold: Duration) -> Result<Answer, String> {
         let mut signal = self.signal.subscribe();
         let before = *signal.borrow_and_update();
@@ -189,7 +189,7 @@
     }
 }
 
-impl Director for Sim {
+impl Discovery for Sim {
     type Link = ();
 
     async fn call(&self, _: Option<()>, from: Option<u64>, hold: Duration) -> Result<(Answer, ()), String> {
@@ -248,9 +248,9 @@
     Refuse,
     /// The next call of each is never answered.
     Hang,
-    /// The director is down for a while.
+    /// Discovery is down for a while.
     Down,
-    /// All are told of another director.
+    /// All are told of another discovery.
     Move,
 }
 use Trouble::*;
@@ -342,7 +342,7 @@
     });
 }
 
-/// Hundreds that start at one moment without a list, before a director that serves in turn.
+/// Hundreds that start at one moment without a list, before discovery that serves in turn.
 #[test]
 fn nine_in_ten_of_hundreds_have_a_list_within_ten_seconds() {
     for turn in [5, 20] {
--- a/crates/server/src/net/director/watch.rs
+++ b/crates/server/src/net/discovery/watch.rs
@@ -1,4 +1,4 @@
-//! The watch on the list: when the director is called, for how long it may hold, when a call counts as silent.
+//! The watch on the list: when discovery is called, for how long it may hold, when a call counts as silent.
 //!
 //! It owns the timing alone, so that it can be tried in virtual time. It must never open a socket, nor let a call
 //! wait without bound, nor spend more than the sum that stands at `Settings::ask_quarter`.
@@ -14,7 +14,7 @@
 
 /// A watch fallen silent is noticed within half of the time after which what it misses counts as told: its hold,
 /// and what its answer may take beyond that. The other half is that of two calls beside it. The hold is never
-/// shorter than a quarter, however slow the director is: it would be called the more often for it.
+/// shorter than a quarter, however slow discovery is: it would be called the more often for it.
 const NOTICED: Duration = Duration::from_micros(TOLD_ANYWAY / 2);
 const LONGEST_QUIET: Duration = Duration::from_micros(TOLD_ANYWAY / 8);
 const LONGEST_HOLD: Duration = NOTICED.saturating_sub(LONGEST_QUIET);
@@ -26,8 +26,8 @@
 /// watch must come. A new watch holds no longer at first, so that one that is not answered is soon noticed.
 const PAUSE: Duration = Duration::from_millis(100);
 
-/// What the timing needs of the director, and of the scheduler.
-pub(super) trait Director {
+/// What the timing needs of discovery, and of the scheduler.
+pub(super) trait Discovery {
     /// A connection, kept from one call to the next.
     type Link;
     /// One call, on the connection or on a new one; without a number it is for the whole list.
@@ -52,19 +52,19 @@
 }
 
 /// How calls go at one address.
-pub(super) struct Watch<'a, D: Director> {
-    director: &'a D,
+pub(super) struct Watch<'a, D: Discovery> {
+    discovery: &'a D,
     settings: &'a Settings,
     rng: fastrand::Rng,
     link: Option<D::Link>,
-    /// How much later than their holds answers without news came lately: what a turn at the director takes.
+    /// How much later than their holds answers without news came lately: what a turn at discovery takes.
     turn: Duration,
 }
 
-impl<'a, D: Director> Watch<'a, D> {
-    pub(super) fn new(director: &'a D, settings: &'a Settings, seed: u64) -> Self {
+impl<'a, D: Discovery> Watch<'a, D> {
+    pub(super) fn new(discovery: &'a D, settings: &'a Settings, seed: u64) -> Self {
         let rng = fastrand::Rng::with_seed(seed);
-        Watch { director, settings, rng, link: None, turn: Duration::ZERO }
+        Watch { discovery, settings, rng, link: None, turn: Duration::ZERO }
     }
 
     /// Watches the list whenever the facade asks for it, and now where that is wanted.
@@ -72,12 +72,12 @@
         loop {
             let told = std::mem::take(&mut now);
             if !told {
-                self.director.wanted().await;
+                self.discovery.wanted().await;
             }
             let first = generation.is_none() && !told;
             // Half of the time for which a scheduler without a watch is held to the list that it has.
             let half = Duration::from_micros(self.settings.ask_every.min(TOLD_ANYWAY) / 2);
-            let pause = Duration::from_micros(self.director.spread()).min(half);
+            let pause = Duration::from_micros(self.discovery.spread()).min(half);
             let mut fresh = true;
             let failure = loop {
                 let called = Instant::now();
@@ -87,8 +87,8 @@
                 };
                 fresh = false;
                 let whole = generation.replace(answer.generation).is_none();
-                self.director.told(&answer);
-                // Guards against a director that does not hold: calls would chase each other.
+                self.discovery.told(&answer);
+                // Guards against discovery that does not hold: calls would chase each other.
                 if answer.instances.is_empty() && called.elapsed() < PAUSE {
                     sleep(PAUSE).await;
                 }
@@ -97,34 +97,34 @@
                     sleep_until(called + pause).await;
                 }
             };
-            self.director.failed(&failure);
+            self.discovery.failed(&failure);
         }
     }
 
     /// One call of a watch. Where its answer is overdue, a second one goes out beside it, on a connection of its
     /// own, and a third beside both; the first answer counts. Guards against taking silence for a refusal: after
-    /// one, a director in trouble is spared. And against giving up the turn of a call that only waits.
+    /// one, discovery in trouble is spared. And against giving up the turn of a call that only waits.
     async fn ask(&mut self, from: Option<u64>, fresh: bool) -> Result<Answer, String> {
         let quiet = (QUIET + 2 * self.turn).min(LONGEST_QUIET);
         let quarter = Duration::from_micros(self.settings.ask_quarter()).max(QUIET);
         let (hold, overdue) = match from {
             // Who has no list has nothing to lose by waiting.
-            None if !self.director.holds_a_list() => (Duration::ZERO, Duration::from_micros(TOLD_ANYWAY)),
+            None if !self.discovery.holds_a_list() => (Duration::ZERO, Duration::from_micros(TOLD_ANYWAY)),
             None => (Duration::ZERO, 2 * quarter),
             Some(_) if fresh => (PAUSE, 2 * quarter),
             // By chance, as all schedulers begin anew whenever there is news: else all would find a silent
-            // director, and call it, at one moment.
+            // discovery, and call it, at one moment.
             Some(_) => {
                 let hold = SHORTEST_HOLD + (LONGEST_HOLD - SHORTEST_HOLD).mul_f64(self.rng.f64());
                 (hold, hold + quiet)
             }
         };
-        let (director, again) = (self.director, hold.min(PAUSE));
+        let (discovery, again) = (self.discovery, hold.min(PAUSE));
         let called = Instant::now();
-        let first = director.call(self.link.take(), from, hold);
-        let second = beside(director, first, overdue, director.call(None, from, again));
-        let third = beside(director, second, overdue + quarter, director.call(None, from, again));
-        // Those that only wait keep their turns: given up and made anew, calls would bring a slow director to a stand.
+        let first = discovery.call(self.link.take(), from, hold);
+        let second = beside(discovery, first, overdue, discovery.call(None, from, again));
+        let third = beside(discovery, second, overdue + quarter, discovery.call(None, from, again));
+        // Those that only wait keep their turns: given up and made anew, calls would bring slow discovery to a stand.
         let asked = timeout(overdue + quarter + NOTICED, third).await;
         let (answer, link) = asked.unwrap_or_else(|_| Err("no answer in time".into()))?;
         self.link = Some(link);
@@ -138,8 +138,8 @@
 
 /// The first answer of two calls, of which the newer one goes out once the older is overdue. That one's failure
 /// counts no more then: the newer one decides.
-async fn beside<D: Director, T>(
-    director: &D,
+async fn beside<D: Discovery, T>(
+    discovery: &D,
     older: impl Future<Output = Result<T, String>>,
     overdue: Duration,
     newer: impl Future<Output = Result<T, String>>,
@@ -148,7 +148,7 @@
     if let Ok(answer) = timeout(overdue, older.as_mut()).await {
         return answer;
     }
-    director.silent();
+    discovery.silent();
     let older = async {
         match older.await {
             Ok(answer) => answer,
--- a/crates/server/src/net/handover.rs
+++ b/crates/server/src/net/handover.rs
@@ -118,10 +118,10 @@
     avoided: Vec<(Rc<str>, Micros, u32)>,
 }
 
-/// Stands for settings and the director's address. Guards against another customer's figures and workers: a list
-/// whose number this one's director has reached too would be believed for good.
-fn under(config: &Config, director: SocketAddr) -> u64 {
-    number_of(&format!("{director} {:?} {:?}", config.settings, config.names))
+/// Stands for settings and discovery's address. Guards against another customer's figures and workers: a list
+/// whose number this one's discovery has reached too would be believed for good.
+fn under(config: &Config, discovery: SocketAddr) -> u64 {
+    number_of(&format!("{discovery} {:?} {:?}", config.settings, config.names))
 }
 
 /// What a start got from an old process.
@@ -194,7 +194,7 @@
         return Err(wrong("the socket that came along is another one"));
     }
     passed.set_nonblocking(true)?;
-    let same = message.under == under(config, config.director);
+    let same = message.under == under(config, config.discovery);
     let (list, learned) = if same { (message.list, message.learned) } else { Default::default() };
     Ok((Taken { listener: passed.into(), list, learned, link }, same))
 }
@@ -331,7 +331,7 @@
 
 async fn lead(net: &Rc<Net>, mut link: BufReader<UnixStream>, listener: &OwnedFd) -> io::Result<()> {
     let learned = net.facade.borrow().learned(net.clock.now());
-    let (under, list) = (under(&net.config, *net.director.borrow()), net.held.borrow().whole());
+    let (under, list) = (under(&net.config, *net.discovery.borrow()), net.held.borrow().whole());
     let text = serde_json::to_string(&Message { under, list, learned })?;
     let text = format!("{}\n{text}", text.len());
     let send = async {
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -11,7 +11,7 @@
 mod answers;
 pub mod backends;
 mod bans;
-pub mod director;
+pub mod discovery;
 mod durable;
 pub mod front;
 mod handover;
@@ -52,7 +52,7 @@
 /// Between two looks at whether there is something new to log.
 const LOG_EVERY: Duration = Duration::from_secs(10);
 /// Descriptors for what is not a client or a backend: standard streams, the runtime's own, the
-/// listener, the director, and what is on its way from closed to gone.
+/// listener, discovery, and what is on its way from closed to gone.
 const RESERVED_SOCKETS: usize = 32;
 /// Where hardly any are left beside those, so many are for clients, and as many for backends.
 const LEAST_SHARE: usize = 4;
@@ -60,7 +60,7 @@
 /// last moment could not be answered any more.
 const IDLE_UNTIL: Micros = 1_000_000;
 
-/// Unix time in microseconds as of the start, going on with the monotonic clock: the director's
+/// Unix time in microseconds as of the start, going on with the monotonic clock: discovery's
 /// start times fit in, and it never runs backwards.
 #[derive(Clone, Copy)]
 pub(crate) struct Clock {
@@ -100,8 +100,8 @@
     pub drained_before_send: u64,
     pub broken: u64,
     pub accept_errors: u64,
-    pub director_calls: u64,
-    pub director_failures: u64,
+    pub discovery_calls: u64,
+    pub discovery_failures: u64,
     pub silent_watches: u64,
     pub malformed_lists: u64,
     pub evicted_clients: u64,
@@ -125,8 +125,8 @@
     pub closing: watch::Sender<bool>,
     /// The next process has the listening socket: nothing more is accepted.
     pub handed: watch::Sender<bool>,
-    /// Where the director is: a reload may move it.
-    pub director: watch::Sender<SocketAddr>,
+    /// Where discovery is: a reload may move it.
+    pub discovery: watch::Sender<SocketAddr>,
     pub subscribe: Notify,
     pub ready: Cell<bool>,
     /// Since SIGTERM: reqs that arrive after the first are bounded by the second.
@@ -134,7 +134,7 @@
     pub open: order::Open,
     pub others: handover::Others,
     pub bans: bans::Bans,
-    /// The list as the director told it.
+    /// The list as discovery told it.
     pub held: RefCell<Held>,
     /// What became of reqs, for operators.
     pub ledger: Ledger,
@@ -153,7 +153,7 @@
             counters: RefCell::default(),
             closing: watch::Sender::new(false),
             handed: watch::Sender::new(false),
-            director: watch::Sender::new(config.director),
+            discovery: watch::Sender::new(config.discovery),
             subscribe: Notify::new(),
             ready: Cell::new(false),
             stop: Cell::new(None),
@@ -243,19 +243,19 @@
     let mut net = Net::new(config, clock, facade, durable);
     net.peers = peers;
     let net = Rc::new(net);
-    let (listen, Config { name, director, sockets, .. }) = (listener.local_addr()?, &net.config);
-    info!(%listen, %director, sockets, "{name} listens on {listen}, director {director}, {sockets} sockets");
+    let (listen, Config { name, discovery, sockets, .. }) = (listener.local_addr()?, &net.config);
+    info!(%listen, %discovery, sockets, "{name} listens on {listen}, discovery {discovery}, {sockets} sockets");
     tokio::task::spawn_local(durable::run(net.clone(), told));
     if let Some(folder) = &folder {
         bans::start(&net, folder);
     }
-    director::remember(&net);
+    discovery::remember(&net);
     if net.peers.is_some() {
         tokio::task::spawn_local(peers::run(net.clone()));
     }
     net.ready.set(true);
     tokio::task::spawn_local(run_timer(net.clone()));
-    tokio::task::spawn_local(director::run(net.clone()));
+    tokio::task::spawn_local(discovery::run(net.clone()));
     tokio::task::spawn_local(backends::sweep(net.clone()));
     tokio::task::spawn_local(log_counters(net.clone()));
     tokio::task::spawn_local(reload_when_told(net.clone(), hangup));
@@ -302,7 +302,7 @@
     }
 }
 
-/// Reads the configuration again at each SIGHUP and takes over the director's address, which is all
+/// Reads the configuration again at each SIGHUP and takes over discovery's address, which is all
 /// that can change while reqs are open. The environment's address is that of the start: the file
 /// counts now.
 async fn reload_when_told(net: Rc<Net>, mut hangup: Signal) {
@@ -320,8 +320,8 @@
         let told = |c: &Config| (c.name.clone(), c.names.clone(), c.settings.clone());
         let kept = (limits(&new), told(&new)) == (limits(old), told(old));
         let rest = if kept { "" } else { "; what else has changed needs a restart" };
-        info!(director = %new.director, "reload: director {}{rest}", new.director);
-        net.director.send_if_modified(|at| std::mem::replace(at, new.director) != new.director);
+        info!(discovery = %new.discovery, "reload: discovery {}{rest}", new.discovery);
+        net.discovery.send_if_modified(|at| std::mem::replace(at, new.discovery) != new.discovery);
     }
 }
 
--- a/crates/server/src/net/peers/mod.rs
+++ b/crates/server/src/net/peers/mod.rs
@@ -58,7 +58,7 @@
     let old = entry.dir.as_deref().and_then(|dir| kept::read(dir, entry, now, form.skew));
     // Where members were is as good a place to ask as the join addresses.
     form.join.extend(old.iter().flat_map(|old| old.members.iter().copied()).take(entry.members));
-    (form.key, form.members, form.director) = (key, entry.members, config.director.to_string());
+    (form.key, form.members, form.discovery) = (key, entry.members, config.discovery.to_string());
     let mut node = Node::new(form, now, config.seed ^ now);
     if let Some(old) = old {
         node.learn(old);
@@ -173,11 +173,11 @@
     (dropped.total(), now)
 }
 
-/// The own director's list has changed.
+/// The own discovery's list has changed.
 pub(super) fn listed(net: &Net) {
     let Some(peers) = &net.peers else { return };
-    // A director that the settings do not name numbers its lists differently.
-    if *net.director.borrow() != net.config.director {
+    // Discovery that the settings do not name numbers its lists differently.
+    if *net.discovery.borrow() != net.config.discovery {
         return;
     }
     let Some(held) = net.held.borrow().whole() else { return };
@@ -198,7 +198,7 @@
 
 /// What a peer knows of the list: only what makes more careful, and only of workers that the own list has.
 fn learn(net: &Rc<Net>, from: &Owner, news: News) {
-    if *net.director.borrow() != net.config.director {
+    if *net.discovery.borrow() != net.config.discovery {
         return;
     }
     let (worker, condition, start) = match &news {
--- a/crates/server/tests/daily/bans.rs
+++ b/crates/server/tests/daily/bans.rs
@@ -12,8 +12,8 @@
 #[test]
 fn a_worker_taken_out_by_hand_gets_nothing_until_the_call_back() {
     let backends = [slow(), slow()];
-    let director = Director::new(&[("s-0", backends[0].address), ("s-1", backends[1].address)]);
-    let program = Program::start_with(&director, 1024, &[ADMIN]);
+    let discovery = Discovery::new(&[("s-0", backends[0].address), ("s-1", backends[1].address)]);
+    let program = Program::start_with(&discovery, 1024, &[ADMIN]);
     let (at, next) = (program.admin(), std::cell::Cell::new(0));
     let play = |jobs: usize| {
         let first = next.replace(next.get() + jobs);
@@ -44,18 +44,18 @@
     };
     unused("the call");
     let heard = |number: u64| until("the list", || program.log().contains(&format!("list {number} (")));
-    director.started("s-1", 1_700_000_000_000);
-    heard(director.number());
+    discovery.started("s-1", 1_700_000_000_000);
+    heard(discovery.number());
     unused("a restart");
-    director.set("s-1", "draining");
-    director.set("s-1", "gone");
-    heard(director.number());
+    discovery.set("s-1", "draining");
+    discovery.set("s-1", "gone");
+    heard(discovery.number());
     assert!(call(at, "exclude s-1").starts_with("YES"), "it was listed once");
-    director.set("s-1", "ready");
-    heard(director.number());
+    discovery.set("s-1", "ready");
+    heard(discovery.number());
     unused("its return");
     program.reload("transfer", "transfer");
-    until("the reload", || program.log().contains("reload: director"));
+    until("the reload", || program.log().contains("reload: discovery"));
     unused("a reload");
     // With nobody left it says so, and reqs are refused as with no ready worker.
     assert!(call(at, "exclude s-0").starts_with("YES"));
@@ -77,10 +77,10 @@
 #[test]
 fn a_ban_holds_in_both_processes_and_over_an_upgrade() {
     let backends = [good(), good()];
-    let director = Director::new(&[("s-0", backends[0].address), ("s-1", backends[1].address)]);
+    let discovery = Discovery::new(&[("s-0", backends[0].address), ("s-1", backends[1].address)]);
     let place = Place::new();
     let start = || {
-        let program = Program::start_at(&place, &director, 512, &[ADMIN]);
+        let program = Program::start_at(&place, &discovery, 512, &[ADMIN]);
         wait_for_yes(&program);
         program
     };
--- a/crates/server/tests/daily/calls.rs
+++ b/crates/server/tests/daily/calls.rs
@@ -14,8 +14,8 @@
 #[test]
 fn each_call_gets_its_answer_and_what_is_none_a_no() {
     let backend = good();
-    let director = Director::new(&[("s-1", backend.address)]);
-    let program = Program::start_with(&director, 1024, &[ADMIN]);
+    let discovery = Discovery::new(&[("s-1", backend.address)]);
+    let program = Program::start_with(&discovery, 1024, &[ADMIN]);
     let at = program.admin();
     let bytewise: Vec<&[u8]> = b"readyz\r\n".chunks(1).collect();
     let long = [b'x'; 5_000];
@@ -46,10 +46,10 @@
     let figures = call(at, "telemetry");
     assert!(figures.ends_with("\nEND\n"), "{figures}");
     assert_eq!((figure(&figures, "members"), figure(&figures, "members_unavailable")), (1, 0));
-    director.set("s-1", "draining");
+    discovery.set("s-1", "draining");
     until("the drain in the figures", || figure(&call(at, "telemetry"), "members_unavailable") == 1);
     until("the drain in the answer", || call(at, "readyz").starts_with("NO"));
-    director.set("s-1", "gone");
+    discovery.set("s-1", "gone");
     until("its end in the figures", || figure(&call(at, "telemetry"), "members") == 0);
 }
 
@@ -77,7 +77,7 @@
 #[test]
 fn who_says_nothing_delays_no_call() {
     let backend = good();
-    let program = Program::start_with(&Director::new(&[("s-1", backend.address)]), 128, &[ADMIN]);
+    let program = Program::start_with(&Discovery::new(&[("s-1", backend.address)]), 128, &[ADMIN]);
     let at = program.admin();
     let _clients: Vec<TcpStream> = (0..200).map(|_| program.connect()).collect();
     let silent = |n: usize| {
@@ -101,7 +101,7 @@
 #[test]
 fn calls_are_answered_in_time_under_load_and_in_a_stop() {
     let backend = good();
-    let program = Program::start_with(&Director::new(&[("s-1", backend.address)]), 256, &[ADMIN]);
+    let program = Program::start_with(&Discovery::new(&[("s-1", backend.address)]), 256, &[ADMIN]);
     let (at, stop) = (program.admin(), AtomicBool::new(false));
     std::thread::scope(|s| {
         for t in 0..8 {
--- a/crates/server/tests/daily/figures.rs
+++ b/crates/server/tests/daily/figures.rs
@@ -20,7 +20,7 @@
             Some("full") => status(stream, "503 Service Unavailable\r\nSrv-Declined: 1"),
             _ => true,
         });
-    let program = Program::start_with(&Director::new(&[("s-1", backend.address)]), 1024, &[ADMIN]);
+    let program = Program::start_with(&Discovery::new(&[("s-1", backend.address)]), 1024, &[ADMIN]);
     let (at, mut ends) = (program.admin(), [0; 3]);
     let mut count = |status: u16| match status {
         200 => ends[0] += 1,
--- a/crates/server/tests/daily/handover.rs
+++ b/crates/server/tests/daily/handover.rs
@@ -51,12 +51,12 @@
     let backends = [slow(), slow(), slow()];
     let names = ["s-0", "s-1", "s-2"];
     let list: Vec<_> = names.into_iter().zip(backends.iter().map(|b| b.address)).collect();
-    let (director, place, stop) = (Director::new(&list), Place::new(), AtomicBool::new(false));
-    let start = || Program::start_at(&place, &director, 512, &[ADMIN]);
+    let (discovery, place, stop) = (Discovery::new(&list), Place::new(), AtomicBool::new(false));
+    let start = || Program::start_at(&place, &discovery, 512, &[ADMIN]);
     let mut running = start();
     wait_for_yes(&running);
-    // What was told of before is known to the next process, also where the director says nothing more.
-    director.set("s-2", "draining");
+    // What was told of before is known to the next process, also where discovery says nothing more.
+    discovery.set("s-2", "draining");
     until("the drain", || figure(&call(running.admin(), "telemetry"), "members_unavailable") == 1);
     let before = backends[2].count();
     std::thread::scope(|s| {
@@ -102,9 +102,9 @@
 #[test]
 fn with_the_shortest_deadlines_the_process_before_ends_in_time() {
     let backend = good();
-    let (director, place) = (Director::new(&[("s-1", backend.address)]), Place::new());
+    let (discovery, place) = (Discovery::new(&[("s-1", backend.address)]), Place::new());
     let short = (r#""give-up-ms":5000"#, r#""give-up-ms":200"#);
-    let start = || Program::start_at(&place, &director, 512, &[ADMIN, short]);
+    let start = || Program::start_at(&place, &discovery, 512, &[ADMIN, short]);
     let mut old = start();
     wait_for_yes(&old);
     let mut idle = old.connect();
@@ -122,8 +122,8 @@
 #[test]
 fn a_new_process_that_ends_leaves_the_old_one_as_it_was() {
     let backend = good();
-    let (director, place) = (Director::new(&[("s-1", backend.address)]), Place::new());
-    let start = || Program::start_at(&place, &director, 512, &[ADMIN]);
+    let (discovery, place) = (Discovery::new(&[("s-1", backend.address)]), Place::new());
+    let start = || Program::start_at(&place, &discovery, 512, &[ADMIN]);
     let old = start();
     wait_for_yes(&old);
     // It connects, and ends: at once, after its hello, with the socket in its hands.
@@ -162,10 +162,10 @@
 #[test]
 fn a_start_that_finds_nobody_to_take_over_from_is_a_usual_one() {
     let backend = good();
-    let (director, place) = (Director::new(&[("s-1", backend.address)]), Place::new());
+    let (discovery, place) = (Discovery::new(&[("s-1", backend.address)]), Place::new());
     let socket = place.shared().join("handover");
     let start = || {
-        let program = Program::start_at(&place, &director, 512, &[ADMIN]);
+        let program = Program::start_at(&place, &discovery, 512, &[ADMIN]);
         wait_for_yes(&program);
         assert_eq!(ask(place.listen, &req("transfer", "id-1")).map(|m| m.status()), Some(200));
         program
@@ -202,13 +202,13 @@
 #[test]
 fn a_long_path_is_no_hindrance() {
     let backend = good();
-    let (director, mut place) = (Director::new(&[("s-1", backend.address)]), Place::new());
+    let (discovery, mut place) = (Discovery::new(&[("s-1", backend.address)]), Place::new());
     let top = place.folder.clone();
     place.folder = top.join("x".repeat(150));
     std::fs::create_dir(&place.folder).expect("made");
-    let old = Program::start_at(&place, &director, 512, &[ADMIN]);
+    let old = Program::start_at(&place, &discovery, 512, &[ADMIN]);
     wait_for_yes(&old);
-    let new = Program::start_at(&place, &director, 512, &[ADMIN]);
+    let new = Program::start_at(&place, &discovery, 512, &[ADMIN]);
     wait_for_yes(&new);
     assert!(new.log().contains("took the socket"), "{}", new.log());
     place.folder = top;
--- a/crates/server/tests/durable.rs
+++ b/crates/server/tests/durable.rs
@@ -13,7 +13,7 @@
 use common::{job_id, keyed, Dir};
 use oakshed_standin::*;
 
-/// Well under the time for which the director holds a call where nothing has changed, half of ask-every-ms.
+/// Well under the time for which discovery holds a call where nothing has changed, half of ask-every-ms.
 const AT_ONCE: Duration = Duration::from_secs(3);
 
 fn text_of(message: &Message) -> String {
@@ -38,9 +38,9 @@
     let ledger = dir.0.join("ledger");
     let options = WorkerOptions { ledger: Some(ledger.clone()), ..WorkerOptions::default() };
     let worker = Worker::start(options).expect("a worker");
-    let director = Director::new(&[("s-1", worker.address)]);
-    director.started("s-1", worker.since_ms);
-    let program = Program::start_durable(&director, &dir.operator(true));
+    let discovery = Discovery::new(&[("s-1", worker.address)]);
+    discovery.started("s-1", worker.since_ms);
+    let program = Program::start_durable(&discovery, &dir.operator(true));
     let first = insist(&program, &keyed("transfer", "id-1", "k-1", ""));
     assert_eq!(first.status(), 200, "{}", program.log());
     let again = program.ask(&keyed("transfer", "id-2", "k-1", ""));
@@ -76,7 +76,7 @@
     assert!(status == Some(0) && told.contains("records can be read"), "{told}");
     assert_eq!(jobs(&["export"]).1.matches(r#""answer":"served""#).count(), 3);
     assert_eq!(jobs(&["list"]).1, "");
-    let program = Program::start_durable(&director, &dir.operator(true));
+    let program = Program::start_durable(&discovery, &dir.operator(true));
     assert_eq!(program.ask(&keyed("transfer", "id-6", "k-1", "")).body, first.body);
     assert!(text_of(&program.ask(&look(&place))).contains("served"));
     let starts = Ledger::starts([ledger.as_path()]).expect("read");
@@ -88,8 +88,8 @@
 fn a_job_in_doubt_stays_listed_until_it_is_settled() {
     let dir = Dir::new("doubt");
     let backend = Peer::new(|_, _| false);
-    let director = Director::new(&[("s-1", backend.address)]);
-    let program = Program::start_durable(&director, &dir.operator(false));
+    let discovery = Discovery::new(&[("s-1", backend.address)]);
+    let program = Program::start_durable(&discovery, &dir.operator(false));
     assert_eq!(program.ask(&keyed("transfer", "id-1", "k-1", "")).status(), 502);
     let place = format!("GET /jobs/{} HTTP/1.1\r\nHost: x\r\n\r\n", job_id("k-1"));
     assert!(text_of(&program.ask(&place)).contains(r#""worker":"s-1""#));
@@ -112,8 +112,8 @@
 fn a_stopped_scheduler_gives_all_back_and_the_next_one_sends_nothing_twice() {
     let dir = Dir::new("stop");
     let backend = Peer::new(|_, _| true); // it takes jobs, and says nothing
-    let director = Director::new(&[("s-1", backend.address)]);
-    let mut program = Program::start_durable(&director, &dir.operator(false));
+    let discovery = Discovery::new(&[("s-1", backend.address)]);
+    let mut program = Program::start_durable(&discovery, &dir.operator(false));
     let order = |key: &str, more: &str| {
         keyed("transfer", &format!("id-{key}"), key, more).replace("Ms: 5000", "Ms: 1500")
     };
@@ -144,7 +144,7 @@
         "{last}"
     );
     assert!(last.contains("in_doubt: 2"), "{last}");
-    let next = Program::start_durable(&director, &dir.operator(false));
+    let next = Program::start_durable(&discovery, &dir.operator(false));
     for key in ["k-gone", "k-waits"] {
         assert_eq!(next.ask(&order(key, "")).status(), 502, "its answer stays");
         let look = format!("GET /jobs/{} HTTP/1.1\r\nHost: x\r\n\r\n", job_id(key));
@@ -156,9 +156,9 @@
 #[test]
 fn a_second_process_and_a_damaged_store_are_told() {
     let dir = Dir::new("damage");
-    let director = Director::new(&[("s-1", "127.0.0.1:9".parse().expect("an address"))]);
-    let program = Program::start_durable(&director, &dir.operator(true));
-    let path = config(director.peer.address, "null", 1024);
+    let discovery = Discovery::new(&[("s-1", "127.0.0.1:9".parse().expect("an address"))]);
+    let program = Program::start_durable(&discovery, &dir.operator(true));
+    let path = config(discovery.peer.address, "null", 1024);
     let operator = dir.0.join("operator.json");
     std::fs::write(&operator, dir.operator(true)).expect("written");
     let start = || {
@@ -184,13 +184,13 @@
     _ = std::fs::remove_file(path);
 }
 
-/// Guards against jobs that wait for the director's first answer, which it holds until something changes.
+/// Guards against jobs that wait for discovery's first answer, which it holds until something changes.
 #[test]
 fn a_start_with_a_remembered_list_serves_at_once() {
     let worker = Worker::start(WorkerOptions::default()).expect("a worker");
-    let director = Director::new(&[("s-1", worker.address)]);
+    let discovery = Discovery::new(&[("s-1", worker.address)]);
     let dir = Dir::new("known");
-    let program = Program::start_durable_knowing(&director, &director.known(), &dir.operator(true));
+    let program = Program::start_durable_knowing(&discovery, &discovery.known(), &dir.operator(true));
     let start = Instant::now();
     let answer = program.ask(&keyed("transfer", "id-1", "k-1", ""));
     assert_eq!(answer.status(), 200, "{}", program.log());
@@ -205,9 +205,9 @@
     let service = Duration::from_millis(300);
     let options = WorkerOptions { ledger: Some(ledger.clone()), service, ..WorkerOptions::default() };
     let worker = Worker::start(options).expect("a worker");
-    let director = Director::new(&[("s-1", worker.address)]);
+    let discovery = Discovery::new(&[("s-1", worker.address)]);
     let starts = || Ledger::starts([ledger.as_path()]).map_or(0, |starts| starts.values().sum::<usize>());
-    let mut program = Program::start_durable_knowing(&director, &director.known(), &dir.operator(true));
+    let mut program = Program::start_durable_knowing(&discovery, &discovery.known(), &dir.operator(true));
     for n in 1..=2 {
         let order = keyed("transfer", &format!("id-{n}"), &format!("k-{n}"), "");
         let mut client = program.connect();
@@ -215,7 +215,7 @@
         until("its start", || starts() == n);
         program.signal("-KILL");
         program.wait();
-        program = Program::start_durable_knowing(&director, &director.known(), &dir.operator(true));
+        program = Program::start_durable_knowing(&discovery, &discovery.known(), &dir.operator(true));
         let start = Instant::now();
         let answer = program.ask(&order);
         assert_eq!((answer.status(), starts()), (200, n), "{}", program.log());
--- a/crates/server/tests/durable_kills.rs
+++ b/crates/server/tests/durable_kills.rs
@@ -86,13 +86,13 @@
     let mut mortals: Vec<Mortal> =
         (0..names.len()).map(|n| Mortal { child: None, start: worker(places[n], &ledgers[n]) }).collect();
     let listed: Vec<(&str, SocketAddr)> = names.iter().copied().zip(places.iter().copied()).collect();
-    let director = Director::new(&listed);
+    let discovery = Discovery::new(&listed);
     let at = free_port();
-    let path = config(director.peer.address, "null", 1024);
+    let path = config(discovery.peer.address, "null", 1024);
     let operator = dir.0.join("operator.json");
     std::fs::write(&operator, dir.operator(true)).expect("written");
     let log = dir.0.join("log");
-    let (p, o, d) = (path.clone(), operator.clone(), director.peer.address);
+    let (p, o, d) = (path.clone(), operator.clone(), discovery.peer.address);
     mortals.push(Mortal {
         child: None,
         start: Box::new(move || {
@@ -121,11 +121,11 @@
         until("a worker", || std::fs::read_to_string(&ledgers[n]).is_ok_and(|t| t.contains("since")));
         let text = std::fs::read_to_string(&ledgers[n]).expect("read");
         let since = text.split(r#""ms":"#).nth(1).and_then(|t| t.split('}').next()?.parse().ok());
-        director.started(name, since.expect("its beginning"));
+        discovery.started(name, since.expect("its beginning"));
     }
     if remembers {
         let text = std::fs::read_to_string(&path).expect("just written");
-        let known = format!(r#""known":{}"#, director.known());
+        let known = format!(r#""known":{}"#, discovery.known());
         std::fs::write(&path, text.replace(r#""known":null"#, &known)).expect("written");
     }
     mortals[names.len()].revive();
--- a/crates/server/tests/peers.rs
+++ b/crates/server/tests/peers.rs
@@ -60,9 +60,9 @@
 }
 
 impl Scheduler {
-    fn start(folder: &Folder, director: SocketAddr, i: usize, at: &[SocketAddr]) -> Scheduler {
+    fn start(folder: &Folder, discovery: SocketAddr, i: usize, at: &[SocketAddr]) -> Scheduler {
         let name = format!("p{i}");
-        let config = config(director, "null", 1024);
+        let config = config(discovery, "null", 1024);
         let kept = folder.0.join(format!("config-{i}.json"));
         std::fs::rename(&config, &kept).or_else(|_| std::fs::copy(&config, &kept).map(drop)).expect("moved");
         let mut child = Command::new(Program::binary())
@@ -116,10 +116,10 @@
 
 #[test]
 fn five_know_of_one_another_of_a_kill_a_restart_and_a_standstill() {
-    let director = Director::new(&[("s-1", good().address)]);
+    let discovery = Discovery::new(&[("s-1", good().address)]);
     let (folder, at) = (Folder::new("five"), addresses(5));
     let mut all: Vec<Scheduler> =
-        (0..5).map(|i| Scheduler::start(&folder, director.peer.address, i, &at)).collect();
+        (0..5).map(|i| Scheduler::start(&folder, discovery.peer.address, i, &at)).collect();
     let others_told = |all: &[Scheduler], event: &str, i: usize, times: usize| {
         let name = format!("p{i}");
         all.iter().filter(|s| s.name != name).all(|s| s.told(event, "member", &name) >= times)
@@ -128,7 +128,7 @@
     all[4].child.kill().expect("SIGKILL");
     all[4].child.wait().expect("its end");
     until("the kill is known", || others_told(&all, "dead", 4, 1));
-    all[4] = Scheduler::start(&folder, director.peer.address, 4, &at);
+    all[4] = Scheduler::start(&folder, discovery.peer.address, 4, &at);
     until("the new life is known", || others_told(&all, "joined", 4, 2));
     until("it knows the others", || (0..4).all(|i| all[4].told("joined", "member", &format!("p{i}")) >= 1));
     all[1].signal("-STOP");
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_drain_that_the_director_tells_one_is_used_by_all() {
+fn a_drain_that_discovery_tells_one_is_used_by_all() {
     let (first, second) = (good(), good());
     let (drains, claimed) = (Arc::new(AtomicBool::new(false)), AtomicBool::new(false));
     let entry = |name: &str, at: SocketAddr, state: &str| {
@@ -180,7 +180,7 @@
     let drain = entry("s-2", second.address, "draining");
     let drained = drains.clone();
     // Of all watches one alone hears of the drain; the others hold, and tell nothing.
-    let director = Peer::new(move |message, stream| {
+    let discovery = Peer::new(move |message, stream| {
         let from = message.first.split("from=").nth(1).and_then(|t| t.split('&').next()?.parse::<u64>().ok());
         let (number, reset, list) = match from {
             None => (1, true, whole.as_str()),
@@ -197,7 +197,7 @@
         stream.write_all((head + &body).as_bytes()).is_ok()
     });
     let (folder, at) = (Folder::new("drain"), addresses(3));
-    let all: Vec<Scheduler> = (0..3).map(|i| Scheduler::start(&folder, director.address, i, &at)).collect();
+    let all: Vec<Scheduler> = (0..3).map(|i| Scheduler::start(&folder, discovery.address, i, &at)).collect();
     for scheduler in &all {
         let text = |s: &Scheduler| s.log.lock().unwrap().clone();
         until("a list", || text(scheduler).contains("list 1 (All)"));
--- a/crates/server/tests/sockets/answers.rs
+++ b/crates/server/tests/sockets/answers.rs
@@ -27,7 +27,7 @@
         }
         done(message, stream, "made")
     });
-    let program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     until("a refusal", || {
         assert_eq!(program.ask(&req("transfer", "id-0")).status(), 503);
         asked.load(Ordering::SeqCst) > 0
@@ -66,7 +66,7 @@
                 _ => done(message, stream, "made"),
             }
         });
-        let program = Program::start(&Director::new(&[("s-1", backend.address)]));
+        let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
         assert_eq!(program.ask(&req("transfer", "id-1")).body, b"theirs");
         if !with_the_next {
             until("its connection's end", || backend.ended.load(Ordering::SeqCst) == 1);
--- a/crates/server/tests/sockets/attempts.rs
+++ b/crates/server/tests/sockets/attempts.rs
@@ -96,26 +96,26 @@
 }
 
 /// The list says that a backend drains, and the program could read it.
-fn drains(director: &Director, name: &str) {
-    director.set(name, "draining");
-    until("the news", || unread(director.peer.address));
+fn drains(discovery: &Discovery, name: &str) {
+    discovery.set(name, "draining");
+    until("the news", || unread(discovery.peer.address));
 }
 
 /// Plays until what came while the program stood still had the list in it: its watch may have been over just
 /// then, and the next call shows it.
-fn told(play: impl Fn(&mut dyn FnMut(&Program, &Director, &mut dyn FnMut()) -> bool)) {
+fn told(play: impl Fn(&mut dyn FnMut(&Program, &Discovery, &mut dyn FnMut()) -> bool)) {
     let mut was_told = false;
     for _ in 0..10 {
-        play(&mut |program, director, meanwhile| {
+        play(&mut |program, discovery, meanwhile| {
             let calls = |from: usize| {
-                let seen = director.peer.seen.lock().unwrap();
+                let seen = discovery.peer.seen.lock().unwrap();
                 seen.iter().skip(from).map(|m| m.first.clone()).collect::<Vec<_>>()
             };
             until("a watch", || calls(0).iter().any(|c| c.contains("from=")));
             let before = calls(0).len();
             still(program, meanwhile);
             until("the next call", || !calls(before).is_empty());
-            was_told = calls(before)[0].contains(&format!("from={}&", director.number()));
+            was_told = calls(before)[0].contains(&format!("from={}&", discovery.number()));
             was_told
         });
         if was_told {
@@ -141,8 +141,8 @@
     for list_first in [true, false] {
         told(|still| {
             let backend = good();
-            let director = Director::new(&[("s-1", backend.address)]);
-            let program = Program::start(&director);
+            let discovery = Discovery::new(&[("s-1", backend.address)]);
+            let program = Program::start(&discovery);
             // Its connection is kept, and those of the clients are at rest.
             let rested = |n| {
                 let mut client = program.connect();
@@ -151,9 +151,9 @@
             };
             let mut clients: Vec<TcpStream> = (0..4).map(rested).collect();
             let before = backend.count();
-            let was_told = still(&program, &director, &mut || {
+            let was_told = still(&program, &discovery, &mut || {
                 if list_first {
-                    drains(&director, "s-1");
+                    drains(&discovery, "s-1");
                 }
                 for (n, client) in clients.iter_mut().enumerate() {
                     send(client, "transfer", &format!("id-{n}"));
@@ -161,7 +161,7 @@
                     until("the req", || unread(from));
                 }
                 if !list_first {
-                    drains(&director, "s-1");
+                    drains(&discovery, "s-1");
                 }
             });
             let statuses: Vec<u16> = clients.into_iter().map(status_of).collect();
@@ -177,21 +177,21 @@
     for list_first in [true, false] {
         told(|still| {
             let mut held = Held::new();
-            let director = Director::new(&[("s-1", held.address)]);
-            let program = Program::start_with(&director, 1024, &EDITS);
+            let discovery = Discovery::new(&[("s-1", held.address)]);
+            let program = Program::start_with(&discovery, 1024, &EDITS);
             // The watch has to last until the connection is tried again.
             let long = |m: &Message| m.first.contains("hold_ms=2") || m.first.contains("hold_ms=3");
-            until("a long watch", || director.peer.seen.lock().unwrap().last().is_some_and(long));
+            until("a long watch", || discovery.peer.seen.lock().unwrap().last().is_some_and(long));
             let mut client = program.connect();
             send(&mut client, "new-plate", "id-1");
             until("the dial", || held.dialled());
-            let was_told = still(&program, &director, &mut || {
+            let was_told = still(&program, &discovery, &mut || {
                 if list_first {
-                    drains(&director, "s-1");
+                    drains(&discovery, "s-1");
                 }
                 held.come_up();
                 if !list_first {
-                    drains(&director, "s-1");
+                    drains(&discovery, "s-1");
                 }
             });
             if was_told {
@@ -203,7 +203,7 @@
 }
 
 /// A job that may have run at one backend, and is on its way to another where connections are held back.
-fn repeated() -> (Held, Program, TcpStream, Instant, Director) {
+fn repeated() -> (Held, Program, TcpStream, Instant, Discovery) {
     for _ in 0..10 {
         let (open, gate) = std::sync::mpsc::channel::<()>();
         let gate = std::sync::Mutex::new(gate);
@@ -212,13 +212,13 @@
             false
         });
         let held = Held::new();
-        let director = Director::new(&[("s-1", breaks.address), ("s-2", held.address)]);
-        director.set("s-2", "draining");
-        let program = Program::start_with(&director, 1024, &EDITS);
+        let discovery = Discovery::new(&[("s-1", breaks.address), ("s-2", held.address)]);
+        discovery.set("s-2", "draining");
+        let program = Program::start_with(&discovery, 1024, &EDITS);
         let (mut client, sent) = (program.connect(), Instant::now());
         send(&mut client, "new-plate", "id-1");
         until("the first attempt", || breaks.count() == 1);
-        director.set("s-2", "ready");
+        discovery.set("s-2", "ready");
         until("the news", || program.log().contains("2 backends ready"));
         open.send(()).expect("released");
         // On a loaded machine it may be too late for another attempt: then anew.
@@ -230,7 +230,7 @@
         };
         until("the second attempt, or an answer", || held.dialled() || answered());
         if held.dialled() {
-            return (held, program, client, sent, director);
+            return (held, program, client, sent, discovery);
         }
     }
     panic!("there was no second attempt");
@@ -241,7 +241,7 @@
 #[test]
 fn a_repeat_is_written_in_its_window_or_not_at_all() {
     // The program stands still, and finds the connection up after the window.
-    let (mut held, program, client, sent, _director) = repeated();
+    let (mut held, program, client, sent, _discovery) = repeated();
     still(&program, || {
         held.come_up();
         until("the window's end", || sent.elapsed() > WINDOW);
@@ -249,12 +249,12 @@
     assert_eq!(status_of(client), 503);
     assert_eq!(held.came(), 0, "written after the window");
     // It does not come up at all: the client is told at the window's end, long before the dial is given up.
-    let (held, _program, client, sent, _director) = repeated();
+    let (held, _program, client, sent, _discovery) = repeated();
     assert_eq!(status_of(client), 503);
     assert!(sent.elapsed() < LONG / 2, "kept waiting for a dial that could help no more");
     drop(held);
     // In time it is sent.
-    let (mut held, _program, client, sent, _director) = repeated();
+    let (mut held, _program, client, sent, _discovery) = repeated();
     held.come_up();
     let came = |s: &Socket| s.peek(&mut [std::mem::MaybeUninit::uninit(); 1]).is_ok_and(|n| n > 0);
     until("the repeat, or the window's end", || {
@@ -269,8 +269,8 @@
 #[test]
 fn nothing_begins_after_its_deadline() {
     let mut held = Held::new();
-    let director = Director::new(&[("s-1", held.address)]);
-    let program = Program::start_with(&director, 1024, &EDITS);
+    let discovery = Discovery::new(&[("s-1", held.address)]);
+    let program = Program::start_with(&discovery, 1024, &EDITS);
     let mut client = program.connect();
     let sent = Instant::now();
     let text = req("new-plate", "id-1").replace("Ms: 5000", "Ms: 3000");
@@ -290,10 +290,10 @@
 fn nothing_begins_after_its_client_has_left() {
     for cancelling in ["true", "false"] {
         let mut held = Held::new();
-        let director = Director::new(&[("s-1", held.address)]);
+        let discovery = Discovery::new(&[("s-1", held.address)]);
         let cancel = format!(r#""cancelling":{cancelling}"#);
         let edits = [EDITS[0], EDITS[1], (r#""cancelling":true"#, &*cancel)];
-        let program = Program::start_with(&director, 1024, &edits);
+        let program = Program::start_with(&discovery, 1024, &edits);
         let mut client = program.connect();
         send(&mut client, "new-plate", "id-1");
         until("the dial", || held.dialled());
--- a/crates/server/tests/sockets/backends.rs
+++ b/crates/server/tests/sockets/backends.rs
@@ -10,7 +10,7 @@
 #[test]
 fn backend_connections_are_used_again() {
     let backend = good();
-    let program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let mut client = program.connect();
     for n in 0..20 {
         assert_eq!(ask_on(&mut client, &req("transfer", &format!("id-{n}"))).status(), 200);
@@ -27,7 +27,7 @@
         done(message, stream, "made");
         false
     });
-    let program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     for n in 1..=20 {
         assert_eq!(program.ask(&req("transfer", &format!("id-{n}"))).status(), 200);
         // The system may tell of a close a while after the other side has made it.
@@ -50,7 +50,7 @@
         last.lock().unwrap().insert(from, std::time::Instant::now());
         served
     });
-    let program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let mut failed = 0;
     for n in 0..30 {
         failed += u32::from(program.ask(&req("transfer", &format!("id-{n}"))).status() == 502);
@@ -63,12 +63,12 @@
 fn nothing_new_goes_to_a_backend_that_drains() {
     let backends = [good(), good()];
     let list = [("s-1", backends[0].address), ("s-2", backends[1].address)];
-    let director = Director::new(&list);
-    let program = Program::start(&director);
+    let discovery = Discovery::new(&list);
+    let program = Program::start(&discovery);
     until("a kept connection", || {
         program.ask(&req("transfer", "id")).status() == 200 && connections(backends[0].address, "01") > 0
     });
-    director.set("s-1", "draining");
+    discovery.set("s-1", "draining");
     until("the news", || program.log().contains("1 backends ready"));
     let told = std::time::Instant::now();
     until("its end", || connections(backends[0].address, "01") == 0);
@@ -78,7 +78,7 @@
         assert_eq!(program.ask(&req("transfer", &format!("id-{n}"))).status(), 200);
     }
     assert_eq!(backends[0].count(), before);
-    director.set("s-2", "gone");
+    discovery.set("s-2", "gone");
     until("the news", || program.log().contains("0 backends ready"));
     assert_eq!(program.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 503);
     let answer = program.ask(&req("transfer", "id-x"));
@@ -91,12 +91,12 @@
 fn a_backend_that_moves_is_found_at_its_new_address_only() {
     let (before, open) = gated("before");
     let after = good();
-    let director = Director::new(&[("s-1", before.address)]);
-    let program = Program::start(&director);
+    let discovery = Discovery::new(&[("s-1", before.address)]);
+    let program = Program::start(&discovery);
     let mut client = program.connect();
     client.write_all(req("transfer", "id-1").as_bytes()).expect("written");
     until("the fetch", || before.count() == 1);
-    director.move_to("s-1", after.address);
+    discovery.move_to("s-1", after.address);
     until("the news", || program.log().matches("list ").count() >= 2);
     open.send(()).expect("released"); // its connection comes free only now, and is not kept
     assert_eq!(Message::read(&mut BufReader::new(client)).expect("an answer").body, b"before");
@@ -109,22 +109,22 @@
 /// Guards against a first byte to a backend that was told to drain while the connection to it came up.
 #[test]
 fn a_backend_that_drains_or_is_taken_out_while_it_is_dialled_gets_nothing() {
-    gets_nothing("0 backends ready", |director, _| director.set("s-1", "draining"));
+    gets_nothing("0 backends ready", |discovery, _| discovery.set("s-1", "draining"));
     gets_nothing("taken out by hand", |_, program| {
         assert!(call(program.admin(), "exclude s-1").starts_with("YES"));
     });
 }
 
-fn gets_nothing(news: &str, ends: impl Fn(&Director, &Program)) {
+fn gets_nothing(news: &str, ends: impl Fn(&Discovery, &Program)) {
     let (address, mut full) = unreachable();
-    let director = Director::new(&[("s-1", address)]);
+    let discovery = Discovery::new(&[("s-1", address)]);
     let edits = [(r#""connect-timeout-ms":200"#, r#""connect-timeout-ms":4000"#), ADMIN];
-    let program = Program::start_with(&director, 1024, &edits);
+    let program = Program::start_with(&discovery, 1024, &edits);
     let dials = || connections(address, "02");
     let (before, mut client) = (dials(), program.connect());
     client.write_all(req("transfer", "id-1").as_bytes()).expect("written");
     until("the dial", || dials() > before);
-    ends(&director, &program);
+    ends(&discovery, &program);
     until("the news", || program.log().contains(news));
     // There is room now: its next try comes up.
     let listener = full.remove(0);
--- a/crates/server/tests/sockets/closing.rs
+++ b/crates/server/tests/sockets/closing.rs
@@ -25,7 +25,7 @@
 #[test]
 fn what_comes_after_the_end_at_a_stop_is_neither_reset_nor_sent_on() {
     let backend = good();
-    let mut program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let mut program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let (mut resting, mut new, mut half) = (program.connect(), program.connect(), program.connect());
     assert_eq!(ask_on(&mut resting, &req("transfer", "id-1")).status(), 200);
     let text = req("transfer", "late-half");
@@ -47,7 +47,7 @@
 #[test]
 fn what_comes_after_the_end_for_room_is_neither_reset_nor_sent_on() {
     let backend = good();
-    let mut program = Program::start_with(&Director::new(&[("s-1", backend.address)]), 64, &[]);
+    let mut program = Program::start_with(&Discovery::new(&[("s-1", backend.address)]), 64, &[]);
     let mut resting: Vec<_> = (0..14).map(|_| program.connect()).collect();
     for (n, client) in resting.iter_mut().enumerate() {
         assert_eq!(ask_on(client, &req("transfer", &format!("id-{n}"))).status(), 200);
@@ -76,7 +76,7 @@
 #[test]
 fn what_comes_before_the_end_for_room_is_answered() {
     let backend = good();
-    let program = Program::start_with(&Director::new(&[("s-1", backend.address)]), 64, &[]);
+    let program = Program::start_with(&Discovery::new(&[("s-1", backend.address)]), 64, &[]);
     let mut resting: Vec<_> = (0..14).map(|_| program.connect()).collect();
     for (n, client) in resting.iter_mut().enumerate() {
         assert_eq!(ask_on(client, &req("transfer", &format!("id-{n}"))).status(), 200);
--- a/crates/server/tests/sockets/customers.rs
+++ b/crates/server/tests/sockets/customers.rs
@@ -5,25 +5,25 @@
 
 use oakshed_standin::*;
 
-/// Guards against another customer's workers: where both directors' lists have one number, the list that came with
+/// Guards against another customer's workers: where both discoveries' lists have one number, the list that came with
 /// the socket was believed for good.
 #[test]
 fn what_a_process_of_other_settings_knew_is_left_out() {
     let (theirs, own, place) = ([good(), good()], good(), Place::new());
-    let [before, now] = [&theirs[0], &own].map(|peer| Director::new(&[("s-1", peer.address)]));
-    let other = Director::new(&[("s-1", theirs[1].address)]);
+    let [before, now] = [&theirs[0], &own].map(|peer| Discovery::new(&[("s-1", peer.address)]));
+    let other = Discovery::new(&[("s-1", theirs[1].address)]);
     assert_eq!(before.number(), now.number());
     let bookings = [(r#""name":"transfer""#, r#""name":"booking""#)];
     let shorter = [(r#""aim-ms":120"#, r#""aim-ms":121"#)];
     let mut old = Program::start_at(&place, &before, 512, &[]);
-    // Another customer; other names and figures at the same director; the same settings at another one.
+    // Another customer; other names and figures at the same discovery; the same settings at another one.
     let cases = [
         (&now, &own, "booking", &bookings),
         (&now, &own, "transfer", &shorter),
         (&other, &theirs[1], "transfer", &shorter),
     ];
-    for (director, worker, class, edits) in cases {
-        let new = Program::start_at(&place, director, 512, edits);
+    for (discovery, worker, class, edits) in cases {
+        let new = Program::start_at(&place, discovery, 512, edits);
         until("the socket", || new.log().contains("took the socket of the process before; it has other"));
         old.signal("-TERM");
         assert_eq!(old.wait().code(), Some(0), "{}", old.log());
@@ -34,12 +34,12 @@
     }
 }
 
-/// Guards against a reload that takes half of a file: the director moves, of the rest nothing changes, and one line
+/// Guards against a reload that takes half of a file: discovery moves, of the rest nothing changes, and one line
 /// says so, whatever else it is that differs.
 #[test]
-fn a_reload_moves_the_director_and_says_that_the_rest_needs_a_restart() {
+fn a_reload_moves_discovery_and_says_that_the_rest_needs_a_restart() {
     let (first, second) = (good(), good());
-    let [old, new] = [&first, &second].map(|peer| Director::new(&[("s-1", peer.address)]));
+    let [old, new] = [&first, &second].map(|peer| Discovery::new(&[("s-1", peer.address)]));
     let program = Program::start_with(&old, 1024, &[ADMIN]);
     let said = || program.log().matches("what else has changed needs a restart").count();
     let edits = [
@@ -53,7 +53,7 @@
     let mut reload = |from: &str, to: &str| {
         reloads += 1;
         program.reload(from, to);
-        until(to, || program.log().matches("reload: director").count() == reloads);
+        until(to, || program.log().matches("reload: discovery").count() == reloads);
     };
     for (n, (from, to)) in edits.into_iter().enumerate() {
         reload(from, to);
@@ -73,7 +73,7 @@
 #[test]
 fn limits_at_their_ends_serve() {
     let backend = good();
-    let director = Director::new(&[("s-1", backend.address)]);
+    let discovery = Discovery::new(&[("s-1", backend.address)]);
     let edits = [
         (r#""connect-timeout-ms":200,"#, ""),
         (r#""idle-close-ms":5000,"#, ""),
@@ -99,7 +99,7 @@
         (r#""fall-multiple":3"#, r#""fall-multiple":0"#),
     ];
     for (from, to) in edits {
-        let program = Program::start_with(&director, 1024, &[(from, to)]);
+        let program = Program::start_with(&discovery, 1024, &[(from, to)]);
         for class in ["transfer", "new-plate"] {
             let answer = program.ask(&req(class, "id-1"));
             assert_eq!(answer.status(), 200, "{class} with {to:?} for {from}: {}", program.log());
--- a/crates/server/tests/sockets/director.rs
+++ b/crates/server/tests/sockets/discovery.rs
@@ -1,4 +1,4 @@
-//! The director: asked at the start, failing, silent, moved by a reload.
+//! Discovery: asked at the start, failing, silent, moved by a reload.
 
 use std::io::{BufReader, Write};
 use std::process::Command;
@@ -13,28 +13,28 @@
 fn a_start_without_a_list_asks_for_it_at_once() {
     let backend = good();
     for membership in ["on_request", "pushed"] {
-        let director = Director::new(&[("s-1", backend.address)]);
+        let discovery = Discovery::new(&[("s-1", backend.address)]);
         let edits = [(r#""membership-mode":"on_request""#, &*format!(r#""membership-mode":"{membership}""#))];
-        let program = Program::start_knowing(&director, "null", 1024, &edits);
+        let program = Program::start_knowing(&discovery, "null", 1024, &edits);
         assert_eq!(program.ask(&req("transfer", "id-1")).status(), 200, "{membership}");
     }
 }
 
 #[test]
-fn a_failing_director_is_asked_again_and_what_it_garbles_is_not_believed() {
+fn failing_discovery_is_asked_again_and_what_it_garbles_is_not_believed() {
     let backend = good();
-    let director = Director::new(&[("s-1", backend.address)]);
-    let program = Program::start(&director);
-    director.spoilt.lock().unwrap().extend([
+    let discovery = Discovery::new(&[("s-1", backend.address)]);
+    let program = Program::start(&discovery);
+    discovery.spoilt.lock().unwrap().extend([
         "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{\"genera}",
         "HTTP/1.1 200 OK\r\nContent-Length: 31\r\n\r\n{\"generation\":9,\"instances\":[7]}",
         "no HTTP at all\r\n\r\n",
     ]);
-    until("each of them", || director.spoilt.lock().unwrap().is_empty());
-    director.set("s-1", "draining");
+    until("each of them", || discovery.spoilt.lock().unwrap().is_empty());
+    discovery.set("s-1", "draining");
     until("the news after", || program.log().contains("0 backends ready"));
-    director.set("s-1", "ready");
+    discovery.set("s-1", "ready");
     until("and again", || program.log().contains("entries, 1 backends ready"));
     until("a served req", || program.ask(&req("transfer", "id-1")).status() == 200);
 }
@@ -43,36 +43,36 @@
 #[test]
 fn a_start_with_an_empty_list_serves_once_a_full_one_has_come() {
     let backend = good();
-    let director = Director::new(&[("s-1", backend.address)]);
+    let discovery = Discovery::new(&[("s-1", backend.address)]);
     let nobody = r#"{"generation":0,"reset":true,"instances":[]}"#;
-    let program = Program::start_knowing(&director, nobody, 1024, &[]);
+    let program = Program::start_knowing(&discovery, nobody, 1024, &[]);
     assert_eq!(program.ask(&req("transfer", "id-1")).status(), 200);
 }
 
 #[test]
-fn a_director_that_does_not_hold_is_not_called_without_pause() {
+fn discovery_that_does_not_hold_is_not_called_without_pause() {
     let backend = good();
-    let director = Director::new(&[("s-1", backend.address)]);
-    let program = Program::start(&director);
+    let discovery = Discovery::new(&[("s-1", backend.address)]);
+    let program = Program::start(&discovery);
     let start = std::time::Instant::now();
     let text =
         "HTTP/1.1 200 OK\r\nContent-Length: 45\r\n\r\n{\"generation\":1,\"reset\":false,\"instances\":[]}";
-    director.spoilt.lock().unwrap().extend([text; 10]);
-    until("ten calls", || director.spoilt.lock().unwrap().is_empty());
+    discovery.spoilt.lock().unwrap().extend([text; 10]);
+    until("ten calls", || discovery.spoilt.lock().unwrap().is_empty());
     assert!(start.elapsed().as_millis() >= 900, "ten calls in {:?}", start.elapsed());
     assert!(!program.log().contains("malformed"), "{}", program.log());
 }
 
-/// A watch and two calls beside it unanswered, it is a director in trouble: it is left alone for a moment, and then
+/// A watch and two calls beside it unanswered, it is discovery in trouble: it is left alone for a moment, and then
 /// asked again.
 #[test]
-fn a_director_that_stays_silent_is_given_up_and_asked_again() {
+fn discovery_that_stays_silent_is_given_up_and_asked_again() {
     let backend = good();
-    let director = Director::new(&[("s-1", backend.address)]);
-    let program = Program::start(&director);
-    director.spoilt.lock().unwrap().extend(["", "", ""]); // the calls are read, and never answered
+    let discovery = Discovery::new(&[("s-1", backend.address)]);
+    let program = Program::start(&discovery);
+    discovery.spoilt.lock().unwrap().extend(["", "", ""]); // the calls are read, and never answered
     until("the calls' end", || program.log().contains("no answer in time"));
-    director.set("s-1", "draining");
+    discovery.set("s-1", "draining");
     until("the news after", || program.log().contains("0 backends ready"));
 }
 
@@ -81,40 +81,40 @@
 #[test]
 fn a_watch_that_fell_silent_is_opened_anew_before_what_it_missed_counts_as_told() {
     let backend = good();
-    let director = Director::new(&[("s-1", backend.address)]);
+    let discovery = Discovery::new(&[("s-1", backend.address)]);
     let edits = [(r#""balancers":1"#, r#""balancers":100"#)];
-    let mut program = Program::start_with(&director, 1024, &edits);
-    until("a watch that goes on", || director.peer.count() >= 2);
-    director.spoilt.lock().unwrap().push("");
-    until("its silence", || director.spoilt.lock().unwrap().is_empty());
-    director.set("s-1", "draining");
+    let mut program = Program::start_with(&discovery, 1024, &edits);
+    until("a watch that goes on", || discovery.peer.count() >= 2);
+    discovery.spoilt.lock().unwrap().push("");
+    until("its silence", || discovery.spoilt.lock().unwrap().is_empty());
+    discovery.set("s-1", "draining");
     until("the news", || program.log().contains("0 backends ready"));
     program.signal("-TERM");
     assert_eq!(program.wait().code(), Some(0));
     until("the log's last counts", || program.log().contains("stopped"));
     let log = program.log();
     // Not one failure: else the call after it would have waited.
-    assert!(log.contains("director_failures: 0,") && !log.contains("silent_watches: 0,"), "{log}");
+    assert!(log.contains("discovery_failures: 0,") && !log.contains("silent_watches: 0,"), "{log}");
 }
 
 /// Guards against a timer that is lost: among many schedulers the first call comes a moment after a start with
 /// a list, and nothing but that timer brings it where no req comes.
 #[test]
-fn started_with_a_list_among_many_and_without_traffic_it_calls_the_director() {
-    let director = Director::new(&[("s-1", "127.0.0.1:9".parse().expect("an address"))]);
+fn started_with_a_list_among_many_and_without_traffic_it_calls_discovery() {
+    let discovery = Discovery::new(&[("s-1", "127.0.0.1:9".parse().expect("an address"))]);
     let edits =
         [(r#""balancers":1"#, r#""balancers":100"#), (r#""ask-every-ms":10000"#, r#""ask-every-ms":2000"#)];
-    let _program = Program::start_with(&director, 1024, &edits);
-    until("a call", || director.peer.count() >= 1);
+    let _program = Program::start_with(&discovery, 1024, &edits);
+    until("a call", || discovery.peer.count() >= 1);
 }
 
 /// Guards against ending at SIGHUP, against staying with the address of the start's environment, and
-/// against asking the new director for changes since a list of the old one's numbering.
+/// against asking the new discovery for changes since a list of the old one's numbering.
 #[test]
-fn told_to_reload_it_moves_to_the_new_director_and_goes_on_serving() {
+fn told_to_reload_it_moves_to_the_new_discovery_and_goes_on_serving() {
     let (before, open) = gated("before");
     let after = good();
-    let (old, new) = (Director::new(&[("s-1", before.address)]), Director::new(&[("s-2", after.address)]));
+    let (old, new) = (Discovery::new(&[("s-1", before.address)]), Discovery::new(&[("s-2", after.address)]));
     let program = Program::start(&old);
     let mut client = program.connect();
     client.write_all(req("transfer", "id-1").as_bytes()).expect("written");
@@ -122,7 +122,7 @@
     program.reload("\"discovery\"", "\"discovery");
     until("the refusal", || program.log().contains("going on as before"));
     program.reload("\"discovery", "\"discovery\"");
-    until("the same again", || program.log().contains("reload: director"));
+    until("the same again", || program.log().contains("reload: discovery"));
     assert_eq!(new.peer.count(), 0);
     program.reload(&old.peer.address.to_string(), &new.peer.address.to_string());
     until("a watch on the new list", || new.peer.count() >= 2);
@@ -137,7 +137,8 @@
 #[test]
 fn a_reload_with_what_cannot_be_used_is_one_line_and_changes_nothing() {
     let backend = good();
-    let (old, new) = (Director::new(&[("s-1", backend.address)]), Director::new(&[("s-1", backend.address)]));
+    let (old, new) =
+        (Discovery::new(&[("s-1", backend.address)]), Discovery::new(&[("s-1", backend.address)]));
     let mut program = Program::start(&old);
     let moved = std::fs::read_to_string(&program.path).expect("its configuration");
     let moved = moved.replace(&old.peer.address.to_string(), &new.peer.address.to_string());
@@ -183,17 +184,17 @@
     assert_eq!(program.wait().code(), Some(0));
 }
 
-/// Guards against a signal that comes before there is a list, or anything to serve: it ends nothing, and the
-/// director named then is the one that counts.
+/// Guards against a signal that comes before there is a list, or anything to serve: it ends nothing, and
+/// discovery named then is the one that counts.
 #[test]
-fn told_to_reload_before_the_first_list_it_asks_the_new_director() {
+fn told_to_reload_before_the_first_list_it_asks_the_new_discovery() {
     let backend = good();
-    let director = Director::new(&[("s-1", backend.address)]);
+    let discovery = Discovery::new(&[("s-1", backend.address)]);
     let (nowhere, _full) = unreachable();
     let path = config(nowhere, "null", 1024);
     let (mut child, listen, _log, _) = serve(&path, &[]);
     let text = std::fs::read_to_string(&path).expect("its configuration");
-    let text = text.replace(&nowhere.to_string(), &director.peer.address.to_string());
+    let text = text.replace(&nowhere.to_string(), &discovery.peer.address.to_string());
     std::fs::write(&path, text).expect("written");
     let pid = child.id().to_string();
     assert!(Command::new("kill").args(["-HUP", &pid]).status().expect("kill runs").success());
--- a/crates/server/tests/sockets/leaving.rs
+++ b/crates/server/tests/sockets/leaving.rs
@@ -20,8 +20,8 @@
         |client| socket2::SockRef::from(client).set_linger(Some(Duration::ZERO)).expect("set"),
     ];
     let backend = good();
-    let director = Director::new(&[("s-1", backend.address)]);
-    let program = Program::start_with(&director, 1024, &[ADMIN]);
+    let discovery = Discovery::new(&[("s-1", backend.address)]);
+    let program = Program::start_with(&discovery, 1024, &[ADMIN]);
     let pending = || call(program.admin(), "telemetry").contains("edge_router.pending:1|g");
     let ready = || program.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
     // More than is held of a connection; the system holds it, or the rest of it, for as long as nobody reads.
@@ -29,7 +29,7 @@
     let mut half_closed = Vec::new();
     for case in 0..12 {
         let (way, behind, same_turn) = (case % 3, case % 6 > 2, case > 5);
-        director.set("s-1", "draining");
+        discovery.set("s-1", "draining");
         until("the drain", || !ready());
         let mut client = program.connect();
         client.write_all(req("transfer", &format!("gone-{case}")).as_bytes()).expect("written");
@@ -45,13 +45,13 @@
         if same_turn {
             program.signal("-STOP");
             half_closed.extend(leave(client));
-            director.set("s-1", "ready");
-            until("the list's arrival", || unread_from(director.peer.address) > 0);
+            discovery.set("s-1", "ready");
+            until("the list's arrival", || unread_from(discovery.peer.address) > 0);
             program.signal("-CONT");
         } else {
             half_closed.extend(leave(client));
             until("the client's end", || !pending());
-            director.set("s-1", "ready");
+            discovery.set("s-1", "ready");
         }
         until("the backend's return", ready);
         assert_eq!(program.ask(&req("transfer", &format!("id-{case}"))).status(), 200);
--- a/crates/server/tests/sockets/main.rs
+++ b/crates/server/tests/sockets/main.rs
@@ -6,7 +6,7 @@
 mod backends;
 mod closing;
 mod customers;
-mod director;
+mod discovery;
 mod leaving;
 mod malformed;
 mod passing;
--- a/crates/server/tests/sockets/malformed.rs
+++ b/crates/server/tests/sockets/malformed.rs
@@ -7,7 +7,7 @@
 #[test]
 fn what_is_malformed_gets_a_4xx_and_reaches_no_backend() {
     let backend = good();
-    let program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let text = req("transfer", "id-1");
     let large = 65 * 1024;
     let cases = [
@@ -55,7 +55,7 @@
 #[test]
 fn what_leaves_its_end_in_doubt_is_refused_and_closed() {
     let backend = good();
-    let program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let text = req("transfer", "id-1");
     let (length, coding) = ("Content-Length: 4\r\n", "Transfer-Encoding: chunked\r\n");
     let hidden = "0\r\n\r\n".to_owned() + &req("transfer", "id-2");
@@ -86,7 +86,7 @@
 #[test]
 fn what_does_not_arrive_in_time_is_closed_and_what_is_idle_is_not() {
     let backend = good();
-    let program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let mut usual = program.connect();
     assert_eq!(ask_on(&mut usual, &req("transfer", "id-1")).status(), 200);
     let start = std::time::Instant::now();
@@ -111,7 +111,7 @@
 #[test]
 fn what_is_too_large_is_refused_at_once() {
     let backend = good();
-    let program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let (head, _) = req("transfer", "id-1")
         .replace("Length: 4", "Length: 60000000")
         .split_once("body")
@@ -127,7 +127,7 @@
 #[test]
 fn what_is_odd_is_served_and_what_is_amiss_ends_plainly() {
     let backend = good();
-    let mut program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let mut program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let text = |id: &str| req("transfer", id);
     let with =
         |id: &str, field: &str| text(id).replace("Content-Length", &format!("{field}\r\nContent-Length"));
--- a/crates/server/tests/sockets/passing.rs
+++ b/crates/server/tests/sockets/passing.rs
@@ -10,7 +10,7 @@
 #[test]
 fn a_req_passes_through_unchanged_and_its_result_is_the_answer() {
     let backend = good();
-    let program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let text = req("new-plate", "9b1f03aa5c7e2d41").replace("/new-plate ", "/new-plate/%7euser?x=%20&y ");
     let answer = program.ask(&text);
     assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"made"[..]));
@@ -48,7 +48,7 @@
         (r#""max-attempts":4"#, r#""max-attempts":4,"may-probe":true"#),
         (r#""resolution-ms":4"#, r#""resolution-ms":4,"load-info":{"how":"probe","columns":["x0"]}"#),
     ];
-    let program = Program::start_with(&Director::new(&list), 1024, &edits);
+    let program = Program::start_with(&Discovery::new(&list), 1024, &edits);
     // Reqs do not wait for probes: the first go anywhere.
     let seen = |b: &Peer, what| b.seen.lock().unwrap().iter().filter(|m| m.first.starts_with(what)).count();
     let mut asked = 0;
@@ -75,7 +75,7 @@
         _ = gate.lock().unwrap().recv();
         done(message, stream, "made")
     });
-    let program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let mut first = program.connect();
     first.write_all(req("transfer", "id-1").as_bytes()).expect("written");
     until("the fetch", || backend.count() == 1);
@@ -88,7 +88,7 @@
     // Where attempts may not be cancelled, its fetch is open for longer than its client waits.
     let silent = Peer::new(|_, _| true);
     let edits = [(r#""cancelling":true"#, r#""cancelling":false"#)];
-    let program = Program::start_with(&Director::new(&[("s-1", silent.address)]), 1024, &edits);
+    let program = Program::start_with(&Discovery::new(&[("s-1", silent.address)]), 1024, &edits);
     let mut client = program.connect();
     client.write_all(req("transfer", "id-2").as_bytes()).expect("written");
     until("the fetch", || silent.count() == 1);
@@ -106,7 +106,7 @@
         Some("never") => true,
         id => done(message, stream, id.expect("an id")),
     });
-    let program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let mut client = program.connect();
     let all: String = (0..100).map(|n| req("transfer", &format!("id-{n}"))).collect();
     client.write_all(all.as_bytes()).expect("written");
@@ -188,7 +188,7 @@
     for (n, ending) in endings.into_iter().enumerate() {
         let backends = [Peer::new(ending), Peer::new(ending)];
         let list = [("s-1", backends[0].address), ("s-2", backends[1].address)];
-        let program = Program::start(&Director::new(&list));
+        let program = Program::start(&Discovery::new(&list));
         let answer = program.ask(&req("transfer", "id-1"));
         assert_eq!(answer.status(), 502, "ending {n}");
         assert_eq!(backends[0].count() + backends[1].count(), 1, "ending {n}");
@@ -206,7 +206,7 @@
     });
     for bad in [gone, turning_away.address, handing_back.address] {
         let backend = good();
-        let program = Program::start(&Director::new(&[("s-1", bad), ("s-2", backend.address)]));
+        let program = Program::start(&Discovery::new(&[("s-1", bad), ("s-2", backend.address)]));
         for n in 0..6 {
             assert_eq!(program.ask(&req("transfer", &format!("id-{n}"))).status(), 200);
         }
@@ -225,7 +225,7 @@
         }
         stream.write_all(b"0\r\n\r\n").is_ok()
     });
-    let program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     assert_eq!(program.ask(&req("transfer", "id-1")).body, "a\"é".as_bytes());
 }
 
@@ -238,7 +238,7 @@
         true // a new-plate is never answered
     });
     let program = Program::start_with(
-        &Director::new(&[("s-1", backend.address)]),
+        &Discovery::new(&[("s-1", backend.address)]),
         1024,
         &[(r#""give-up-ms":5000"#, r#""give-up-ms":600000"#)], // far longer than the test waits
     );
@@ -254,7 +254,7 @@
 #[test]
 fn a_req_without_an_answer_ends_with_its_deadline() {
     let backend = Peer::new(|_, _| true);
-    let program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let text = req("transfer", "id-1").replace("Deadline-Ms: 5000", "Deadline-Ms: 700");
     let start = std::time::Instant::now();
     assert_eq!(program.ask(&text).status(), 502);
--- a/crates/server/tests/sockets/room.rs
+++ b/crates/server/tests/sockets/room.rs
@@ -10,7 +10,7 @@
 #[test]
 fn idle_clients_make_room_when_descriptors_run_out() {
     let backend = good();
-    let program = Program::start_with(&Director::new(&[("s-1", backend.address)]), 64, &[]);
+    let program = Program::start_with(&Discovery::new(&[("s-1", backend.address)]), 64, &[]);
     let mut idle: Vec<_> = (0..60).map(|_| program.connect()).collect();
     idle[0].write_all(b"POST /tra").expect("half a head");
     let mut last = program.connect();
@@ -24,7 +24,7 @@
 #[test]
 fn a_crowd_takes_no_room_from_jobs_however_slowly_they_are_written() {
     let backend = good();
-    let program = Program::start_with(&Director::new(&[("s-1", backend.address)]), 96, &[]);
+    let program = Program::start_with(&Discovery::new(&[("s-1", backend.address)]), 96, &[]);
     let (stop, at) = (std::sync::atomic::AtomicBool::new(false), program.address);
     std::thread::scope(|s| {
         s.spawn(|| {
@@ -73,7 +73,7 @@
 #[test]
 fn a_new_client_gets_the_time_to_bring_its_req_in_a_full_house() {
     let backend = good();
-    let program = Program::start_with(&Director::new(&[("s-1", backend.address)]), 64, &[]);
+    let program = Program::start_with(&Discovery::new(&[("s-1", backend.address)]), 64, &[]);
     let mut kept: Vec<_> = (0..14).map(|_| program.connect()).collect();
     for (n, client) in kept.iter_mut().enumerate() {
         assert_eq!(ask_on(client, &req("transfer", &format!("id-{n}"))).status(), 200);
@@ -90,7 +90,7 @@
 #[test]
 fn those_who_ask_once_and_stay_leave_room_for_others() {
     let backend = good();
-    let program = Program::start_with(&Director::new(&[("s-1", backend.address)]), 96, &[]);
+    let program = Program::start_with(&Discovery::new(&[("s-1", backend.address)]), 96, &[]);
     let mut kept: Vec<_> = (0..30).map(|_| program.connect()).collect();
     for (n, client) in kept.iter_mut().enumerate() {
         assert_eq!(ask_on(client, &req("transfer", &format!("id-{n}"))).status(), 200);
@@ -103,19 +103,19 @@
     assert_eq!(ask_on(&mut kept[20], &req("transfer", "again")).status(), 200);
 }
 
-/// Guards against idle clients that leave no descriptor for the director: it is down while they come, and each call
+/// Guards against idle clients that leave no descriptor for discovery: it is down while they come, and each call
 /// needs a new one. The limit is the system's as well.
 #[test]
-fn idle_clients_leave_room_for_the_director_and_for_new_ones() {
+fn idle_clients_leave_room_for_discovery_and_for_new_ones() {
     for sockets in [64, 256] {
         let backend = good();
         let down = std::sync::Arc::new(std::sync::atomic::AtomicBool::new(true));
-        let (list, is_down) = (Director::new(&[("s-1", backend.address)]).known(), down.clone());
-        let director = Peer::new(move |_, stream| {
+        let (list, is_down) = (Discovery::new(&[("s-1", backend.address)]).known(), down.clone());
+        let discovery = Peer::new(move |_, stream| {
             let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
             !is_down.load(Ordering::SeqCst) && stream.write_all(answer.as_bytes()).is_ok()
         });
-        let path = config(director.address, "null", sockets);
+        let path = config(discovery.address, "null", sockets);
         let limited = format!("ulimit -n {sockets} && exec \"$0\" serve");
         let mut command = std::process::Command::new("sh");
         command
@@ -125,8 +125,8 @@
             .env_remove("TMPDIR");
         let mut program = Program::run(&mut command, path);
         let mut crowd: Vec<_> = (0..2 * sockets).map(|_| program.connect()).collect();
-        let (calls, ready) = (director.count(), "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-        until("calls beside the crowd", || director.count() > calls + 1);
+        let (calls, ready) = (discovery.count(), "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+        until("calls beside the crowd", || discovery.count() > calls + 1);
         crowd.extend((0..sockets).map(|_| program.connect()));
         assert_eq!(program.ask(ready).status(), 503);
         down.store(false, Ordering::SeqCst);
--- a/crates/server/tests/sockets/stages.rs
+++ b/crates/server/tests/sockets/stages.rs
@@ -50,20 +50,20 @@
     let backends = [staged(), staged()];
     let (nowhere, _full) = unreachable();
     let list = [("s-1", backends[0].address), ("s-2", backends[1].address), ("s-3", nowhere)];
-    let director = Director::new(&list);
+    let discovery = Discovery::new(&list);
     let edits = [
         (r#""cancelling":true"#, &*format!(r#""cancelling":{cancelling}"#)),
         (r#""connect-timeout-ms":200"#, r#""connect-timeout-ms":2000"#),
         (r#""give-up-ms":5000"#, r#""give-up-ms":1200"#),
     ];
-    let mut program = Program::start_with(&director, 1024, &edits);
+    let mut program = Program::start_with(&discovery, 1024, &edits);
     let listen = |ready: &[&str]| {
         for (name, _) in list {
-            director.set(name, if ready.contains(&name) { "ready" } else { "draining" });
+            discovery.set(name, if ready.contains(&name) { "ready" } else { "draining" });
         }
         let told = format!(", {} backends ready", ready.len());
         let newest = |log: String| log.lines().rfind(|l| l.contains("backends ready")).map(str::to_owned);
-        let number = format!("list {} (", director.number());
+        let number = format!("list {} (", discovery.number());
         until("the news", || newest(program.log()).is_some_and(|l| l.contains(&told) && l.contains(&number)));
     };
     listen(&["s-1", "s-2"]);
@@ -130,14 +130,14 @@
 }
 
 /// Guards against a stop that loses what was taken, answers it twice, never ends, or leaves its address
-/// taken: with reqs at every stage, half of one on a client's connection, the director down, and whoever
+/// taken: with reqs at every stage, half of one on a client's connection, discovery down, and whoever
 /// stops it out of patience.
 #[test]
 fn a_stop_with_reqs_at_every_stage_answers_each_and_the_next_start_succeeds() {
     let backend = staged();
     let (nowhere, _full) = unreachable();
-    let director = Director::new(&[("s-1", backend.address), ("s-2", nowhere)]);
-    let mut program = Program::start(&director);
+    let discovery = Discovery::new(&[("s-1", backend.address), ("s-2", nowhere)]);
+    let mut program = Program::start(&discovery);
     let mut half = program.connect();
     half.write_all(b"POST /transfer HTTP/1.1\r\nContent-Le").expect("half a head");
     let mut clients = Vec::new();
@@ -150,8 +150,8 @@
     }
     until("some of them", || backend.count() > 2);
     let dead = unreachable();
-    program.reload(&director.peer.address.to_string(), &dead.0.to_string());
-    until("the reload", || program.log().contains("reload: director"));
+    program.reload(&discovery.peer.address.to_string(), &dead.0.to_string());
+    until("the reload", || program.log().contains("reload: discovery"));
     for signal in ["-TERM", "-TERM", "-INT", "-HUP"] {
         program.signal(signal);
     }
@@ -168,12 +168,12 @@
     once_each(&[backend]);
     // On the same address at once, with a list as it was held long ago.
     let backend = good();
-    let director = Director::new(&[("s-1", backend.address)]);
+    let discovery = Discovery::new(&[("s-1", backend.address)]);
     let again = format!(r#""listen":"{}""#, program.address);
     let stale = format!(
         r#"{{"generation":99,"instances":[{{"instanceId":"s-9","hostPort":"{nowhere}","lifecycle":"ready"}}]}}"#
     );
-    let next = Program::start_knowing(&director, &stale, 1024, &[(r#""listen":"127.0.0.1:0""#, &again)]);
+    let next = Program::start_knowing(&discovery, &stale, 1024, &[(r#""listen":"127.0.0.1:0""#, &again)]);
     assert_eq!(next.address, program.address);
     until("the list of today", || next.log().contains("list 1 (All)"));
     assert_eq!(next.ask(&req("transfer", "id-1")).status(), 200);
--- a/crates/server/tests/sockets/start.rs
+++ b/crates/server/tests/sockets/start.rs
@@ -72,14 +72,14 @@
 #[test]
 fn the_log_is_json_where_wanted_and_its_loss_ends_nothing() {
     let backend = good();
-    let director = Director::new(&[("s-1", backend.address)]);
-    let path = config(director.peer.address, "null", 1024);
+    let discovery = Discovery::new(&[("s-1", backend.address)]);
+    let path = config(discovery.peer.address, "null", 1024);
     let (mut child, listen, log, line) = serve(&path, &["--log-format", "json"]);
     assert!(line.starts_with('{') && line.contains(r#""sockets":1024"#), "{line}");
     drop(log);
     let ready = || ask(listen, "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").is_some_and(|m| m.status() == 200);
     until("ready", ready);
-    director.set("s-1", "draining");
+    discovery.set("s-1", "draining");
     until("the news, which it logs", || !ready());
     assert!(Command::new("kill").arg(child.id().to_string()).status().expect("kill runs").success());
     assert!(child.wait().expect("its end").success());
--- a/crates/server/tests/sockets/stop.rs
+++ b/crates/server/tests/sockets/stop.rs
@@ -16,7 +16,7 @@
         }
         done(message, stream, "made")
     });
-    let mut program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let mut program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let (mut slow, mut kept, unused) = (program.connect(), program.connect(), program.connect());
     let mut half = program.connect();
     half.write_all(b"POST /tra").expect("half a head");
@@ -46,12 +46,12 @@
         {
             s.spawn(move || {
                 let backend = Peer::new(|_, _| true);
-                let director = Director::new(&[("s-1", backend.address)]);
-                let mut program = Program::start(&director);
+                let discovery = Discovery::new(&[("s-1", backend.address)]);
+                let mut program = Program::start(&discovery);
                 let mut client = program.connect();
                 let ready = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
                 assert_eq!(ask_on(&mut client, ready).status(), 200);
-                director.set("s-1", lifecycle);
+                discovery.set("s-1", lifecycle);
                 until("the news", || (ask_on(&mut client, ready).status() == 200) == (lifecycle == "ready"));
                 let text = req("transfer", "id-1");
                 let begun = if begun { text.len() - 2 } else { 0 };
@@ -76,7 +76,7 @@
         _ => done(message, stream, &"made ".repeat(8_000)),
     });
     let edits = [(r#""give-up-ms":5000"#, r#""give-up-ms":1000"#)];
-    let mut program = Program::start_with(&Director::new(&[("s-1", backend.address)]), 1024, &edits);
+    let mut program = Program::start_with(&Discovery::new(&[("s-1", backend.address)]), 1024, &edits);
     let (mut greedy, resting) = (program.connect(), program.connect());
     // More answers than the system holds for a client that reads none.
     let all: String = (0..160).map(|n| req("transfer", &format!("untaken-{n}"))).collect();
@@ -103,7 +103,7 @@
 #[test]
 fn what_has_arrived_when_connections_are_closed_is_answered() {
     let backend = good();
-    let mut program = Program::start(&Director::new(&[("s-1", backend.address)]));
+    let mut program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let mut clients: Vec<_> = (0..20).map(|_| program.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         assert_eq!(ask_on(client, &req("transfer", &format!("first-{n}"))).status(), 200);
@@ -130,7 +130,7 @@
 #[test]
 fn what_waits_to_be_accepted_at_a_stop_is_answered_within_the_descriptors() {
     let backend = good();
-    let mut program = Program::start_with(&Director::new(&[("s-1", backend.address)]), 64, &[]);
+    let mut program = Program::start_with(&Discovery::new(&[("s-1", backend.address)]), 64, &[]);
     assert_eq!(program.ask(&req("transfer", "first")).status(), 200);
     program.signal("-TERM");
     until("the signal", || program.log().contains("told to stop"));
--- a/crates/server/tests/sockets/told.rs
+++ b/crates/server/tests/sockets/told.rs
@@ -1,4 +1,4 @@
-//! What the director has to tell is heard before it counts as told, whatever becomes of the calls for it.
+//! What discovery has to tell is heard before it counts as told, whatever becomes of the calls for it.
 //!
 //! It owns the crossings of failed, silent and moved calls with a drain. It must never wait for a moment.
 
@@ -12,7 +12,7 @@
 
 use super::serve;
 
-/// Whatever the director has to tell counts as told so long after it had it.
+/// Whatever discovery has to tell counts as told so long after it had it.
 const TOLD_ANYWAY: Duration = Duration::from_secs(6);
 /// The longest time for asking that settings may name in earnest: pauses must not grow with it.
 const SELDOM: (&str, &str) = (r#""ask-every-ms":10000"#, r#""ask-every-ms":1200000"#);
@@ -22,19 +22,19 @@
 /// A drain right after a watch and the calls after it went wrong like this.
 fn drained_after(wrong: &[&'static str]) {
     let backend = good();
-    let director = Director::new(&[("s-1", backend.address)]);
-    let program = Program::start_with(&director, 1024, &[SELDOM]);
-    until("a watch that goes on", || director.peer.count() >= 2);
-    director.spoilt.lock().unwrap().extend(wrong);
-    until("the first of it", || director.spoilt.lock().unwrap().len() < wrong.len());
-    director.set("s-1", "draining");
+    let discovery = Discovery::new(&[("s-1", backend.address)]);
+    let program = Program::start_with(&discovery, 1024, &[SELDOM]);
+    until("a watch that goes on", || discovery.peer.count() >= 2);
+    discovery.spoilt.lock().unwrap().extend(wrong);
+    until("the first of it", || discovery.spoilt.lock().unwrap().len() < wrong.len());
+    discovery.set("s-1", "draining");
     let drained = Instant::now();
     until("the news", || program.log().contains("0 backends ready"));
     assert!(drained.elapsed() < TOLD_ANYWAY, "{wrong:?}: heard after {:?}", drained.elapsed());
-    assert!(director.spoilt.lock().unwrap().is_empty(), "{wrong:?}: not all of it was met");
+    assert!(discovery.spoilt.lock().unwrap().is_empty(), "{wrong:?}: not all of it was met");
 }
 
-/// Guards against taking a reset watch for a refusal by a director that has too many callers: the pause after it
+/// Guards against taking a reset watch for a refusal by discovery that has too many callers: the pause after it
 /// grew with the time for asking, beyond that after which a change counts as told.
 #[test]
 fn a_drain_right_after_a_watch_was_reset_is_heard_before_it_counts_as_told() {
@@ -55,11 +55,12 @@
     });
 }
 
-/// Guards against waiting for the first list of a new director as one does who has no list to lose by it.
+/// Guards against waiting for the first list of a new discovery as one does who has no list to lose by it.
 #[test]
-fn moved_to_a_director_that_is_silent_at_first_it_hears_a_drain_before_it_counts_as_told() {
+fn moved_to_discovery_that_is_silent_at_first_it_hears_a_drain_before_it_counts_as_told() {
     let backend = good();
-    let (old, new) = (Director::new(&[("s-1", backend.address)]), Director::new(&[("s-1", backend.address)]));
+    let (old, new) =
+        (Discovery::new(&[("s-1", backend.address)]), Discovery::new(&[("s-1", backend.address)]));
     let program = Program::start(&old);
     until("a watch", || old.peer.count() >= 1);
     new.set("s-1", "draining");
@@ -79,8 +80,8 @@
 #[test]
 fn a_start_with_an_old_list_where_it_is_pushed_waits_for_the_agent() {
     let (before, after) = (good(), good());
-    let known = Director::new(&[("s-1", before.address)]);
-    let present = Director::new(&[("s-1", before.address), ("s-2", after.address)]);
+    let known = Discovery::new(&[("s-1", before.address)]);
+    let present = Discovery::new(&[("s-1", before.address), ("s-2", after.address)]);
     present.set("s-1", "draining");
     let (open, gate) = channel::<()>();
     let (gate, list) = (Mutex::new(gate), present.known());
@@ -108,11 +109,11 @@
 #[test]
 fn a_start_with_an_old_list_where_the_agent_does_not_answer_serves_by_it() {
     let backend = good();
-    let director = Director::new(&[("s-1", backend.address)]);
+    let discovery = Discovery::new(&[("s-1", backend.address)]);
     let closed = TcpListener::bind("127.0.0.1:0").expect("a port").local_addr().expect("its address");
     let silent = Peer::new(|_, _| true);
     for agent in [closed, silent.address] {
-        let path = config(agent, &director.known(), 1024);
+        let path = config(agent, &discovery.known(), 1024);
         edit(&path, PUSHED);
         let (mut child, listen, _log, _) = serve(&path, &[]);
         until("ready", || ask(listen, READY).is_some_and(|m| m.status() == 200));
--- a/crates/standin/src/bin/oakshed-price/main.rs
+++ b/crates/standin/src/bin/oakshed-price/main.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use argh::FromArgs;
-use oakshed_standin::{Director, Program};
+use oakshed_standin::{Discovery, Program};
 use tokio::signal::unix::{signal, SignalKind};
 
 use load::{Answers, Load};
@@ -103,7 +103,7 @@
     let names: Vec<String> = (0..args.workers).map(|n| format!("s-{n}")).collect();
     let listed: Vec<(&str, SocketAddr)> =
         names.iter().map(String::as_str).zip(addresses.iter().copied()).collect();
-    let director = Director::new(&listed);
+    let discovery = Discovery::new(&listed);
     let balancers = if args.balancers.is_empty() { vec![1, 100] } else { args.balancers.clone() };
     let mut ratios = vec![Vec::new(); balancers.len()];
     for round in 1..=args.rounds {
@@ -112,7 +112,7 @@
         for &many in &balancers {
             let named = format!(r#""balancers":{many}"#);
             let edits = [(ALONE, named.as_str()), (LIMITS, if args.probes { PROBING } else { LIMITS })];
-            let scheduler = Tested::Scheduler(Program::start_with(&director, 1024, &edits));
+            let scheduler = Tested::Scheduler(Program::start_with(&discovery, 1024, &edits));
             runs.push(Run::new(&format!("oakshed, one of {many}"), scheduler, args).await?);
         }
         for _ in 0..args.seconds * SLICES {
--- a/crates/standin/src/director.rs
+++ b/crates/standin/src/discovery.rs
@@ -1,4 +1,4 @@
-//! A director for one scheduler or a few: its list, and a watch on it.
+//! Discovery for one scheduler or a few: its list, and a watch on it.
 //!
 //! It owns the list as the tests set it. For hundreds of schedulers there is another one (fleet).
 
@@ -12,18 +12,18 @@
 /// Among what is spoilt: the connection ends without an answer.
 pub const CLOSED: &str = "closed";
 
-/// What the director has to tell: the list by name, and its number.
+/// What discovery has to tell: the list by name, and its number.
 type Told = (u64, Vec<(String, SocketAddr, &'static str, u64)>);
 
-pub struct Director {
+pub struct Discovery {
     pub peer: Peer,
     told: Arc<(Mutex<Told>, Condvar)>,
     /// What the next calls are answered with instead.
     pub spoilt: Arc<Mutex<Vec<&'static str>>>,
 }
 
-impl Director {
-    pub fn new(backends: &[(&str, SocketAddr)]) -> Director {
+impl Discovery {
+    pub fn new(backends: &[(&str, SocketAddr)]) -> Discovery {
         let entries = backends.iter().map(|(name, at)| (name.to_string(), *at, "ready", 0)).collect();
         let told = Arc::new((Mutex::new((1, entries)), Condvar::new()));
         let spoilt = Arc::new(Mutex::new(Vec::<&str>::new()));
@@ -37,7 +37,7 @@
             let from = asked("from=");
             let spoilt = || !spoil.lock().unwrap().is_empty();
             let mut told = told.lock().unwrap();
-            // As long as it is told to: guards against tests that pass on an answer that no director gives.
+            // As long as it is told to: guards against tests that pass on an answer that no discovery gives.
             let end = Instant::now() + Duration::from_millis(asked("hold_ms=").unwrap_or(0));
             while from == Some(told.0) && !spoilt() && Instant::now() < end {
                 told = changed.wait_timeout(told, Duration::from_millis(20)).unwrap().0;
@@ -51,7 +51,7 @@
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
             stream.write_all((head + &body).as_bytes()).is_ok()
         });
-        Director { peer, told, spoilt }
+        Discovery { peer, told, spoilt }
     }
 
     /// The list that it tells now, as the platform hands it to a start.
--- a/crates/standin/src/fleet/director.rs
+++ b/crates/standin/src/fleet/discovery.rs
@@ -1,4 +1,4 @@
-//! A director for many schedulers, which can be down, slow, serve in turn, and fall silent.
+//! Discovery for many schedulers, which can be down, slow, serve in turn, and fall silent.
 //!
 //! It owns the list, its numbers, and the record of all calls. Each scheduler calls an address of its own,
 //! so that it can be told other addresses of the workers than the rest. It must never tell a list that was
@@ -22,7 +22,7 @@
 
 use super::{answer, bind, now_us, reset, Body};
 
-/// How a director that serves one call at a time does so.
+/// How discovery that serves one call at a time does so.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pace {
     /// What a call takes.
@@ -100,13 +100,13 @@
     wheres: Where,
 }
 
-/// The director.
+/// Discovery.
 #[derive(Clone)]
-pub struct FleetDirector(Rc<Shared>);
+pub struct FleetDiscovery(Rc<Shared>);
 
-impl FleetDirector {
-    /// A director with an empty list of number 1. `wheres` tells each caller's addresses of the workers.
-    pub fn new(wheres: impl Fn(usize, &str) -> SocketAddr + 'static) -> FleetDirector {
+impl FleetDiscovery {
+    /// Discovery with an empty list of number 1. `wheres` tells each caller's addresses of the workers.
+    pub fn new(wheres: impl Fn(usize, &str) -> SocketAddr + 'static) -> FleetDiscovery {
         let state = State {
             number: 1,
             entries: BTreeMap::new(),
@@ -117,7 +117,7 @@
         };
         let signal = watch::Sender::new(Signal { number: 1, ..Signal::default() });
         let (state, turn) = (RefCell::new(state), Mutex::new(()));
-        FleetDirector(Rc::new(Shared { state, signal, turn, wheres: Box::new(wheres) }))
+        FleetDiscovery(Rc::new(Shared { state, signal, turn, wheres: Box::new(wheres) }))
     }
 
     /// Serves a caller at an address of its own.
@@ -281,7 +281,7 @@
             }
         }
         let number = self.state.borrow().number;
-        // A number that was never given is another director's: it gets the whole.
+        // A number that was never given is another discovery's: it gets the whole.
         let from = from.filter(|from| *from <= number);
         let list = self.list(caller, from);
         self.end(
--- a/crates/standin/src/fleet/mod.rs
+++ b/crates/standin/src/fleet/mod.rs
@@ -1,10 +1,10 @@
-//! Stand-ins for trials with many schedulers: a director and workers that run beside each other in one
+//! Stand-ins for trials with many schedulers: discovery and workers that run beside each other in one
 //! thread, on hyper, and keep a record of what came and when.
 //!
 //! They are to be used inside a `tokio::task::LocalSet`. Their faults are set by whoever plays; they must
 //! never decide by themselves to misbehave. Times are in microseconds of Unix time.
 
-mod director;
+mod discovery;
 mod worker;
 
 use std::convert::Infallible;
@@ -17,7 +17,7 @@
 use hyper::Response;
 use tokio::net::{TcpListener, TcpStream};
 
-pub use director::{Call, FleetDirector, Outcome, Pace, Placed};
+pub use discovery::{Call, FleetDiscovery, Outcome, Pace, Placed};
 pub use worker::{Arrival, FleetWorker, FleetWorkerOptions};
 
 /// What a stand-in answers with: all at once, or piece by piece.
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,19 +1,19 @@
-//! Stand-ins of the parties around oakshed, on loopback: workers that speak leases, a director,
+//! Stand-ins of the parties around oakshed, on loopback: workers that speak leases, discovery,
 //! scripted peers, clients, and the scheduler under test.
 //!
 //! They are met by the published protocol and by docs/leases.md only. Nothing that serves may use this
 //! crate, and nothing in it decides anything for the scheduler.
 //!
 //! ```
-//! use oakshed_standin::{Director, Worker, WorkerOptions};
+//! use oakshed_standin::{Discovery, Worker, WorkerOptions};
 //!
 //! let worker = Worker::start(WorkerOptions::default()).unwrap();
-//! let director = Director::new(&[("s-1", worker.address)]);
-//! assert_ne!(worker.address, director.peer.address);
+//! let discovery = Discovery::new(&[("s-1", worker.address)]);
+//! assert_ne!(worker.address, discovery.peer.address);
 //! ```
 
 mod clients;
-mod director;
+mod discovery;
 pub mod fleet;
 mod ledger;
 mod message;
@@ -22,7 +22,7 @@
 mod worker;
 
 pub use clients::*;
-pub use director::{Director, CLOSED};
+pub use discovery::{Discovery, CLOSED};
 pub use ledger::{Ledger, Line, Word};
 pub use message::Message;
 pub use peer::*;
--- a/crates/standin/src/program.rs
+++ b/crates/standin/src/program.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 
 use crate::clients::{ask_on, until, PATIENCE};
-use crate::director::Director;
+use crate::discovery::Discovery;
 use crate::message::Message;
 
 const SETTINGS: &str = r#"{"az":0,"azs":["hofdi","selfoss"],"balancers":1,"machine-types":["fast-7"],
@@ -70,12 +70,12 @@
 }
 
 /// Writes a configuration that nobody else uses, and tells its path.
-pub fn config(director: SocketAddr, known: &str, sockets: usize) -> std::path::PathBuf {
+pub fn config(discovery: SocketAddr, known: &str, sockets: usize) -> std::path::PathBuf {
     static NEXT: AtomicUsize = AtomicUsize::new(0);
     let number = NEXT.fetch_add(1, Ordering::SeqCst);
     let path = std::env::temp_dir().join(format!("oakshed-{}-{number}.json", std::process::id()));
     let text = format!(
-        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{director}","seed":"8c1f30d27a5be964",
+        r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
 "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"known":{known},"settings":{SETTINGS}}}"#
     );
     std::fs::write(&path, text).expect("written");
@@ -90,56 +90,56 @@
         folder.join("oakshed")
     }
 
-    pub fn start(director: &Director) -> Program {
-        Program::start_with(director, 1024, &[])
+    pub fn start(discovery: &Discovery) -> Program {
+        Program::start_with(discovery, 1024, &[])
     }
 
     /// With fewer descriptors, or with parts of the settings replaced.
-    pub fn start_with(director: &Director, sockets: usize, edits: &[(&str, &str)]) -> Program {
-        let known = director.known();
-        Program::start_knowing(director, &known, sockets, edits)
+    pub fn start_with(discovery: &Discovery, sockets: usize, edits: &[(&str, &str)]) -> Program {
+        let known = discovery.known();
+        Program::start_knowing(discovery, &known, sockets, edits)
     }
 
     /// With an operator's file.
-    pub fn start_durable(director: &Director, operator: &str) -> Program {
-        Program::start_durable_knowing(director, "null", operator)
+    pub fn start_durable(discovery: &Discovery, operator: &str) -> Program {
+        Program::start_durable_knowing(discovery, "null", operator)
     }
 
     /// The same, with something for the list as last held.
-    pub fn start_durable_knowing(director: &Director, known: &str, operator: &str) -> Program {
-        Program::start_from(config(director.peer.address, known, 1024), director, Some(operator), None)
+    pub fn start_durable_knowing(discovery: &Discovery, known: &str, operator: &str) -> Program {
+        Program::start_from(config(discovery.peer.address, known, 1024), discovery, Some(operator), None)
     }
 
     /// With something else for the list as last held.
     pub fn start_knowing(
-        director: &Director,
+        discovery: &Discovery,
         known: &str,
         sockets: usize,
         edits: &[(&str, &str)],
     ) -> Program {
-        let path = config(director.peer.address, known, sockets);
+        let path = config(discovery.peer.address, known, sockets);
         let text = std::fs::read_to_string(&path).expect("just written");
         let edit = |text: String, (from, to): &(&str, &str)| {
             assert!(text.contains(from), "{from} is not in the settings");
             text.replace(from, to)
         };
         std::fs::write(&path, edits.iter().fold(text, edit)).expect("written");
-        Program::start_from(path, director, None, None)
+        Program::start_from(path, discovery, None, None)
     }
 
     /// At a place of its own, a folder and a clients' address, where another process may serve already.
-    pub fn start_at(place: &Place, director: &Director, sockets: usize, edits: &[(&str, &str)]) -> Program {
-        let known = director.known();
-        let text = std::fs::read_to_string(config(director.peer.address, &known, sockets)).expect("written");
+    pub fn start_at(place: &Place, discovery: &Discovery, sockets: usize, edits: &[(&str, &str)]) -> Program {
+        let known = discovery.known();
+        let text = std::fs::read_to_string(config(discovery.peer.address, &known, sockets)).expect("written");
         let text = edits.iter().fold(text, |text, (from, to)| text.replace(from, to));
         let path = place.folder.join("config.json");
         std::fs::write(&path, text).expect("written");
-        Program::start_from(path, director, None, Some(place))
+        Program::start_from(path, discovery, None, Some(place))
     }
 
     fn start_from(
         path: std::path::PathBuf,
-        director: &Director,
+        discovery: &Discovery,
         operator: Option<&str>,
         place: Option<&Place>,
     ) -> Program {
@@ -152,7 +152,7 @@
             std::fs::write(path.with_extension("operator"), operator).expect("written");
             command.arg("--operator").arg(path.with_extension("operator"));
         }
-        command.env("ROUTER_DISCOVERY", director.peer.address.to_string());
+        command.env("ROUTER_DISCOVERY", discovery.peer.address.to_string());
         let program = Program::run(command.env("ROUTER_CONFIG", &path).env_remove("ROUTER_ADMIN"), path);
         until("ready", || program.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200);
         program
--- a/crates/timeline/src/lib.rs
+++ b/crates/timeline/src/lib.rs
@@ -6,7 +6,7 @@
 //! ```
 //! use oakshed_timeline::{Style, Timeline};
 //!
-//! let mut line = Timeline::new(["director", "s1"]);
+//! let mut line = Timeline::new(["discovery", "s1"]);
 //! line.event(0, 1, "start");
 //! line.message(1_000, 1, 0, Some(1_400), "ask");
 //! line.event(5_000, 1, "list 41");
--- a/crates/timeline/tests/pictures.rs
+++ b/crates/timeline/tests/pictures.rs
@@ -8,7 +8,7 @@
 
 #[test]
 fn events_and_messages_of_a_few_nodes() {
-    let mut line = Timeline::new(["director", "s1", "s2", "w1"]);
+    let mut line = Timeline::new(["discovery", "s1", "s2", "w1"]);
     line.event(0, 1, "start");
     line.event(0, 2, "start");
     line.message(1_000, 1, 0, Some(1_200), "ask");
@@ -19,7 +19,7 @@
     line.event(30_200, 3, "started j17");
     line.event(30_300, 3, "done j17");
     line.event(4_200_000, 0, "drain w1");
-    line.event(4_200_100, 2, "cut -> director, and a word that flows on");
+    line.event(4_200_100, 2, "cut -> discovery, and a word that flows on");
     line.message(4_201_000, 1, 1, Some(4_201_000), "tick");
     line.event(4_400_000, 1, "kill");
     insta::assert_snapshot!(line.draw(&page(90)));
@@ -28,7 +28,7 @@
 #[test]
 fn columns_beyond_the_width_are_folded_with_their_names_and_counts() {
     let names: Vec<String> = (0..300).map(|n| format!("s{n}")).collect();
-    let mut line = Timeline::new(["director".to_owned()].into_iter().chain(names));
+    let mut line = Timeline::new(["discovery".to_owned()].into_iter().chain(names));
     for node in 100..=300 {
         line.event(0, node, "start");
     }
@@ -58,12 +58,15 @@
 
 #[test]
 fn what_came_too_early_is_told_with_its_place() {
-    let mut line = Timeline::new(["director", "s1"]);
+    let mut line = Timeline::new(["discovery", "s1"]);
     line.event(2_000, 0, "drain w1");
     line.event(1_000, 1, "drain w1 told");
     let (first, then) = ("drain w1", "drain w1 told");
     let wrong = line.before(|e| e.word == first, |e| e.word == then).expect_err("too early");
-    assert_eq!(wrong, "`drain w1 told` on s1 at 0.001000 s came before `drain w1` on director at 0.002000 s");
+    assert_eq!(
+        wrong,
+        "`drain w1 told` on s1 at 0.001000 s came before `drain w1` on discovery at 0.002000 s"
+    );
     assert_eq!(line.before(|e| e.word == then, |e| e.word == first), Ok(()));
     assert_eq!(line.before(|e| e.word == first, |e| e.word == "never"), Ok(()));
     let wrong = line.before(|e| e.word == "never", |e| e.node == 0).expect_err("no cause");
--- a/crates/trials/src/checks.rs
+++ b/crates/trials/src/checks.rs
@@ -22,13 +22,13 @@
     pub stops: Vec<Span>,
     /// Which list numbers it has taken in, and when.
     pub told: Vec<(u64, u64)>,
-    /// When it could not reach the director, or not be answered.
+    /// When it could not reach discovery, or not be answered.
     pub cut_off: Vec<Span>,
 }
 
 impl SchedulerFacts {
     /// The last moment up to `at` of which its clock begins anew: `from`, the start of its life, and the end of a
-    /// stop or of a time without the director. None where it did not live then, or cannot know yet.
+    /// stop or of a time without discovery. None where it did not live then, or cannot know yet.
     fn since(&self, from: u64, at: u64) -> Option<u64> {
         let life = self.lives.iter().find(|l| l.meets(at, at))?;
         let hindered = self.stops.iter().chain(&self.cut_off).filter(|s| s.meets(from, at));
@@ -52,7 +52,7 @@
     /// Since when it is not to get anything new: the list's number that says so, for each span of numbers up
     /// to that at which it is ready again.
     pub drains: Vec<(u64, Option<u64>)>,
-    /// When the director had these changes.
+    /// When discovery had these changes.
     pub drained: Vec<Span>,
     /// When it started cold.
     pub starts: Vec<u64>,
@@ -67,7 +67,7 @@
     pub workers: Vec<WorkerFacts>,
     /// The reqs that ended.
     pub reqs: Vec<Req>,
-    /// The director's calls.
+    /// Discovery's calls.
     pub calls: Vec<Call>,
 }
 
@@ -84,7 +84,7 @@
 
 /// How long after its scheduler was told a drained worker may still get something new, in microseconds.
 pub const DRAIN_SLACK: u64 = 300_000;
-/// Whatever happens to calls and watches, a change counts as told so long after the director had it and could be
+/// Whatever happens to calls and watches, a change counts as told so long after discovery had it and could be
 /// reached, in microseconds.
 pub const TOLD_ANYWAY: u64 = 6_000_000;
 /// So long after its client has left no attempt of a req begins, in microseconds: 0.1 s. The rest is for a machine that
@@ -170,7 +170,7 @@
     breaches
 }
 
-/// No scheduler sends a worker anything new later than the slack after a drain counts as told: 6 s after the director
+/// No scheduler sends a worker anything new later than the slack after a drain counts as told: 6 s after discovery
 /// had it and could be reached, whether or not anything came. Its clock begins anew with its life, with the end of a
 /// stop, and with each end of a time in which it was cut off.
 pub fn told_in_time(facts: &Facts) -> Vec<Breach> {
@@ -185,7 +185,7 @@
             let Some(since) = scheduler.and_then(|s| s.since(drain.from, arrival.at)) else { continue };
             if arrival.at > since + TOLD_ANYWAY + DRAIN_SLACK {
                 let (id, late) = (&arrival.req, (arrival.at - since) / 1_000);
-                let what = format!("{id} {late} ms after the director had its drain and could be reached");
+                let what = format!("{id} {late} ms after discovery had its drain and could be reached");
                 breaches.push(Breach { at: arrival.at, node: worker.name.clone(), what });
             }
         }
@@ -285,7 +285,7 @@
     breaches
 }
 
-/// How the director was called.
+/// How discovery was called.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Calls {
     /// In all.
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -1,4 +1,4 @@
-//! Trials of many oakshed processes: 3 to 300 real schedulers with a stand-in director and workers on
+//! Trials of many oakshed processes: 3 to 300 real schedulers with stand-in discovery and workers on
 //! loopback, relays with faults between any two, and checks of what happened.
 //!
 //! It owns what a trial starts and ends all of it. It knows the program by its command line, its log and its
--- a/crates/trials/src/picture.rs
+++ b/crates/trials/src/picture.rs
@@ -1,17 +1,17 @@
-//! The timeline of a trial, merged from what was played, the director's calls and the schedulers' logs.
+//! The timeline of a trial, merged from what was played, discovery's calls and the schedulers' logs.
 //!
 //! It must never leave out a fault that was played. What every process logs as a matter of course is left out.
 
 use oakshed_standin::fleet::{Call, Outcome};
 use oakshed_timeline::Timeline;
 
-use crate::world::{World, CLIENTS, DIRECTOR};
+use crate::world::{World, CLIENTS, DISCOVERY};
 
 /// The whole timeline; its times begin with the trial.
 pub fn timeline(world: &World) -> Timeline {
     let schedulers = world.schedulers.iter().map(|s| s.name.clone());
     let workers = world.workers.iter().map(|(name, _)| name.clone());
-    let mut line = Timeline::new([DIRECTOR.to_owned()].into_iter().chain(schedulers).chain(workers));
+    let mut line = Timeline::new([DISCOVERY.to_owned()].into_iter().chain(schedulers).chain(workers));
     let since = |at: u64| at.saturating_sub(world.began);
     for note in world.history.record().notes {
         let node = line.column(&note.node);
@@ -28,7 +28,7 @@
             line.event(since(logged.at), node, word);
         }
     }
-    for Call { caller, at, from, outcome, done } in world.director.calls() {
+    for Call { caller, at, from, outcome, done } in world.discovery.calls() {
         let node = line.column(&world.schedulers[caller].name);
         let news = match outcome {
             Outcome::Nothing => continue,
@@ -46,12 +46,12 @@
     line
 }
 
-/// What must come before what: no scheduler tells of a list that the director has not made, and none tells of
+/// What must come before what: no scheduler tells of a list that discovery has not made, and none tells of
 /// anything before its start.
 pub fn order(world: &World) -> Vec<String> {
     let line = timeline(world);
     let mut wrong = Vec::new();
-    for number in 2..=world.director.number() {
+    for number in 2..=world.discovery.number() {
         let (made, told) = (format!("{number}: "), format!("list {number}"));
         wrong.extend(line.before(|e| e.node == 0 && e.word.starts_with(&made), |e| e.word == told).err());
     }
--- a/crates/trials/src/plays/cold.rs
+++ b/crates/trials/src/plays/cold.rs
@@ -24,11 +24,11 @@
     Setup { relay_workers: false, ..Setup::new(options.schedulers.unwrap_or(20), 12, options.seed) }
 }
 
-/// All start at once without a list, against a director that serves in turn.
+/// All start at once without a list, against discovery that serves in turn.
 pub(super) async fn start(world: &mut World) -> Result<Told, String> {
     let schedulers = world.setup.schedulers;
-    world.director.pace(Some(Pace { per_call: PER_CALL, refuse_after: REFUSE_AFTER }));
-    let number = world.director.number();
+    world.discovery.pace(Some(Pace { per_call: PER_CALL, refuse_after: REFUSE_AFTER }));
+    let number = world.discovery.number();
     let began = now_us();
     world.start_all(Known::No).map_err(|e| e.to_string())?;
     let limit = Duration::from_secs(60);
@@ -42,13 +42,13 @@
         facts.schedulers.iter().filter_map(first).map(|at| at.saturating_sub(called) as f64 / 1e6).collect();
     told.sort_by(f64::total_cmp);
     let counts = calls(&facts, began, began + 10_000_000);
-    // What the director needs for one call of each.
+    // What discovery needs for one call of each.
     let least = PER_CALL.as_secs_f64() * schedulers as f64;
     let last = told.last().copied().unwrap_or(0.0);
     let each = |n: usize| n as f64 / schedulers as f64;
     let times: Vec<u64> = facts.calls.iter().map(|c| c.at).collect();
     let figures = vec![
-        format!("{schedulers} schedulers, director's limit {least:.2} s"),
+        format!("{schedulers} schedulers, discovery's limit {least:.2} s"),
         format!(
             "calls {} ({:.2} a scheduler, at most {} by one), whole lists asked {} ({:.2}), refused {}, most in 100 ms {}",
             counts.all, each(counts.all), counts.most, counts.whole, each(counts.whole), counts.refused,
@@ -63,7 +63,7 @@
     ];
     let mut broken: Vec<String> = ready.err().into_iter().collect();
     if counts.refused > 0 && schedulers <= MOST_IN_TURN {
-        broken.push(format!("{} calls refused: the director can serve all in time", counts.refused));
+        broken.push(format!("{} calls refused: discovery can serve all in time", counts.refused));
     }
     if each(counts.whole) > MOST_WHOLE {
         broken.push(format!("{:.2} whole lists asked a scheduler; at most {MOST_WHOLE}", each(counts.whole)));
--- a/crates/trials/src/plays/director.rs
+++ b/crates/trials/src/plays/discovery.rs
@@ -1,4 +1,4 @@
-//! Trouble between schedulers and the director: silent watches, and a cut one way.
+//! Trouble between schedulers and discovery: silent watches, and a cut one way.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use crate::checks::{calls, densest};
 use crate::load::Load;
 use crate::relays::Faults;
-use crate::world::{Setup, World, DIRECTOR};
+use crate::world::{Setup, World, DISCOVERY};
 
 /// What a watch that fell silent has missed counts as told after 6 s. The grace for drains is not relied on.
 const TOLD_ANYWAY: Duration = Duration::from_secs(6);
@@ -26,8 +26,8 @@
     let load = Load::start(world, 100.0, seed);
     watched_by_all(world).await?;
     let at = now_us();
-    world.history.note(DIRECTOR, "silent");
-    world.director.silence();
+    world.history.note(DISCOVERY, "silent");
+    world.discovery.silence();
     let number = world.drain(0);
     let told = world
         .until("the drain on all", PATIENCE, |world| world.schedulers.iter().all(|s| s.holds(number)))
@@ -75,7 +75,7 @@
 async fn watched_by_all(world: &mut World) -> Result<Duration, String> {
     world
         .until("a watch of each", PATIENCE, |world| {
-            let (number, calls) = (world.director.number(), world.director.calls());
+            let (number, calls) = (world.discovery.number(), world.discovery.calls());
             (0..world.schedulers.len()).all(|s| {
                 calls.iter().any(|c| c.caller == s && c.from == Some(number) && c.outcome == Outcome::Open)
             })
@@ -83,7 +83,7 @@
         .await
 }
 
-/// What the director answers to half of the schedulers does not arrive; a worker is drained; then it heals.
+/// What discovery answers to half of the schedulers does not arrive; a worker is drained; then it heals.
 pub(super) async fn cut(world: &mut World) -> Result<Told, String> {
     let (schedulers, seed) = (world.setup.schedulers, world.setup.seed);
     began_with_list(world).await?;
@@ -91,7 +91,7 @@
     watched_by_all(world).await?;
     let (cut, whole): (Vec<usize>, Vec<usize>) = (0..schedulers).partition(|s| s % 2 == 0);
     for &s in &cut {
-        world.to_director(s, Faults { cut_back: true, ..Faults::none() });
+        world.to_discovery(s, Faults { cut_back: true, ..Faults::none() });
     }
     let number = world.drain(0);
     let on = |which: Vec<usize>| move |w: &mut World| which.iter().all(|&s| w.schedulers[s].holds(number));
@@ -99,13 +99,13 @@
     // Each that is cut off has noticed and calls anew, in vain.
     let at = now_us();
     let again = |world: &mut World| {
-        let calls = world.director.calls();
+        let calls = world.discovery.calls();
         cut.iter().all(|&s| calls.iter().any(|c| c.caller == s && c.at > at))
     };
     let noticed = world.until("a fresh call of each that is cut off", PATIENCE, again).await?;
     let heard = cut.iter().filter(|&&s| world.schedulers[s].holds(number)).count();
     for &s in &cut {
-        world.to_director(s, Faults::none());
+        world.to_discovery(s, Faults::none());
     }
     let healed = world.until("the drain on all", PATIENCE, on(cut.clone())).await?;
     calm(world, 200, &load).await?;
--- a/crates/trials/src/plays/mixed.rs
+++ b/crates/trials/src/plays/mixed.rs
@@ -8,7 +8,7 @@
 use crate::schedule::{schedule, Fault, Step};
 use crate::scheduler::Known;
 use crate::settings::{COLD_SHARE, RAMP_MS};
-use crate::world::{Setup, World, DIRECTOR};
+use crate::world::{Setup, World, DISCOVERY};
 
 const WORKERS: usize = 8;
 /// Faults in one play.
@@ -34,7 +34,7 @@
         tokio::time::sleep(after).await;
         act(world, fault).await?;
     }
-    let number = world.director.number();
+    let number = world.discovery.number();
     let told =
         world.until("the last list on all", PATIENCE, |w| w.schedulers.iter().all(|s| s.holds(number))).await;
     let all: Vec<usize> = (0..schedulers).collect();
@@ -58,11 +58,11 @@
         Fault::Restart(s, false) => world.start(s, Known::No).map_err(|e| e.to_string())?,
         Fault::Stop(s) => world.stop(s),
         Fault::GoOn(s) => world.go_on(s),
-        Fault::CutDirector(s, cut_there, cut_back) => {
-            world.to_director(s, Faults { cut_there, cut_back, ..Faults::none() });
+        Fault::CutDiscovery(s, cut_there, cut_back) => {
+            world.to_discovery(s, Faults { cut_there, cut_back, ..Faults::none() });
         }
-        Fault::StallDirector(s) => world.to_director(s, Faults { stall: true, ..Faults::none() }),
-        Fault::HealDirector(s) => world.to_director(s, Faults::none()),
+        Fault::StallDiscovery(s) => world.to_discovery(s, Faults { stall: true, ..Faults::none() }),
+        Fault::HealDiscovery(s) => world.to_discovery(s, Faults::none()),
         Fault::ResetWorker(s, w) => _ = world.relays.reset(&name(world, s), &world.workers[w].0),
         Fault::DelayWorker(s, w, ms) => {
             let delay = Duration::from_millis(ms);
@@ -74,12 +74,12 @@
         }
         Fault::Down(down) => world.down(down),
         Fault::Slow(ms) => {
-            world.history.note(DIRECTOR, format!("slow by {ms} ms"));
-            world.director.slow(Duration::from_millis(ms));
+            world.history.note(DISCOVERY, format!("slow by {ms} ms"));
+            world.discovery.slow(Duration::from_millis(ms));
         }
         Fault::Silence => {
-            world.history.note(DIRECTOR, "silent");
-            world.director.silence();
+            world.history.note(DISCOVERY, "silent");
+            world.discovery.silence();
         }
         Fault::Drain(w, true) => _ = world.drain(w),
         Fault::Drain(w, false) => _ = world.undrain(w),
--- a/crates/trials/src/plays/mod.rs
+++ b/crates/trials/src/plays/mod.rs
@@ -4,7 +4,7 @@
 //! judge by a moment: it waits for conditions, and its limits are those of the rules.
 
 mod cold;
-mod director;
+mod discovery;
 mod mixed;
 mod processes;
 
@@ -58,7 +58,7 @@
 pub const ALL: [Play; 8] = [
     named(
         "cold-start",
-        "all start at once without a list; the director serves in turn, 20 ms a call, and refuses after 3 s",
+        "all start at once without a list; discovery serves in turn, 20 ms a call, and refuses after 3 s",
     ),
     named(
         "returns",
@@ -66,8 +66,8 @@
     ),
     named("silent-watches", "all watches fall silent at one moment, and a worker is drained right then"),
     named(
-        "director-cut",
-        "the director's answers do not reach half of the schedulers, a worker is drained, it heals",
+        "discovery-cut",
+        "discovery's answers do not reach half of the schedulers, a worker is drained, it heals",
     ),
     named("stopped", "a scheduler is stopped for 3 s (SIGSTOP) across a drain"),
     named(
@@ -78,7 +78,7 @@
         "durable-kills",
         "schedulers with durable jobs are killed, and start with a known list and without",
     ),
-    named("mixed", "sixteen faults of all kinds drawn from the seed: processes, ways, director, workers"),
+    named("mixed", "sixteen faults of all kinds drawn from the seed: processes, ways, discovery, workers"),
 ];
 
 /// What [`play`] fails with after Ctrl-C or SIGTERM.
@@ -123,7 +123,7 @@
     let setup = match name {
         "cold-start" => cold::setup(options),
         "returns" => cold::setup_returns(options),
-        "silent-watches" | "director-cut" => director::setup(options),
+        "silent-watches" | "discovery-cut" => discovery::setup(options),
         "stopped" => processes::setup_stopped(options),
         "third-killed" => processes::setup_killed(options),
         "durable-kills" => processes::setup_durable(options),
@@ -134,8 +134,8 @@
     let outcome = match name {
         "cold-start" => cold::start(&mut world).await,
         "returns" => cold::returns(&mut world).await,
-        "silent-watches" => director::silent(&mut world).await,
-        "director-cut" => director::cut(&mut world).await,
+        "silent-watches" => discovery::silent(&mut world).await,
+        "discovery-cut" => discovery::cut(&mut world).await,
         "stopped" => processes::stopped(&mut world).await,
         "third-killed" => processes::killed(&mut world).await,
         "durable-kills" => processes::durable(&mut world).await,
@@ -152,7 +152,7 @@
 /// Starts all with the list as it is, and waits until each has told of it.
 async fn began_with_list(world: &mut World) -> Result<(), String> {
     world.start_all(Known::Held).map_err(|e| e.to_string())?;
-    let number = world.director.number();
+    let number = world.discovery.number();
     let holds = |w: &mut World| w.schedulers.iter().all(|s| s.holds(number));
     world.until("a list on all", PATIENCE, holds).await?;
     Ok(())
--- a/crates/trials/src/plays/processes.rs
+++ b/crates/trials/src/plays/processes.rs
@@ -92,11 +92,11 @@
         let s = world.rng.usize(..schedulers);
         calm(world, 50, &load).await?;
         world.kill(s).await;
-        // Who has a list needs no director to serve what is new: that one says nothing until then.
-        world.director.mute(known == Known::Held);
+        // Who has a list needs no discovery to serve what is new: that one says nothing until then.
+        world.discovery.mute(known == Known::Held);
         world.start(s, known).map_err(|e| e.to_string())?;
         let took = serves(world, &[s]).await.map_err(|e| format!("kill {n}, started with {known:?}: {e}"))?;
-        world.director.mute(false);
+        world.discovery.mute(false);
         figures.push(format!("kill {n}: s{s} started with known list: {known:?}, serves after {took:.3?}"));
     }
     load.end().await;
--- a/crates/trials/src/process.rs
+++ b/crates/trials/src/process.rs
@@ -32,8 +32,8 @@
     pub operator: Option<&'a Path>,
     /// The clients' address.
     pub listen: SocketAddr,
-    /// The director's address.
-    pub director: SocketAddr,
+    /// Discovery's address.
+    pub discovery: SocketAddr,
 }
 
 /// A process that runs.
@@ -57,7 +57,7 @@
         command
             .env("ROUTER_CONFIG", start.config)
             .env("ROUTER_LISTEN", start.listen.to_string())
-            .env("ROUTER_DISCOVERY", start.director.to_string())
+            .env("ROUTER_DISCOVERY", start.discovery.to_string())
             .env_remove("ROUTER_ADMIN")
             .env_remove("ROUTER_NAME")
             .env_remove("TMPDIR")
--- a/crates/trials/src/schedule.rs
+++ b/crates/trials/src/schedule.rs
@@ -16,19 +16,19 @@
     Stop(usize),
     /// SIGCONT.
     GoOn(usize),
-    /// What a scheduler asks of the director does not arrive, or the answers do not.
-    CutDirector(usize, bool, bool),
-    /// Bytes between a scheduler and the director are held.
-    StallDirector(usize),
+    /// What a scheduler asks of discovery does not arrive, or the answers do not.
+    CutDiscovery(usize, bool, bool),
+    /// Bytes between a scheduler and discovery are held.
+    StallDiscovery(usize),
     /// All is well again between them.
-    HealDirector(usize),
+    HealDiscovery(usize),
     /// Connections from a scheduler to a worker are reset.
     ResetWorker(usize, usize),
     /// A worker is this many milliseconds further from a scheduler.
     DelayWorker(usize, usize, u64),
-    /// The director is down, or up again.
+    /// Discovery is down, or up again.
     Down(bool),
-    /// The director takes so many milliseconds longer.
+    /// Discovery takes so many milliseconds longer.
     Slow(u64),
     /// All watches fall silent.
     Silence,
@@ -62,19 +62,19 @@
             open.contains(&(0, Fault::Drain(w, false)))
                 || open.iter().any(|(_, m)| *m == Fault::Drain(w, false))
         };
-        let director = open.iter().any(|(_, m)| matches!(m, Fault::Down(_) | Fault::Slow(_)));
+        let discovery = open.iter().any(|(_, m)| matches!(m, Fault::Down(_) | Fault::Slow(_)));
         let (fault, mend) = match rng.u8(..12) {
             0 | 1 if !taken(s, &open) => (Fault::Kill(s), Some(Fault::Restart(s, rng.bool()))),
             2 | 3 if !taken(s, &open) => (Fault::Stop(s), Some(Fault::GoOn(s))),
             4 if !taken(s, &open) => {
                 let there = rng.bool();
-                (Fault::CutDirector(s, there, !there || rng.bool()), Some(Fault::HealDirector(s)))
+                (Fault::CutDiscovery(s, there, !there || rng.bool()), Some(Fault::HealDiscovery(s)))
             }
-            5 if !taken(s, &open) => (Fault::StallDirector(s), Some(Fault::HealDirector(s))),
+            5 if !taken(s, &open) => (Fault::StallDiscovery(s), Some(Fault::HealDiscovery(s))),
             6 => (Fault::ResetWorker(s, w), None),
             7 => (Fault::DelayWorker(s, w, rng.u64(1..30)), Some(Fault::DelayWorker(s, w, 0))),
-            8 if !director => (Fault::Down(true), Some(Fault::Down(false))),
-            9 if !director => (Fault::Slow(rng.u64(20..800)), Some(Fault::Slow(0))),
+            8 if !discovery => (Fault::Down(true), Some(Fault::Down(false))),
+            9 if !discovery => (Fault::Slow(rng.u64(20..800)), Some(Fault::Slow(0))),
             10 => (Fault::Silence, None),
             // Half of the workers always stay, so that reqs can be served.
             11 if w >= workers / 2 && !drained(w, &open) => match rng.bool() {
@@ -102,10 +102,10 @@
     }
 }
 
-/// The scheduler whose process or way to the director a mend is for.
+/// The scheduler whose process or way to discovery a mend is for.
 fn of(mend: Fault) -> Option<usize> {
     match mend {
-        Fault::Restart(s, _) | Fault::GoOn(s) | Fault::HealDirector(s) => Some(s),
+        Fault::Restart(s, _) | Fault::GoOn(s) | Fault::HealDiscovery(s) => Some(s),
         _ => None,
     }
 }
@@ -129,9 +129,9 @@
                     Fault::Restart(s, _) => assert!(dead.remove(&s), "seed {seed}"),
                     Fault::Stop(s) => assert!(stopped.insert(s) && !dead.contains(&s), "seed {seed}"),
                     Fault::GoOn(s) => assert!(stopped.remove(&s), "seed {seed}"),
-                    Fault::CutDirector(s, there, back) => assert!((there || back) && cut.insert(s)),
-                    Fault::StallDirector(s) => assert!(cut.insert(s), "seed {seed}"),
-                    Fault::HealDirector(s) => assert!(cut.remove(&s), "seed {seed}"),
+                    Fault::CutDiscovery(s, there, back) => assert!((there || back) && cut.insert(s)),
+                    Fault::StallDiscovery(s) => assert!(cut.insert(s), "seed {seed}"),
+                    Fault::HealDiscovery(s) => assert!(cut.remove(&s), "seed {seed}"),
                     Fault::Down(is) => assert!(std::mem::replace(&mut down, is) != is, "seed {seed}"),
                     Fault::Slow(ms) => slow = ms,
                     Fault::Drain(w, true) => assert!(drained.insert(w) && w >= 3, "seed {seed}"),
--- a/crates/trials/src/scheduler.rs
+++ b/crates/trials/src/scheduler.rs
@@ -26,8 +26,8 @@
     pub listen: SocketAddr,
     /// Where clients reach it.
     pub front: SocketAddr,
-    /// Where it reaches the director.
-    pub(crate) director: SocketAddr,
+    /// Where it reaches discovery.
+    pub(crate) discovery: SocketAddr,
     pub(crate) held: Option<Value>,
     pub(crate) process: Option<Process>,
     pub(crate) lives: Vec<Span>,
--- a/crates/trials/src/world.rs
+++ b/crates/trials/src/world.rs
@@ -1,4 +1,4 @@
-//! A whole fleet on loopback: director, workers, schedulers as real processes, and relays between them.
+//! A whole fleet on loopback: discovery, workers, schedulers as real processes, and relays between them.
 //!
 //! It owns what is started and ends it when dropped. Whoever plays says when; it must never wait for a
 //! moment, only for conditions with a limit.
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use oakshed_standin::fleet::{now_us, FleetDirector, FleetWorker, FleetWorkerOptions};
+use oakshed_standin::fleet::{now_us, FleetDiscovery, FleetWorker, FleetWorkerOptions};
 use rustix::process::{getrlimit, setrlimit, Resource, Rlimit, Signal};
 use serde_json::{json, Value};
 use tokio::time::{sleep, Instant};
@@ -27,8 +27,8 @@
 
 /// The name under which clients stand in relays and timelines.
 pub const CLIENTS: &str = "clients";
-/// The name of the director.
-pub const DIRECTOR: &str = "director";
+/// The name of discovery.
+pub const DISCOVERY: &str = "discovery";
 
 /// How a fleet is to be.
 #[derive(Clone, Debug)]
@@ -73,10 +73,10 @@
     pub setup: Setup,
     /// What happens.
     pub history: History,
-    /// The relays: clients to each scheduler, each scheduler to the director and to each worker.
+    /// The relays: clients to each scheduler, each scheduler to discovery and to each worker.
     pub relays: Relays,
-    /// The director.
-    pub director: FleetDirector,
+    /// Discovery.
+    pub discovery: FleetDiscovery,
     /// The workers with their names.
     pub workers: Vec<(String, FleetWorker)>,
     /// The schedulers.
@@ -87,7 +87,7 @@
     pub began: u64,
     drains: BTreeMap<String, Vec<(u64, Option<u64>)>>,
     drained: BTreeMap<String, Vec<Span>>,
-    /// When the director was down for all, and when one scheduler was cut off from it.
+    /// When discovery was down for all, and when one scheduler was cut off from it.
     down: Vec<Span>,
     cut_off: BTreeMap<usize, Vec<Span>>,
     starts: BTreeMap<String, Vec<u64>>,
@@ -115,7 +115,8 @@
         let relays = Relays::new(others, setup.seed, history.clone());
         let places: Rc<RefCell<BTreeMap<(usize, String), SocketAddr>>> = Rc::default();
         let look = places.clone();
-        let director = FleetDirector::new(move |caller, worker| look.borrow()[&(caller, worker.to_owned())]);
+        let discovery =
+            FleetDiscovery::new(move |caller, worker| look.borrow()[&(caller, worker.to_owned())]);
         // Ports that stay free until the schedulers take them: nobody else binds at this address.
         let held: Vec<std::net::TcpListener> = (0..setup.schedulers)
             .map(|_| std::net::TcpListener::bind((serving, 0)))
@@ -124,10 +125,10 @@
         for (n, held) in held.iter().enumerate() {
             let (name, listen) = (format!("s{n}"), held.local_addr()?);
             let front = relays.tcp(CLIENTS, &name, listen).await?;
-            let director = relays.tcp(&name, DIRECTOR, director.listen(n, others).await?).await?;
+            let discovery = relays.tcp(&name, DISCOVERY, discovery.listen(n, others).await?).await?;
             let (held, process, log) = (None, None, Log::default());
             let (lives, stops) = (Vec::new(), Vec::new());
-            schedulers.push(Scheduler { name, listen, front, director, held, process, lives, stops, log });
+            schedulers.push(Scheduler { name, listen, front, discovery, held, process, lives, stops, log });
         }
         drop(held);
         let mut workers = Vec::new();
@@ -147,7 +148,7 @@
             }
             workers.push((name, worker));
         }
-        director.change(|list| {
+        discovery.change(|list| {
             for (name, worker) in &workers {
                 // Leases go with the memory, which began just now; else they have long been there.
                 let started_ms = if setup.durable { worker.since_ms() } else { 0 };
@@ -159,12 +160,12 @@
         let (drains, drained, starts) = (BTreeMap::new(), BTreeMap::new(), BTreeMap::new());
         let (down, cut_off) = (Vec::new(), BTreeMap::new());
         let began = now_us();
-        history.note(DIRECTOR, format!("{}: all ready", director.number()));
+        history.note(DISCOVERY, format!("{}: all ready", discovery.number()));
         Ok(World {
             setup,
             history,
             relays,
-            director,
+            discovery,
             workers,
             schedulers,
             rng,
@@ -184,7 +185,7 @@
     /// # Errors
     /// Those of files and of starting.
     pub fn start(&mut self, s: usize, known: Known) -> io::Result<()> {
-        let current = self.director.known(s);
+        let current = self.discovery.known(s);
         let scheduler = &mut self.schedulers[s];
         assert!(scheduler.process.is_none(), "{} runs", scheduler.name);
         let known = match known {
@@ -205,8 +206,8 @@
             std::fs::write(&operator, json!({ "jobs": jobs }).to_string())?;
         }
         let operator = self.setup.durable.then_some(operator.as_path());
-        let (listen, director) = (scheduler.listen, scheduler.director);
-        let start = Start { config: &config, operator, listen, director };
+        let (listen, discovery) = (scheduler.listen, scheduler.discovery);
+        let start = Start { config: &config, operator, listen, discovery };
         let word = if known.is_null() { "start" } else { "start, list known" };
         self.history.note(&scheduler.name, word);
         scheduler.lives.push(Span { from: now_us(), to: None });
@@ -227,7 +228,7 @@
 
     /// Kills a scheduler (SIGKILL), whether it runs or is stopped.
     pub async fn kill(&mut self, s: usize) {
-        let held = self.director.known(s);
+        let held = self.discovery.known(s);
         let scheduler = &mut self.schedulers[s];
         let Some(mut process) = scheduler.process.take() else { return };
         let had = scheduler
@@ -289,8 +290,8 @@
     /// Drains a worker; tells the list's number.
     pub fn drain(&mut self, w: usize) -> u64 {
         let name = self.workers[w].0.clone();
-        let number = self.director.lifecycle(&name, "draining");
-        self.history.note(DIRECTOR, format!("{number}: drain {name}"));
+        let number = self.discovery.lifecycle(&name, "draining");
+        self.history.note(DISCOVERY, format!("{number}: drain {name}"));
         self.drained.entry(name.clone()).or_default().push(Span { from: now_us(), to: None });
         self.drains.entry(name).or_default().push((number, None));
         number
@@ -299,34 +300,34 @@
     /// Lets a worker be used again; tells the list's number.
     pub fn undrain(&mut self, w: usize) -> u64 {
         let name = self.workers[w].0.clone();
-        let number = self.director.lifecycle(&name, "ready");
-        self.history.note(DIRECTOR, format!("{number}: ready {name}"));
+        let number = self.discovery.lifecycle(&name, "ready");
+        self.history.note(DISCOVERY, format!("{number}: ready {name}"));
         let drained = self.drained.entry(name.clone()).or_default();
         drained.last_mut().into_iter().for_each(|d| d.to = Some(now_us()));
         self.drains.entry(name).or_default().last_mut().into_iter().for_each(|d| d.1 = Some(number));
         number
     }
 
-    /// The director is down, or up again.
+    /// Discovery is down, or up again.
     pub fn down(&mut self, down: bool) {
-        self.history.note(DIRECTOR, if down { "down" } else { "up" });
+        self.history.note(DISCOVERY, if down { "down" } else { "up" });
         Span::note(&mut self.down, down);
-        self.director.down(down);
+        self.discovery.down(down);
     }
 
-    /// What lies between a scheduler and the director is so from now on.
-    pub fn to_director(&mut self, s: usize, faults: Faults) {
+    /// What lies between a scheduler and discovery is so from now on.
+    pub fn to_discovery(&mut self, s: usize, faults: Faults) {
         Span::note(self.cut_off.entry(s).or_default(), faults != Faults::none());
-        self.relays.set(&self.schedulers[s].name, DIRECTOR, faults);
+        self.relays.set(&self.schedulers[s].name, DISCOVERY, faults);
     }
 
-    /// Starts a worker anew, cold, and tells the director; `step` is how far the clock of its start is off.
+    /// Starts a worker anew, cold, and tells discovery; `step` is how far the clock of its start is off.
     pub fn restart_worker(&mut self, w: usize, step: Duration) -> u64 {
         let (name, worker) = &self.workers[w];
         let started = worker.restart() + step.as_millis() as u64;
-        let number = self.director.set(name, "ready", started);
+        let number = self.discovery.set(name, "ready", started);
         self.history.note(name, "starts cold");
-        self.history.note(DIRECTOR, format!("{number}: new {name}"));
+        self.history.note(DISCOVERY, format!("{number}: new {name}"));
         self.starts.entry(name.clone()).or_default().push(now_us());
         number
     }
@@ -376,7 +377,7 @@
             schedulers: self.schedulers.iter().enumerate().map(scheduler).collect(),
             workers: self.workers.iter().map(worker).collect(),
             reqs: self.history.record().reqs,
-            calls: self.director.calls(),
+            calls: self.discovery.calls(),
         }
     }
 }
--- a/crates/trials/tests/checks.rs
+++ b/crates/trials/tests/checks.rs
@@ -117,7 +117,7 @@
         told_in_time(facts).len()
     };
     assert_eq!((at(&mut facts, last), at(&mut facts, last + 1), at(&mut facts, 29 * S + 1)), (0, 1, 0));
-    // The director could not be reached: its time begins with the end of that, and while it lasts there is none.
+    // Discovery could not be reached: its time begins with the end of that, and while it lasts there is none.
     facts.schedulers[0].cut_off = vec![Span { from: S, to: Some(3 * S) }, Span { from: 20 * S, to: None }];
     assert_eq!((at(&mut facts, last + S), at(&mut facts, last + S + 1), at(&mut facts, 20 * S)), (0, 1, 0));
     // So with a stop, and with a new life.
@@ -172,7 +172,7 @@
     assert_eq!(restarted_in_time(&fleet(3, None), last - 1), [], "their time is not up");
     let mut cut = fleet(3, Some(last + 1));
     cut.schedulers[0].cut_off = vec![Span { from: S, to: Some(6 * S + 1) }];
-    assert_eq!(restarted_in_time(&cut, 60 * S), [], "one had no director until then");
+    assert_eq!(restarted_in_time(&cut, 60 * S), [], "one had no discovery until then");
     // A first start is none.
     let mut first = fleet(3, None);
     first.schedulers.iter_mut().for_each(|s| _ = s.lives.remove(0));
--- a/crates/trials/tests/plays.rs
+++ b/crates/trials/tests/plays.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_fleet_starts_at_once_and_its_director_refuses_nobody() {
+fn a_fleet_starts_at_once_and_its_discovery_refuses_nobody() {
     holds("cold-start");
 }
 
@@ -30,7 +30,7 @@
 
 #[test]
 fn a_drain_is_heard_by_all_after_a_cut_one_way_is_healed() {
-    holds("director-cut");
+    holds("discovery-cut");
 }
 
 #[test]
