--- a/crates/core/src/facade/mod.rs
+++ b/crates/core/src/facade/mod.rs
@@ -147,7 +147,7 @@
                 Step::Drop { fetch } if self.on_ended(now, req, fetch, Ending::Revoked, None) => {
                     drops.push(fetch);
                 }
-                Step::Drop { .. } | Step::Serve { .. } | Step::Synthetic { .. } | Step::Fail => {}
+                Step::Drop { .. } | Step::Serve { .. } | Step::Refuse { .. } | Step::Fail => {}
             }
         }
         self.forget(req);
@@ -306,7 +306,7 @@
                 self.must(!over, "a fetch after the final answer");
             }
             Action::Refuse { id, retry_after } => {
-                self.tally.synthetic += self.answer(id, Step::Synthetic { retry_after });
+                self.tally.refused += self.answer(id, Step::Refuse { retry_after });
             }
             Action::Fail { id } => self.tally.failed += self.answer(id, Step::Fail),
             Action::Cancel { id, attempt } => {
--- a/crates/core/src/facade/tally.rs
+++ b/crates/core/src/facade/tally.rs
@@ -9,8 +9,8 @@
     pub taken: u64,
     /// Final answers by kind.
     pub served: u64,
-    /// Synthetic answers.
-    pub synthetic: u64,
+    /// Refusals.
+    pub refused: u64,
     /// Failed reqs.
     pub failed: u64,
     /// Clients that went away first.
@@ -25,8 +25,8 @@
 
 impl std::fmt::Display for Tally {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Tally { taken, served, synthetic, failed, gone, fetches, ended, broken } = self;
-        write!(f, "taken={taken} served={served} synthetic={synthetic} failed={failed} gone={gone} ")?;
+        let Tally { taken, served, refused, failed, gone, fetches, ended, broken } = self;
+        write!(f, "taken={taken} served={served} refused={refused} failed={failed} gone={gone} ")?;
         write!(f, "broken={broken} fetches={fetches}")?;
         let names = ["delivered", "error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused"];
         names.iter().zip(ended).try_for_each(|(name, n)| write!(f, " {name}={n}"))
--- a/crates/core/src/facade/types.rs
+++ b/crates/core/src/facade/types.rs
@@ -48,8 +48,8 @@
         /// Which one.
         fetch: usize,
     },
-    /// Final: a synthetic answer that tells the client to come again, perhaps after a while.
-    Synthetic {
+    /// Final: a refusal that tells the client to come again, perhaps after a while.
+    Refuse {
         /// How long to stay away.
         retry_after: Option<Micros>,
     },
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -189,7 +189,7 @@
                 assert_eq!(r.fetches[fetch].ended, Some(Ending::Delivered), "only a result is served");
                 End::Completed
             }
-            Step::Synthetic { .. } => {
+            Step::Refuse { .. } => {
                 assert!(r.class != 0 || !may_have_run, "refused though it may have run");
                 End::Rejected
             }
@@ -328,14 +328,14 @@
         world.wait_until(world.now + 20_000 * MS);
         assert!(world.reqs.values().all(|r| r.over), "a req was left without an answer");
         let t = world.facade.tally();
-        assert_eq!(t.taken, t.served + t.synthetic + t.failed + t.gone);
+        assert_eq!(t.taken, t.served + t.refused + t.failed + t.gone);
         assert_eq!(t.fetches, t.ended.iter().sum::<u64>(), "a fetch without an end, or with two");
         assert_eq!((world.facade.owed(), t.broken), (0, 0));
         let counted = |end| (0..2).map(|class| world.ledger.ended(Some(class), end)).sum::<u64>();
         let ends = [End::Completed, End::Rejected, End::Failed, End::Abandoned].map(counted);
         assert_eq!(ends.iter().sum::<u64>() + world.ledger.pending(), t.taken);
         // One that was answered in the moment in which its client left counts as either.
-        assert!(ends[0] <= t.served && ends[1] <= t.synthetic && ends[2] <= t.failed);
+        assert!(ends[0] <= t.served && ends[1] <= t.refused && ends[2] <= t.failed);
         assert_eq!(world.ledger.pending(), 0);
         let accounts = world.facade.accounts();
         assert_eq!(accounts, Accounts { workers: 4, ..Accounts::default() }, "something was not given back");
--- a/crates/jobs/src/machine/mod.rs
+++ b/crates/jobs/src/machine/mod.rs
@@ -187,7 +187,7 @@
                     self.must(result.is_some(), "a served attempt has its result");
                     self.finish(id, result.map_or(Answer::Failed, Answer::Served), facade);
                 }
-                Step::Synthetic { retry_after } => self.finish(id, Answer::Refused(retry_after), facade),
+                Step::Refuse { retry_after } => self.finish(id, Answer::Refused(retry_after), facade),
                 Step::Fail => self.finish(id, Answer::Failed, facade),
                 Step::Drop { fetch } => {
                     let job = self.jobs.get_mut(&id);
--- a/crates/server/src/net/durable/clients.rs
+++ b/crates/server/src/net/durable/clients.rs
@@ -14,7 +14,7 @@
 use oakshed_jobs::machine::Submitted;
 use oakshed_jobs::record::{self, Answer, JobId, Key, Outcome};
 
-use super::super::answers::{not_allowed, plain, synthetic, IDEMPOTENCY_KEY, REQ_OWNER};
+use super::super::answers::{not_allowed, plain, refusal, IDEMPOTENCY_KEY, REQ_OWNER};
 use super::super::order::Order;
 use super::super::Net;
 use super::News;
@@ -61,7 +61,7 @@
     match answer {
         Answer::Served(result) => Response::new(Full::new(result.into())),
         Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed\n"),
-        Answer::Refused(wait) => synthetic(wait.filter(|_| net.config.settings.retry_after)),
+        Answer::Refused(wait) => refusal(wait.filter(|_| net.config.settings.retry_after)),
         Answer::Cancelled => plain(StatusCode::GONE, "withdrawn\n"),
     }
 }
@@ -106,7 +106,7 @@
         }
         Submitted::Busy => {
             let s = &net.config.settings;
-            let mut busy = synthetic(s.retry_after.then_some(s.max_retry_after / 2));
+            let mut busy = refusal(s.retry_after.then_some(s.max_retry_after / 2));
             if !busy.headers().contains_key(RETRY_AFTER) {
                 busy.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
             }
--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -13,7 +13,7 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
 
-use super::super::answers::{not_allowed, plain, synthetic};
+use super::super::answers::{not_allowed, plain, refusal};
 use super::super::backends::{self, Fetch, Told};
 use super::super::durable;
 use super::super::order::Order;
@@ -153,7 +153,7 @@
                 let Some(result) = result else { return plain(StatusCode::BAD_GATEWAY, "failed\n") };
                 return Response::new(Full::new(result));
             }
-            Step::Synthetic { retry_after } => return synthetic(retry_after),
+            Step::Refuse { retry_after } => return refusal(retry_after),
             Step::Fail => return plain(StatusCode::BAD_GATEWAY, "failed\n"),
             Step::Drop { fetch } => {
                 handler.fetches.get(fetch).into_iter().for_each(Fetch::stop);
--- a/crates/server/src/net/front/request.rs
+++ b/crates/server/src/net/front/request.rs
@@ -14,7 +14,7 @@
 use hyper::{Method, Response, StatusCode};
 
 use super::super::answers::{
-    not_allowed, plain, synthetic, IDEMPOTENCY_KEY, REQ_DEADLINE, REQ_EXTRA, REQ_ID, REQ_KIND, REQ_OWNER,
+    not_allowed, plain, refusal, IDEMPOTENCY_KEY, REQ_DEADLINE, REQ_EXTRA, REQ_ID, REQ_KIND, REQ_OWNER,
 };
 use super::super::order::{Held, Order};
 use super::super::reader::ARRIVAL;
@@ -119,7 +119,7 @@
         net.count(|c| &mut c.no_room);
         let s = &net.config.settings;
         client.intake.last.set(true);
-        return Err(synthetic(s.retry_after.then_some(s.max_retry_after / 2)));
+        return Err(refusal(s.retry_after.then_some(s.max_retry_after / 2)));
     };
     let body = Limited::new(body, LARGEST_BODY).collect();
     let by = net.clock.instant(deadline).min(tokio::time::Instant::now() + BODY_WAIT);
