--- a/crates/core/src/facade/mod.rs
+++ b/crates/core/src/facade/mod.rs
@@ -1,7 +1,7 @@
 //! The blocking-style front of the decision module: a req is taken in, `pick` gives its next step
 //! and waits while the job is held, `report` takes what was seen, and `tick` runs the timer.
 //!
-//! It owns the numbering of reqs and fetches, the names of backends, and the one final answer of
+//! It owns the numbering of reqs and attempts, the names of backends, and the one final answer of
 //! each req. The module's events, actions and ids never leave this file. It must never decide
 //! anything, read a clock (time is passed in), or know of sockets, HTTP or an async runtime: a
 //! waiting `pick` keeps only the standard library's [`Waker`].
@@ -33,8 +33,8 @@
 struct Open {
     steps: VecDeque<Step>,
     waker: Option<Waker>,
-    /// The backend of each fetch; `None` once it has ended.
-    fetches: Vec<Option<WorkerId>>,
+    /// The backend of each attempt; `None` once it has ended.
+    attempts: Vec<Option<WorkerId>>,
     deadline: Micros,
     /// Its final answer has been given out, or nobody waits for one.
     over: bool,
@@ -81,14 +81,14 @@
     }
 
     /// Takes a req in that an earlier life of the program has tried: `earlier` names the backends where
-    /// it may have run, and how long ago each fetch was sent. Fetches are numbered on from these.
+    /// it may have run, and how long ago each attempt was sent. Attempts are numbered on from these.
     pub fn take_again(&mut self, now: Micros, job: &Job, earlier: &[(Rc<str>, Micros)]) -> Req {
         self.last += 1;
         self.tally.taken += 1;
         let open = Open {
             steps: VecDeque::new(),
             waker: None,
-            fetches: vec![None; earlier.len()],
+            attempts: vec![None; earlier.len()],
             deadline: now.saturating_add(job.remaining),
             over: false,
             closed: false,
@@ -129,7 +129,7 @@
     }
 
     /// The handler of a req leaves, with the final answer or because its client went away. Tells
-    /// which fetches are to be dropped; nothing more need be reported of these.
+    /// which attempts are to be dropped; nothing more need be reported of these.
     pub fn leave(&mut self, now: Micros, req: Req) -> Vec<usize> {
         let Some(open) = self.reqs.get_mut(&req.0) else { return Vec::new() };
         open.closed = true;
@@ -142,10 +142,10 @@
         for step in steps.into_iter().flatten() {
             match step {
                 // Decided on, but never begun.
-                Step::Fetch { fetch, .. } => _ = self.on_ended(now, req, fetch, Ending::Unused, None),
+                Step::Attempt { attempt, .. } => _ = self.on_ended(now, req, attempt, Ending::Unused, None),
                 // One that has ended since is left alone: its connection may serve others.
-                Step::Drop { fetch } if self.on_ended(now, req, fetch, Ending::Revoked, None) => {
-                    drops.push(fetch);
+                Step::Drop { attempt } if self.on_ended(now, req, attempt, Ending::Revoked, None) => {
+                    drops.push(attempt);
                 }
                 Step::Drop { .. } | Step::Serve { .. } | Step::Refuse { .. } | Step::Fail => {}
             }
@@ -158,15 +158,15 @@
     pub fn report(&mut self, now: Micros, seen: Seen<'_>) {
         match seen {
             Seen::List(kind, entries) => self.on_list(now, kind, entries),
-            Seen::Started(req, fetch) => {
-                let (id, attempt) = (RequestId(req.0.into()), fetch as u32);
+            Seen::Started(req, attempt) => {
+                let (id, attempt) = (RequestId(req.0.into()), attempt as u32);
                 self.feed(now, Event::Started { id, attempt });
             }
-            Seen::Progress(req, fetch) => {
-                let (id, attempt) = (RequestId(req.0.into()), fetch as u32);
+            Seen::Progress(req, attempt) => {
+                let (id, attempt) = (RequestId(req.0.into()), attempt as u32);
                 self.feed(now, Event::Progress { id, attempt });
             }
-            Seen::Ended(req, fetch, ending, report) => _ = self.on_ended(now, req, fetch, ending, report),
+            Seen::Ended(req, attempt, ending, report) => _ = self.on_ended(now, req, attempt, ending, report),
             Seen::Probed(backend, ok, report) => {
                 let ending = if ok { Ending::Delivered } else { Ending::DialFailed };
                 let worker = worker_id(backend);
@@ -196,7 +196,7 @@
         self.tally
     }
 
-    /// What is out or held; a req counts until its handler is gone and its fetches have ended.
+    /// What is out or held; a req counts until its handler is gone and its attempts have ended.
     pub fn accounts(&self) -> Accounts {
         let inner = self.dispatcher.accounts();
         let (requests, workers) =
@@ -242,36 +242,36 @@
         }
     }
 
-    /// Takes the end of a fetch; tells whether it was still out. It may end on its own in the moment
+    /// Takes the end of an attempt; tells whether it was still out. It may end on its own in the moment
     /// in which it is dropped: the first word counts.
     fn on_ended(
         &mut self,
         now: Micros,
         req: Req,
-        fetch: usize,
+        attempt: usize,
         ending: Ending,
         report: Option<Report>,
     ) -> bool {
         let Some(open) = self.reqs.get_mut(&req.0) else { return false };
-        if open.fetches.get_mut(fetch).and_then(Option::take).is_none() {
+        if open.attempts.get_mut(attempt).and_then(Option::take).is_none() {
             return false;
         }
         self.tally.ended[ending as usize] += 1;
         if ending == Ending::Delivered && !open.over {
             self.tally.served += 1;
             open.over = true;
-            open.push(Step::Serve { fetch });
+            open.push(Step::Serve { attempt });
         }
         let finished = open.over;
-        let (id, attempt) = (RequestId(req.0.into()), fetch as u32);
+        let (id, attempt) = (RequestId(req.0.into()), attempt as u32);
         self.feed(now, Event::Settled { id, attempt, ending, finished, report });
         self.forget(req);
         true
     }
 
-    /// A req stays known until its handler is gone and its fetches have ended.
+    /// A req stays known until its handler is gone and its attempts have ended.
     fn forget(&mut self, req: Req) {
-        let done = |open: &Open| open.closed && open.fetches.iter().all(Option::is_none);
+        let done = |open: &Open| open.closed && open.attempts.iter().all(Option::is_none);
         if self.reqs.get(&req.0).is_some_and(done) {
             self.reqs.remove(&req.0);
         }
@@ -295,24 +295,24 @@
             Action::Send { id, worker, whole_by } => {
                 let backend = self.backends.get(&worker).cloned();
                 let (Some(backend), Some(open)) = (backend, self.reqs.get_mut(&(id.0 as u64))) else {
-                    return self.must(false, "a fetch for an unknown req or backend");
+                    return self.must(false, "an attempt for an unknown req or backend");
                 };
                 let over = open.over;
-                let (fetch, until) = (open.fetches.len(), open.deadline);
+                let (attempt, until) = (open.attempts.len(), open.deadline);
                 let whole_by = whole_by.map_or(until, |by| by.min(until));
-                open.fetches.push(Some(worker));
-                open.push(Step::Fetch { fetch, backend, until, whole_by });
-                self.tally.fetches += 1;
-                self.must(!over, "a fetch after the final answer");
+                open.attempts.push(Some(worker));
+                open.push(Step::Attempt { attempt, backend, until, whole_by });
+                self.tally.attempts += 1;
+                self.must(!over, "an attempt after the final answer");
             }
             Action::Refuse { id, retry_after } => {
                 self.tally.refused += self.answer(id, Step::Refuse { retry_after });
             }
             Action::Fail { id } => self.tally.failed += self.answer(id, Step::Fail),
             Action::Cancel { id, attempt } => {
-                let fetch = attempt as usize;
+                let attempt = attempt as usize;
                 if let Some(open) = self.reqs.get_mut(&(id.0 as u64)) {
-                    open.push(Step::Drop { fetch });
+                    open.push(Step::Drop { attempt });
                 }
             }
             Action::Probe { worker } => {
--- a/crates/core/src/facade/tally.rs
+++ b/crates/core/src/facade/tally.rs
@@ -1,4 +1,4 @@
-//! What the facade counts of reqs and fetches, and how it is written in the log.
+//! What the facade counts of reqs and attempts, and how it is written in the log.
 //!
 //! It must never decide: nothing reads these counts back.
 
@@ -15,9 +15,9 @@
     pub failed: u64,
     /// Clients that went away first.
     pub gone: u64,
-    /// Fetches begun.
-    pub fetches: u64,
-    /// Fetches by how they ended, in the order of [`Ending`].
+    /// Attempts begun.
+    pub attempts: u64,
+    /// Attempts by how they ended, in the order of [`Ending`].
     pub ended: [u64; 8],
     /// Broken assumptions; asserted in debug builds.
     pub broken: u64,
@@ -25,9 +25,9 @@
 
 impl std::fmt::Display for Tally {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let Tally { taken, served, refused, failed, gone, fetches, ended, broken } = self;
+        let Tally { taken, served, refused, failed, gone, attempts, ended, broken } = self;
         write!(f, "taken={taken} served={served} refused={refused} failed={failed} gone={gone} ")?;
-        write!(f, "broken={broken} fetches={fetches}")?;
+        write!(f, "broken={broken} attempts={attempts}")?;
         let names = ["delivered", "error", "shed", "expired", "dial_failed", "dropped", "revoked", "unused"];
         names.iter().zip(ended).try_for_each(|(name, n)| write!(f, " {name}={n}"))
     }
--- a/crates/core/src/facade/types.rs
+++ b/crates/core/src/facade/types.rs
@@ -32,10 +32,10 @@
 /// What to do next for a req.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Fetch number `fetch` goes to a backend, and is given up at `until`.
-    Fetch {
+    /// Attempt number `attempt` goes to a backend, and is given up at `until`.
+    Attempt {
         /// Counted from 0 for each req.
-        fetch: usize,
+        attempt: usize,
         /// The backend's name in discovery's list.
         backend: Rc<str>,
         /// When it has timed out.
@@ -43,10 +43,10 @@
         /// From then on nothing more of it may be written: what is not whole by then never ran.
         whole_by: Micros,
     },
-    /// Final: the result of this fetch is the answer.
+    /// Final: the result of this attempt is the answer.
     Serve {
         /// Which one.
-        fetch: usize,
+        attempt: usize,
     },
     /// Final: a refusal that tells the client to come again, perhaps after a while.
     Refuse {
@@ -55,10 +55,10 @@
     },
     /// Final: failed, nothing promised.
     Fail,
-    /// Stop waiting for this fetch, and report it as [`Ending::Revoked`].
+    /// Stop waiting for this attempt, and report it as [`Ending::Revoked`].
     Drop {
         /// Which one.
-        fetch: usize,
+        attempt: usize,
     },
 }
 
@@ -84,11 +84,11 @@
 pub enum Seen<'a> {
     /// News of discovery's list; no entries where the call failed.
     List(ListKind, &'a [Entry]),
-    /// The job of a fetch started to run.
+    /// The job of an attempt started to run.
     Started(Req, usize),
-    /// The job of a fetch makes progress.
+    /// The job of an attempt makes progress.
     Progress(Req, usize),
-    /// A fetch ended.
+    /// An attempt ended.
     Ended(Req, usize, Ending, Option<Report>),
     /// A probe came back; no load where it failed.
     Probed(&'a Rc<str>, bool, Option<Report>),
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -1,4 +1,4 @@
-//! A model of a req's and its fetches' states, against which random steps of the facade are held.
+//! A model of a req's and its attempts' states, against which random steps of the facade are held.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -74,7 +74,7 @@
     }
 }
 
-/// A fetch: out until it has ended.
+/// An attempt: out until it has ended.
 struct Out {
     until: Micros,
     ended: Option<Ending>,
@@ -84,7 +84,7 @@
 struct Waiting {
     class: u32,
     woken: Arc<Flag>,
-    fetches: Vec<Out>,
+    attempts: Vec<Out>,
     over: bool,
     owed: Option<Owed>,
 }
@@ -171,22 +171,22 @@
         use oakshed_core::facade::Step;
         let r = self.reqs.get_mut(&req).expect("known");
         let may_have_run = r
-            .fetches
+            .attempts
             .iter()
             .any(|f| !matches!(f.ended, Some(Ending::Shed | Ending::DialFailed | Ending::Unused)));
         let end = match step {
-            Step::Fetch { fetch, backend, until, whole_by } => {
-                assert_eq!(fetch, r.fetches.len(), "fetches are numbered in order");
-                assert!(fetch < 4 && until >= self.now && whole_by <= until);
+            Step::Attempt { attempt, backend, until, whole_by } => {
+                assert_eq!(attempt, r.attempts.len(), "attempts are numbered in order");
+                assert!(attempt < 4 && until >= self.now && whole_by <= until);
                 let number = backend[2..].parse::<usize>().expect("a number");
-                assert!(self.ready[number], "a fetch to who drains");
-                assert!(!self.banned[number], "a fetch to who was taken out");
+                assert!(self.ready[number], "an attempt to who drains");
+                assert!(!self.banned[number], "an attempt to who was taken out");
                 assert!(r.class != 0 || !may_have_run, "a transfer was sent twice");
-                r.fetches.push(Out { until, ended: None });
+                r.attempts.push(Out { until, ended: None });
                 return;
             }
-            Step::Serve { fetch } => {
-                assert_eq!(r.fetches[fetch].ended, Some(Ending::Delivered), "only a result is served");
+            Step::Serve { attempt } => {
+                assert_eq!(r.attempts[attempt].ended, Some(Ending::Delivered), "only a result is served");
                 End::Completed
             }
             Step::Refuse { .. } => {
@@ -194,7 +194,7 @@
                 End::Rejected
             }
             Step::Fail => End::Failed,
-            Step::Drop { fetch } => panic!("fetch {fetch} is to be dropped before the answer"),
+            Step::Drop { attempt } => panic!("attempt {attempt} is to be dropped before the answer"),
         };
         r.owed.take().expect("one end").end(end);
         self.leave(req);
@@ -205,34 +205,34 @@
         let r = self.reqs.get_mut(&req).expect("known");
         assert!(!std::mem::replace(&mut r.over, true), "ended twice");
         r.owed = None; // where its client went away, nobody has said how it ended
-        for fetch in drops {
+        for attempt in drops {
             // What was decided on but never begun is not known here.
-            if let Some(out) = r.fetches.get_mut(fetch) {
+            if let Some(out) = r.attempts.get_mut(attempt) {
                 assert_eq!(out.ended.replace(Ending::Revoked), None, "dropped after its end");
             }
         }
-        assert!(r.fetches.iter().all(|f| f.ended.is_some()), "a fetch was left out");
+        assert!(r.attempts.iter().all(|f| f.ended.is_some()), "an attempt was left out");
     }
 
-    fn end(&mut self, req: Req, fetch: usize, ending: Ending) {
-        self.reqs.get_mut(&req).expect("known").fetches[fetch].ended = Some(ending);
-        self.facade.report(self.now, Seen::Ended(req, fetch, ending, None));
-        // A second word on the same fetch, as when it ends while it is dropped, changes nothing.
-        self.facade.report(self.now, Seen::Ended(req, fetch, Ending::Dropped, None));
+    fn end(&mut self, req: Req, attempt: usize, ending: Ending) {
+        self.reqs.get_mut(&req).expect("known").attempts[attempt].ended = Some(ending);
+        self.facade.report(self.now, Seen::Ended(req, attempt, ending, None));
+        // A second word on the same attempt, as when it ends while it is dropped, changes nothing.
+        self.facade.report(self.now, Seen::Ended(req, attempt, Ending::Dropped, None));
     }
 
-    /// Time passes: the timer comes due, and fetches run out.
+    /// Time passes: the timer comes due, and attempts run out.
     fn wait_until(&mut self, until: Micros) {
         loop {
             let open = self.reqs.iter().flat_map(|(req, r)| {
-                let open = r.fetches.iter().enumerate().filter(|(_, f)| f.ended.is_none());
+                let open = r.attempts.iter().enumerate().filter(|(_, f)| f.ended.is_none());
                 open.map(|(n, f)| (f.until, Some((*req, n))))
             });
             let timer = self.next.map(|at| (at, None));
             let first = open.chain(timer).min_by_key(|(at, what)| (*at, what.is_some()));
             let Some((at, what)) = first.filter(|(at, _)| *at <= until) else { break };
             self.now = self.now.max(at);
-            what.into_iter().for_each(|(req, fetch)| self.end(req, fetch, Ending::Expired));
+            what.into_iter().for_each(|(req, attempt)| self.end(req, attempt, Ending::Expired));
             self.settle();
         }
         self.now = until;
@@ -241,7 +241,7 @@
     fn step(&mut self, step: Step) {
         let open = |w: &World, pick: usize| {
             let of = |req: &Req| {
-                let open = w.reqs[req].fetches.iter().enumerate().filter(|(_, f)| f.ended.is_none());
+                let open = w.reqs[req].attempts.iter().enumerate().filter(|(_, f)| f.ended.is_none());
                 open.map(|(n, _)| (*req, n)).collect::<Vec<_>>()
             };
             let open: Vec<_> = w.order.iter().flat_map(of).collect();
@@ -262,13 +262,13 @@
                 let req = self.facade.take(self.now, &job);
                 self.order.push(req);
                 let owed = Some(self.ledger.take(Some(class as usize)));
-                let new = Waiting { class, woken: flag(), fetches: Vec::new(), over: false, owed };
+                let new = Waiting { class, woken: flag(), attempts: Vec::new(), over: false, owed };
                 self.reqs.insert(req, new);
             }
             Step::Start(pick) => {
-                if let Some((req, fetch)) = open(self, pick) {
-                    self.facade.report(self.now, Seen::Started(req, fetch));
-                    self.facade.report(self.now, Seen::Progress(req, fetch));
+                if let Some((req, attempt)) = open(self, pick) {
+                    self.facade.report(self.now, Seen::Started(req, attempt));
+                    self.facade.report(self.now, Seen::Progress(req, attempt));
                 }
             }
             Step::End(pick, ending) => {
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn every_req_gets_one_answer_and_every_fetch_is_accounted_for() {
+fn every_req_gets_one_answer_and_every_attempt_is_accounted_for() {
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
@@ -329,7 +329,7 @@
         assert!(world.reqs.values().all(|r| r.over), "a req was left without an answer");
         let t = world.facade.tally();
         assert_eq!(t.taken, t.served + t.refused + t.failed + t.gone);
-        assert_eq!(t.fetches, t.ended.iter().sum::<u64>(), "a fetch without an end, or with two");
+        assert_eq!(t.attempts, t.ended.iter().sum::<u64>(), "an attempt without an end, or with two");
         assert_eq!((world.facade.owed(), t.broken), (0, 0));
         let counted = |end| (0..2).map(|class| world.ledger.ended(Some(class), end)).sum::<u64>();
         let ends = [End::Completed, End::Rejected, End::Failed, End::Abandoned].map(counted);
@@ -385,7 +385,7 @@
 }
 
 #[test]
-fn a_second_word_on_a_fetch_is_ignored_and_a_name_stays_a_name() {
+fn a_second_word_on_an_attempt_is_ignored_and_a_name_stays_a_name() {
     let mut world = World::new(1);
     let name: Rc<str> = "s-0".into();
     world.facade.report(world.now, Seen::Probed(&name, true, Some(Report::default())));
--- a/crates/jobs/src/machine/attempts.rs
+++ b/crates/jobs/src/machine/attempts.rs
@@ -92,7 +92,7 @@
         let ran: Vec<&mut Attempt> = job.attempts.iter_mut().filter(|a| a.may_have_run()).collect();
         let mut earlier = Vec::new();
         for a in ran {
-            a.fetch = Some(earlier.len());
+            a.number = Some(earlier.len());
             earlier.push((a.worker.clone(), now.saturating_sub(a.lease.sent)));
         }
         let req = facade.take_again(now, &wanted, &earlier);
@@ -106,7 +106,7 @@
     pub(super) fn lease(
         &mut self,
         id: JobId,
-        fetch: usize,
+        number: usize,
         worker: Rc<str>,
         until: Micros,
         whole_by: Micros,
@@ -118,7 +118,7 @@
         let token = self.next;
         let lease = Lease { token, worker: worker.to_string(), start_ms, sent: now };
         let mut a = Attempt::new(lease.clone(), Stand::Out);
-        (a.fetch, a.worker, a.alive_until) = (Some(fetch), worker, until.min(now + hold));
+        (a.number, a.worker, a.alive_until) = (Some(number), worker, until.min(now + hold));
         a.whole_by = whole_by;
         job.attempts.push(a);
         let lease = self.logical_lease(&lease);
@@ -139,7 +139,7 @@
         }
         (a.let_out, a.alive_until) = (true, now + hold);
         let (worker, whole_by) = (a.worker.clone(), a.whole_by);
-        self.ready.push_back(Effect::Fetch { id, token, worker, until, whole_by, order });
+        self.ready.push_back(Effect::Attempt { id, token, worker, until, whole_by, order });
         self.plan(id);
     }
 
@@ -170,8 +170,8 @@
         let req = job.req();
         let Some(a) = job.attempts.iter_mut().find(|a| a.lease.token == token) else { return };
         (a.stand, a.ask_at) = (stand, self.now);
-        match (req, a.fetch) {
-            (Some(req), Some(fetch)) => facade.report(self.now, Seen::Ended(req, fetch, how, load)),
+        match (req, a.number) {
+            (Some(req), Some(number)) => facade.report(self.now, Seen::Ended(req, number, how, load)),
             _ => self.look(id, facade),
         }
     }
@@ -188,10 +188,10 @@
         let req = job.req();
         let Some(a) = job.attempts.iter_mut().find(|a| a.lease.token == token) else { return };
         a.stand = Stand::Ended;
-        match (req, a.fetch) {
-            (Some(req), Some(fetch)) => {
+        match (req, a.number) {
+            (Some(req), Some(number)) => {
                 a.result = Some(result);
-                facade.report(self.now, Seen::Ended(req, fetch, Ending::Delivered, load));
+                facade.report(self.now, Seen::Ended(req, number, Ending::Delivered, load));
             }
             _ => self.finish(id, Answer::Served(result), facade),
         }
--- a/crates/jobs/src/machine/clients.rs
+++ b/crates/jobs/src/machine/clients.rs
@@ -56,7 +56,7 @@
                 self.unlist(old.number);
                 // Their numbers at the facade were those of the earlier try.
                 let ran = old.attempts.into_iter().filter(Attempt::may_have_run);
-                ran.map(|a| Attempt { fetch: None, ..a }).collect()
+                ran.map(|a| Attempt { number: None, ..a }).collect()
             }
             None => Vec::new(),
         };
--- a/crates/jobs/src/machine/ends.rs
+++ b/crates/jobs/src/machine/ends.rs
@@ -20,9 +20,9 @@
             if a.let_out {
                 self.ready.push_back(Effect::Stop { id, token: a.lease.token });
             }
-            if let (Some(req), Some(fetch)) = (req, a.fetch) {
+            if let (Some(req), Some(number)) = (req, a.number) {
                 let how = if sent { Ending::Expired } else { Ending::Unused };
-                facade.report(now, Seen::Ended(req, fetch, how, None));
+                facade.report(now, Seen::Ended(req, number, how, None));
             }
         }
         if req.is_none() {
@@ -45,8 +45,8 @@
             facade.leave(now, req);
             // Where attempts may not be cancelled, the decisions wait for their ends.
             for a in job.attempts.iter().filter(|a| a.open()) {
-                if let Some(fetch) = a.fetch {
-                    facade.report(now, Seen::Ended(req, fetch, Ending::Revoked, None));
+                if let Some(number) = a.number {
+                    facade.report(now, Seen::Ended(req, number, Ending::Revoked, None));
                 }
             }
         }
--- a/crates/jobs/src/machine/job.rs
+++ b/crates/jobs/src/machine/job.rs
@@ -33,7 +33,7 @@
     pub(super) lease: Lease,
     pub(super) worker: Rc<str>,
     /// Its number at the facade, in this life.
-    pub(super) fetch: Option<usize>,
+    pub(super) number: Option<usize>,
     pub(super) stand: Stand,
     /// Its bytes may leave: the lease is durable.
     pub(super) let_out: bool,
@@ -49,11 +49,11 @@
 impl Attempt {
     pub(super) fn new(lease: Lease, stand: Stand) -> Attempt {
         let worker = lease.worker.as_str().into();
-        let (fetch, result) = (None, None);
+        let (number, result) = (None, None);
         Attempt {
             lease,
             worker,
-            fetch,
+            number,
             stand,
             let_out: false,
             whole_by: Micros::MAX,
--- a/crates/jobs/src/machine/mod.rs
+++ b/crates/jobs/src/machine/mod.rs
@@ -177,28 +177,28 @@
             let waker = Waker::from(Arc::new(JobWaker(id, self.woken.clone())));
             let Poll::Ready(step) = facade.pick(req, &waker) else { return };
             match step {
-                Step::Fetch { fetch, backend, until, whole_by } => {
-                    self.lease(id, fetch, backend, until, whole_by);
+                Step::Attempt { attempt, backend, until, whole_by } => {
+                    self.lease(id, attempt, backend, until, whole_by);
                 }
-                Step::Serve { fetch } => {
+                Step::Serve { attempt } => {
                     let job = self.jobs.get_mut(&id);
-                    let a = job.and_then(|j| j.attempts.iter_mut().find(|a| a.fetch == Some(fetch)));
+                    let a = job.and_then(|j| j.attempts.iter_mut().find(|a| a.number == Some(attempt)));
                     let result = a.and_then(|a| a.result.take());
                     self.must(result.is_some(), "a served attempt has its result");
                     self.finish(id, result.map_or(Answer::Failed, Answer::Served), facade);
                 }
                 Step::Refuse { retry_after } => self.finish(id, Answer::Refused(retry_after), facade),
                 Step::Fail => self.finish(id, Answer::Failed, facade),
-                Step::Drop { fetch } => {
+                Step::Drop { attempt } => {
                     let job = self.jobs.get_mut(&id);
-                    let a = job.and_then(|j| j.attempts.iter_mut().find(|a| a.fetch == Some(fetch)));
+                    let a = job.and_then(|j| j.attempts.iter_mut().find(|a| a.number == Some(attempt)));
                     if let Some(a) = a.filter(|a| a.open()) {
                         let sent = a.let_out || a.stand == Stand::Asked;
                         a.stand = if sent { Stand::Doubt } else { Stand::Unsent };
                         let token = a.lease.token;
                         self.ready.push_back(Effect::Stop { id, token });
                     }
-                    facade.report(self.now, Seen::Ended(req, fetch, Ending::Revoked, None));
+                    facade.report(self.now, Seen::Ended(req, attempt, Ending::Revoked, None));
                 }
             }
         }
--- a/crates/jobs/src/machine/network.rs
+++ b/crates/jobs/src/machine/network.rs
@@ -68,8 +68,9 @@
             return;
         };
         (a.alive_until, a.gap) = (now + lease, FENCE_AGAIN);
-        if let (Some(req), Some(fetch)) = (req, a.fetch) {
-            facade.report(now, if started { Seen::Started(req, fetch) } else { Seen::Progress(req, fetch) });
+        if let (Some(req), Some(number)) = (req, a.number) {
+            let seen = if started { Seen::Started(req, number) } else { Seen::Progress(req, number) };
+            facade.report(now, seen);
         }
         self.pump(now, facade);
     }
--- a/crates/jobs/src/machine/types.rs
+++ b/crates/jobs/src/machine/types.rs
@@ -53,7 +53,7 @@
     /// The job is durable.
     Accepted(JobId),
     /// Start an attempt: report it by `on_ended`, whatever becomes of it.
-    Fetch {
+    Attempt {
         /// The job.
         id: JobId,
         /// The attempt's token.
--- a/crates/jobs/tests/world/scheduler.rs
+++ b/crates/jobs/tests/world/scheduler.rs
@@ -241,7 +241,7 @@
                     self.handle(Event::Kill { boot: false });
                 }
             }
-            Effect::Fetch { id, token, worker, until, order, .. } => {
+            Effect::Attempt { id, token, worker, until, order, .. } => {
                 let class = usize::from(order.class != "transfer");
                 let Some(w) = self.at(&worker) else {
                     let conn = self.conns.len() as u64;
@@ -262,7 +262,7 @@
                 if self.workers[w].name != worker {
                     self.seen.note("sent to a stranger");
                 }
-                self.fetch(id, token, w, until, class);
+                self.attempt(id, token, w, until, class);
             }
             Effect::Stop { id, token } => {
                 let conn = self.life.as_mut().and_then(|l| l.conns.remove(&(id, token)));
--- a/crates/jobs/tests/world/workers.rs
+++ b/crates/jobs/tests/world/workers.rs
@@ -50,7 +50,7 @@
 }
 
 impl World {
-    pub(super) fn fetch(&mut self, id: JobId, token: u64, w: usize, until: Micros, class: usize) {
+    pub(super) fn attempt(&mut self, id: JobId, token: u64, w: usize, until: Micros, class: usize) {
         let now = self.now;
         let truth = self.truth.entry(id).or_default();
         truth.sends.insert(token, now);
--- a/crates/server/src/net/backends/fetch.rs
+++ b/crates/server/src/net/backends/attempt.rs
@@ -1,7 +1,7 @@
-//! A fetch: one attempt at a backend, from its connection to its end.
+//! An attempt at a backend, from its connection to its end.
 //!
 //! It owns the proof of whether a request was written in full. It must never send a request a second time on
-//! its own, send to a backend that is not listed as ready, or call a fetch unsent where that is in doubt.
+//! its own, send to a backend that is not listed as ready, or call an attempt unsent where that is in doubt.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -37,14 +37,14 @@
     (line + fields + "\r\n".len() + body) as u64
 }
 
-/// A fetch on its way, as its req's handler sees it.
-pub(crate) struct Fetch {
+/// An attempt on its way, as its req's handler sees it.
+pub(crate) struct Attempt {
     task: AbortHandle,
     gone: Rc<Cell<bool>>,
     result: Option<oneshot::Receiver<Bytes>>,
 }
 
-impl Fetch {
+impl Attempt {
     /// The result, once the facade has said to serve it.
     pub(crate) async fn result(&mut self) -> Option<Bytes> {
         self.result.take()?.await.ok()
@@ -56,14 +56,14 @@
         self.gone.set(true);
     }
 
-    /// Gives the fetch up: its connection is closed.
+    /// Gives the attempt up: its connection is closed.
     pub(crate) fn stop(&self) {
         self.leave();
         self.task.abort();
     }
 }
 
-/// What a request is known to have written, wherever its fetch ends.
+/// What a request is known to have written, wherever its attempt ends.
 #[derive(Default)]
 pub(super) struct Sent(pub(super) RefCell<Option<(Rc<Socket>, u64)>>);
 
@@ -74,7 +74,7 @@
     }
 }
 
-/// Who is told of a fetch's start, progress and end: whoever it is for.
+/// Who is told of an attempt's start, progress and end: whoever it is for.
 pub(crate) trait Told {
     /// Its job has started, or goes on.
     fn alive(self, net: &Net, started: bool);
@@ -83,14 +83,14 @@
     fn ended(self, net: &Rc<Net>, ending: Ending, result: Option<Bytes>, load: Option<Report>);
 }
 
-/// Begins a fetch. It reports its own end, whether or not its handler still waits.
+/// Begins an attempt. It reports its own end, whether or not its handler still waits.
 pub(crate) fn start<W: Told + Copy + 'static>(
     net: &Rc<Net>,
     order: &Rc<Order>,
     whose: W,
     to: Rc<str>,
     (until, whole_by): (Micros, Micros),
-) -> Fetch {
+) -> Attempt {
     let (tx, rx) = oneshot::channel();
     let (net, order, gone) = (net.clone(), order.clone(), Rc::new(Cell::new(false)));
     let left = gone.clone();
@@ -128,10 +128,10 @@
             _ = timeout(REST, finish(&net, &to, link, body)).await;
         }
     });
-    Fetch { task: task.abort_handle(), gone, result: Some(rx) }
+    Attempt { task: task.abort_handle(), gone, result: Some(rx) }
 }
 
-/// How a fetch ended, its result, and what is left of its connection where that is still good.
+/// How an attempt ended, its result, and what is left of its connection where that is still good.
 struct Ended {
     ending: Ending,
     result: Option<Bytes>,
@@ -244,7 +244,7 @@
     Ending::Dropped.into()
 }
 
-/// An idle connection, or a new one. Its failure says what the fetch ends with.
+/// An idle connection, or a new one. Its failure says what the attempt ends with.
 pub(super) async fn connect(net: &Net, to: &str) -> Result<Link, Ending> {
     let address = open_address(net, to).ok_or(Ending::Unused)?;
     if let Some(link) = net.backends.take_idle(net, to) {
--- a/crates/server/src/net/backends/probe.rs
+++ b/crates/server/src/net/backends/probe.rs
@@ -13,8 +13,8 @@
 
 use super::super::answers::LEASE_TOKEN;
 use super::super::Net;
+use super::attempt::{connect, size_of};
 use super::dial_limit;
-use super::fetch::{connect, size_of};
 use super::link::Link;
 use super::stream::{load_in, load_of, LoadForm, LONGEST_LINE};
 use oakshed_core::facade::{Micros, Report, Seen};
--- a/crates/server/src/net/backends/tests.rs
+++ b/crates/server/src/net/backends/tests.rs
@@ -13,7 +13,7 @@
 use tokio::time::timeout;
 
 use super::super::{Clock, Net};
-use super::fetch::{size_of, Sent};
+use super::attempt::{size_of, Sent};
 use super::link::Link;
 use crate::config::Config;
 use oakshed_core::facade::{Condition, Entry, Facade};
--- a/crates/server/src/net/durable/mod.rs
+++ b/crates/server/src/net/durable/mod.rs
@@ -30,12 +30,12 @@
 use tracing::{info, warn};
 
 use super::answers::{LEASE_ID, LEASE_MS, LEASE_TOKEN};
-use super::backends::{self, Fetch};
+use super::backends::{self, Attempt};
 use super::order::Order;
 use super::Net;
 use crate::config::Config;
 use fence::fence;
-use seen::Attempt;
+use seen::JobAttempt;
 
 pub(super) use clients::{handle, job, Asked};
 pub(super) use run::run;
@@ -64,7 +64,7 @@
     lease_ms: u64,
     max_payload: usize,
     waiting: RefCell<FxHashMap<JobId, Vec<oneshot::Sender<News>>>>,
-    fetches: RefCell<FxHashMap<(JobId, u64), Fetch>>,
+    attempts: RefCell<FxHashMap<(JobId, u64), Attempt>>,
     safe: RefCell<SafeAt>,
     fencing: Cell<usize>,
     synced: Cell<u64>,
@@ -121,7 +121,7 @@
         lease_ms: file.lease_ms,
         max_payload: file.max_payload_kb << 10,
         waiting: RefCell::default(),
-        fetches: RefCell::default(),
+        attempts: RefCell::default(),
         safe: RefCell::default(),
         fencing: Cell::new(0),
         synced: Cell::new(next - 1),
@@ -178,13 +178,13 @@
             Effect::Answer(id, answer) => self.tell(id, &News::Answer(answer)),
             Effect::Trim(low) => self.group.trim(low),
             Effect::Stop { id, token } => {
-                let fetch = self.fetches.borrow_mut().remove(&(id, token));
-                fetch.iter().for_each(Fetch::stop);
+                let attempt = self.attempts.borrow_mut().remove(&(id, token));
+                attempt.iter().for_each(Attempt::stop);
             }
-            Effect::Fetch { id, token, worker, until, whole_by, order } => {
+            Effect::Attempt { id, token, worker, until, whole_by, order } => {
                 let order = Rc::new(self.order(id, token, until, &order));
-                let fetch = backends::start(net, &order, Attempt(id, token), worker, (until, whole_by));
-                self.fetches.borrow_mut().insert((id, token), fetch);
+                let attempt = backends::start(net, &order, JobAttempt(id, token), worker, (until, whole_by));
+                self.attempts.borrow_mut().insert((id, token), attempt);
             }
             Effect::Fence { id, token, worker, sure } => {
                 let net = net.clone();
--- a/crates/server/src/net/durable/seen.rs
+++ b/crates/server/src/net/durable/seen.rs
@@ -14,11 +14,11 @@
 
 /// A durable job's attempt, by its token.
 #[derive(Clone, Copy)]
-pub(super) struct Attempt(pub(super) JobId, pub(super) u64);
+pub(super) struct JobAttempt(pub(super) JobId, pub(super) u64);
 
-impl Told for Attempt {
+impl Told for JobAttempt {
     fn alive(self, net: &Net, started: bool) {
-        let Attempt(id, token) = self;
+        let JobAttempt(id, token) = self;
         let Some(durable) = &net.durable else { return };
         let now = net.clock.now();
         durable.jobs.borrow_mut().on_alive(now, id, token, started, &mut net.facade.borrow_mut());
@@ -26,10 +26,10 @@
     }
 
     fn ended(self, net: &Rc<Net>, ending: Ending, result: Option<Bytes>, load: Option<Report>) {
-        let Attempt(id, token) = self;
+        let JobAttempt(id, token) = self;
         let Some(durable) = &net.durable else { return };
         // Its task goes on with what is left of the connection: it is forgotten, not stopped.
-        durable.fetches.borrow_mut().remove(&(id, token));
+        durable.attempts.borrow_mut().remove(&(id, token));
         let end = result.map_or(End::Other(ending), |result| End::Result(result.to_vec()));
         let now = net.clock.now();
         durable.jobs.borrow_mut().on_ended(now, id, token, end, load, &mut net.facade.borrow_mut());
--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -1,7 +1,7 @@
 //! One req from its arrival to its answer.
 //!
 //! It owns the handler that does what the decisions say, the req's place in the figures, and the words of its
-//! fetches. It must never decide what a req gets (each step comes from the facade's `pick`), or hold an answer
+//! attempts. It must never decide what a req gets (each step comes from the facade's `pick`), or hold an answer
 //! back.
 
 use std::cell::RefCell;
@@ -14,7 +14,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 
 use super::super::answers::{not_allowed, plain, refusal};
-use super::super::backends::{self, Fetch, Told};
+use super::super::backends::{self, Attempt, Told};
 use super::super::durable;
 use super::super::order::Order;
 use super::super::Net;
@@ -107,57 +107,57 @@
 struct Handler<'a> {
     net: &'a Rc<Net>,
     req: Req,
-    fetches: Vec<Fetch>,
+    attempts: Vec<Attempt>,
 }
 
 impl Drop for Handler<'_> {
     fn drop(&mut self) {
         let drops = self.net.facade.borrow_mut().leave(self.net.clock.now(), self.req);
-        self.fetches.iter().for_each(Fetch::leave);
-        drops.into_iter().filter_map(|n| self.fetches.get(n)).for_each(Fetch::stop);
+        self.attempts.iter().for_each(Attempt::leave);
+        drops.into_iter().filter_map(|n| self.attempts.get(n)).for_each(Attempt::stop);
     }
 }
 
-/// A req's fetch, by its number.
+/// A req's attempt, by its number.
 #[derive(Clone, Copy)]
-struct ReqFetch(Req, usize);
+struct ReqAttempt(Req, usize);
 
-impl Told for ReqFetch {
+impl Told for ReqAttempt {
     fn alive(self, net: &Net, started: bool) {
-        let ReqFetch(req, fetch) = self;
-        net.report(if started { Seen::Started(req, fetch) } else { Seen::Progress(req, fetch) });
+        let ReqAttempt(req, attempt) = self;
+        net.report(if started { Seen::Started(req, attempt) } else { Seen::Progress(req, attempt) });
     }
 
     fn ended(self, net: &Rc<Net>, ending: Ending, _: Option<Bytes>, load: Option<Report>) {
-        let ReqFetch(req, fetch) = self;
-        net.report(Seen::Ended(req, fetch, ending, load));
+        let ReqAttempt(req, attempt) = self;
+        net.report(Seen::Ended(req, attempt, ending, load));
     }
 }
 
 async fn handle(net: &Rc<Net>, job: &Job, order: Rc<Order>) -> Response<Full<Bytes>> {
     let req = net.facade.borrow_mut().take(net.clock.now(), job);
-    let mut handler = Handler { net, req, fetches: Vec::new() };
+    let mut handler = Handler { net, req, attempts: Vec::new() };
     loop {
         match net.pick(req).await {
-            Step::Fetch { fetch, backend, until, whole_by } => {
-                net.must(fetch == handler.fetches.len(), "fetches are numbered in order");
-                let (whose, times) = (ReqFetch(req, fetch), (until, whole_by));
-                handler.fetches.push(backends::start(net, &order, whose, backend, times));
+            Step::Attempt { attempt, backend, until, whole_by } => {
+                net.must(attempt == handler.attempts.len(), "attempts are numbered in order");
+                let (whose, times) = (ReqAttempt(req, attempt), (until, whole_by));
+                handler.attempts.push(backends::start(net, &order, whose, backend, times));
             }
-            Step::Serve { fetch } => {
-                let result = match handler.fetches.get_mut(fetch) {
-                    Some(fetch) => fetch.result().await,
+            Step::Serve { attempt } => {
+                let result = match handler.attempts.get_mut(attempt) {
+                    Some(attempt) => attempt.result().await,
                     None => None,
                 };
-                net.must(result.is_some(), "a served fetch has its result");
+                net.must(result.is_some(), "a served attempt has its result");
                 let Some(result) = result else { return plain(StatusCode::BAD_GATEWAY, "failed\n") };
                 return Response::new(Full::new(result));
             }
             Step::Refuse { retry_after } => return refusal(retry_after),
             Step::Fail => return plain(StatusCode::BAD_GATEWAY, "failed\n"),
-            Step::Drop { fetch } => {
-                handler.fetches.get(fetch).into_iter().for_each(Fetch::stop);
-                net.report(Seen::Ended(req, fetch, Ending::Revoked, None));
+            Step::Drop { attempt } => {
+                handler.attempts.get(attempt).into_iter().for_each(Attempt::stop);
+                net.report(Seen::Ended(req, attempt, Ending::Revoked, None));
             }
         }
     }
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -5,7 +5,7 @@
 //!
 //! The parts use one another in one direction: `front` uses `durable` and `backends`, `durable` uses
 //! `backends`, and `backends` neither. `answers` and `order` are leaves: all three use them, and they
-//! use none of the three. What a fetch has to say goes back through the trait `backends::Told`.
+//! use none of the three. What an attempt has to say goes back through the trait `backends::Told`.
 
 mod admin;
 mod answers;
--- a/crates/server/src/net/order.rs
+++ b/crates/server/src/net/order.rs
@@ -1,8 +1,8 @@
 //! What goes to a backend for a req, and the room that reqs take until they are answered.
 //!
 //! It owns the ids of the open reqs and the count of their bodies' bytes, and gives both back with the last
-//! copy of an order. It must never know who fetches, or for whom: of the network's parts it uses
-//! `answers` alone.
+//! copy of an order. It must never know who makes an attempt, or for whom: of the network's
+//! parts it uses `answers` alone.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -65,8 +65,8 @@
     }
 }
 
-/// What one req holds of these, for as long as its handler or a fetch has its order: where attempts may
-/// not be cancelled, a fetch outlives its client.
+/// What one req holds of these, for as long as its handler or an attempt has its order: where attempts may
+/// not be cancelled, an attempt outlives its client.
 pub(crate) struct Held {
     net: Rc<Net>,
     id: Option<HeaderValue>,
--- a/crates/server/tests/durable.rs
+++ b/crates/server/tests/durable.rs
@@ -124,7 +124,7 @@
             let mut client = program.connect();
             client.write_all(order(key, "").as_bytes()).expect("written");
             client.set_read_timeout(Some(Duration::from_millis(5))).expect("set");
-            until("the fetch, or a refusal", || backend.count() == n + 1 || client.peek(&mut [0]).is_ok());
+            until("the attempt, or a refusal", || backend.count() == n + 1 || client.peek(&mut [0]).is_ok());
             if backend.count() == n + 1 {
                 client.set_read_timeout(Some(PATIENCE)).expect("set");
                 clients.push(client);
--- a/crates/server/tests/sockets/backends.rs
+++ b/crates/server/tests/sockets/backends.rs
@@ -95,7 +95,7 @@
     let program = Program::start(&discovery);
     let mut client = program.connect();
     client.write_all(req("transfer", "id-1").as_bytes()).expect("written");
-    until("the fetch", || before.count() == 1);
+    until("the attempt", || before.count() == 1);
     discovery.move_to("s-1", after.address);
     until("the news", || program.log().matches("list ").count() >= 2);
     open.send(()).expect("released"); // its connection comes free only now, and is not kept
--- a/crates/server/tests/sockets/discovery.rs
+++ b/crates/server/tests/sockets/discovery.rs
@@ -118,7 +118,7 @@
     let program = Program::start(&old);
     let mut client = program.connect();
     client.write_all(req("transfer", "id-1").as_bytes()).expect("written");
-    until("the fetch", || before.count() == 1);
+    until("the attempt", || before.count() == 1);
     program.reload("\"discovery\"", "\"discovery");
     until("the refusal", || program.log().contains("going on as before"));
     program.reload("\"discovery", "\"discovery\"");
--- a/crates/server/tests/sockets/passing.rs
+++ b/crates/server/tests/sockets/passing.rs
@@ -78,20 +78,20 @@
     let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let mut first = program.connect();
     first.write_all(req("transfer", "id-1").as_bytes()).expect("written");
-    until("the fetch", || backend.count() == 1);
+    until("the attempt", || backend.count() == 1);
     assert_eq!(program.ask(&req("new-plate", "id-1")).status(), 409);
     open.send(()).expect("released");
     assert_eq!(Message::read(&mut BufReader::new(first)).expect("an answer").status(), 200);
     open.send(()).expect("released");
     assert_eq!(program.ask(&req("transfer", "id-1")).status(), 200, "it is open no more");
     assert_eq!(backend.count(), 2);
-    // Where attempts may not be cancelled, its fetch is open for longer than its client waits.
+    // Where attempts may not be cancelled, its attempt is open for longer than its client waits.
     let silent = Peer::new(|_, _| true);
     let edits = [(r#""cancelling":true"#, r#""cancelling":false"#)];
     let program = Program::start_with(&Discovery::new(&[("s-1", silent.address)]), 1024, &edits);
     let mut client = program.connect();
     client.write_all(req("transfer", "id-2").as_bytes()).expect("written");
-    until("the fetch", || silent.count() == 1);
+    until("the attempt", || silent.count() == 1);
     let held = descriptors(&program);
     drop(client);
     until("the client's end", || descriptors(&program) < held);
@@ -118,10 +118,10 @@
     let start = std::time::Instant::now();
     let mut client = program.connect();
     client.write_all(req("transfer", "never").as_bytes()).expect("written");
-    until("the fetch", || backend.count() == 101);
+    until("the attempt", || backend.count() == 101);
     client.write_all(b"no request\r\n\r\n").expect("written");
     assert_eq!(client.read(&mut [0; 1]).map_or(0, |n| n), 0, "closed unanswered");
-    until("the fetch's end", || backend.ended.load(Ordering::SeqCst) > 0);
+    until("the attempt's end", || backend.ended.load(Ordering::SeqCst) > 0);
     assert!(start.elapsed().as_millis() < 3_000);
 }
 
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn a_client_that_goes_away_takes_its_fetch_along() {
+fn a_client_that_goes_away_takes_its_attempt_along() {
     let backend = Peer::new(|message, stream| {
         if message.first.contains("transfer") {
             return done(message, stream, "made");
@@ -245,7 +245,7 @@
     let mut client = program.connect();
     let text = req("new-plate", "id-1").replace("Ms: 5000", "Ms: 600000");
     client.write_all(text.as_bytes()).expect("written");
-    until("the fetch", || backend.count() == 1);
+    until("the attempt", || backend.count() == 1);
     drop(client);
     until("its connection's end", || backend.ended.load(Ordering::SeqCst) == 1);
     assert_eq!(program.ask(&req("transfer", "id-2")).status(), 200);
--- a/crates/server/tests/sockets/stop.rs
+++ b/crates/server/tests/sockets/stop.rs
@@ -21,7 +21,7 @@
     let mut half = program.connect();
     half.write_all(b"POST /tra").expect("half a head");
     slow.write_all(req("transfer", "slow").as_bytes()).expect("written");
-    until("the slow fetch", || backend.count() == 1);
+    until("the slow attempt", || backend.count() == 1);
     program.signal("-TERM");
     until("the signal", || program.log().contains("told to stop"));
     assert_eq!(ask_on(&mut kept, &req("transfer", "id-1")).status(), 200);
