--- a/crates/core/src/facade/mod.rs
+++ b/crates/core/src/facade/mod.rs
@@ -1,8 +1,8 @@
-//! The blocking-style front of the decision module: a req is taken in, `pick` gives its next step
+//! The blocking-style front of the decision module: a request is taken in, `pick` gives its next step
 //! and waits while the job is held, `report` takes what was seen, and `tick` runs the timer.
 //!
-//! It owns the numbering of reqs and attempts, the names of backends, and the one final answer of
-//! each req. The module's events, actions and ids never leave this file. It must never decide
+//! It owns the numbering of requests and attempts, the names of backends, and the one final answer of
+//! each request. The module's events, actions and ids never leave this file. It must never decide
 //! anything, read a clock (time is passed in), or know of sockets, HTTP or an async runtime: a
 //! waiting `pick` keeps only the standard library's [`Waker`].
 
@@ -24,12 +24,12 @@
 use crate::names::worker_id;
 use crate::Dispatcher;
 pub use tally::Tally;
-pub use types::{Due, Entry, Job, Learned, Req, Seen, Step};
+pub use types::{Due, Entry, Handle, Job, Learned, Seen, Step};
 
 /// The least number of backends' names at which it looks which of them are of use.
 const NAMES_KEPT: usize = 4_096;
 
-/// A req as this file knows it.
+/// A request as this file knows it.
 struct Open {
     steps: VecDeque<Step>,
     waker: Option<Waker>,
@@ -46,7 +46,7 @@
 pub struct Facade {
     dispatcher: Dispatcher,
     actions: Vec<Action>,
-    reqs: FxHashMap<u64, Open>,
+    requests: FxHashMap<u64, Open>,
     backends: FxHashMap<WorkerId, Rc<str>>,
     last: u64,
     /// When the module wants its timer: always what it believes to be set, or nobody would wake it.
@@ -64,7 +64,7 @@
         Ok(Facade {
             dispatcher: Dispatcher::new(settings, seed)?,
             actions: Vec::new(),
-            reqs: FxHashMap::default(),
+            requests: FxHashMap::default(),
             backends: FxHashMap::default(),
             last: 0,
             wake_at: None,
@@ -75,14 +75,14 @@
         })
     }
 
-    /// Takes a req in: from here on it is owed one final answer, which `pick` will give.
-    pub fn take(&mut self, now: Micros, job: &Job) -> Req {
+    /// Takes a request in: from here on it is owed one final answer, which `pick` will give.
+    pub fn take(&mut self, now: Micros, job: &Job) -> Handle {
         self.take_again(now, job, &[])
     }
 
-    /// Takes a req in that an earlier life of the program has tried: `earlier` names the backends where
+    /// Takes a request in that an earlier life of the program has tried: `earlier` names the backends where
     /// it may have run, and how long ago each attempt was sent. Attempts are numbered on from these.
-    pub fn take_again(&mut self, now: Micros, job: &Job, earlier: &[(Rc<str>, Micros)]) -> Req {
+    pub fn take_again(&mut self, now: Micros, job: &Job, earlier: &[(Rc<str>, Micros)]) -> Handle {
         self.last += 1;
         self.tally.taken += 1;
         let open = Open {
@@ -93,7 +93,7 @@
             over: false,
             closed: false,
         };
-        self.reqs.insert(self.last, open);
+        self.requests.insert(self.last, open);
         let earlier: Vec<Earlier> =
             earlier.iter().map(|(backend, ago)| Earlier { worker: worker_id(backend), ago: *ago }).collect();
         let event = Event::Request {
@@ -107,16 +107,16 @@
             remaining: job.remaining,
             earlier: &earlier,
         };
-        let req = Req(self.last);
+        let request = Handle(self.last);
         self.feed(now, event);
-        req
+        request
     }
 
-    /// The next step of a req. While its job is held there is none: the waker is kept and woken
+    /// The next step of a request. While its job is held there is none: the waker is kept and woken
     /// when there is one.
-    pub fn pick(&mut self, req: Req, waker: &Waker) -> Poll<Step> {
-        let Some(open) = self.reqs.get_mut(&req.0) else {
-            self.must(false, "a step was asked for after the req's end");
+    pub fn pick(&mut self, request: Handle, waker: &Waker) -> Poll<Step> {
+        let Some(open) = self.requests.get_mut(&request.0) else {
+            self.must(false, "a step was asked for after the request's end");
             return Poll::Ready(Step::Fail);
         };
         match open.steps.pop_front() {
@@ -128,29 +128,31 @@
         }
     }
 
-    /// The handler of a req leaves, with the final answer or because its client went away. Tells
+    /// The handler of a request leaves, with the final answer or because its client went away. Tells
     /// which attempts are to be dropped; nothing more need be reported of these.
-    pub fn leave(&mut self, now: Micros, req: Req) -> Vec<usize> {
-        let Some(open) = self.reqs.get_mut(&req.0) else { return Vec::new() };
+    pub fn leave(&mut self, now: Micros, request: Handle) -> Vec<usize> {
+        let Some(open) = self.requests.get_mut(&request.0) else { return Vec::new() };
         open.closed = true;
         if !std::mem::replace(&mut open.over, true) {
             self.tally.gone += 1;
-            self.feed(now, Event::Lapsed { id: RequestId(req.0.into()) });
+            self.feed(now, Event::Lapsed { id: RequestId(request.0.into()) });
         }
-        let steps = self.reqs.get_mut(&req.0).map(|open| std::mem::take(&mut open.steps));
+        let steps = self.requests.get_mut(&request.0).map(|open| std::mem::take(&mut open.steps));
         let mut drops = Vec::new();
         for step in steps.into_iter().flatten() {
             match step {
                 // Decided on, but never begun.
-                Step::Attempt { attempt, .. } => _ = self.on_ended(now, req, attempt, Ending::Unused, None),
+                Step::Attempt { attempt, .. } => {
+                    _ = self.on_ended(now, request, attempt, Ending::Unused, None)
+                }
                 // One that has ended since is left alone: its connection may serve others.
-                Step::Drop { attempt } if self.on_ended(now, req, attempt, Ending::Revoked, None) => {
+                Step::Drop { attempt } if self.on_ended(now, request, attempt, Ending::Revoked, None) => {
                     drops.push(attempt);
                 }
                 Step::Drop { .. } | Step::Serve { .. } | Step::Refuse { .. } | Step::Fail => {}
             }
         }
-        self.forget(req);
+        self.forget(request);
         drops
     }
 
@@ -158,15 +160,17 @@
     pub fn report(&mut self, now: Micros, seen: Seen<'_>) {
         match seen {
             Seen::List(kind, entries) => self.on_list(now, kind, entries),
-            Seen::Started(req, attempt) => {
-                let (id, attempt) = (RequestId(req.0.into()), attempt as u32);
+            Seen::Started(request, attempt) => {
+                let (id, attempt) = (RequestId(request.0.into()), attempt as u32);
                 self.feed(now, Event::Started { id, attempt });
             }
-            Seen::Progress(req, attempt) => {
-                let (id, attempt) = (RequestId(req.0.into()), attempt as u32);
+            Seen::Progress(request, attempt) => {
+                let (id, attempt) = (RequestId(request.0.into()), attempt as u32);
                 self.feed(now, Event::Progress { id, attempt });
             }
-            Seen::Ended(req, attempt, ending, report) => _ = self.on_ended(now, req, attempt, ending, report),
+            Seen::Ended(request, attempt, ending, report) => {
+                _ = self.on_ended(now, request, attempt, ending, report)
+            }
             Seen::Probed(backend, ok, report) => {
                 let ending = if ok { Ending::Delivered } else { Ending::DialFailed };
                 let worker = worker_id(backend);
@@ -196,11 +200,11 @@
         self.tally
     }
 
-    /// What is out or held; a req counts until its handler is gone and its attempts have ended.
+    /// What is out or held; a request counts until its handler is gone and its attempts have ended.
     pub fn accounts(&self) -> Accounts {
         let inner = self.dispatcher.accounts();
         let (requests, workers) =
-            (inner.requests.max(self.reqs.len()), inner.workers.max(self.backends.len()));
+            (inner.requests.max(self.requests.len()), inner.workers.max(self.backends.len()));
         Accounts { requests, workers, ..inner }
     }
 
@@ -214,9 +218,9 @@
         self.dispatcher.ask_spread() as Micros
     }
 
-    /// How many reqs were taken and have no final answer yet.
+    /// How many requests were taken and have no final answer yet.
     pub fn owed(&self) -> usize {
-        self.reqs.values().filter(|open| !open.over).count()
+        self.requests.values().filter(|open| !open.over).count()
     }
 
     fn on_list(&mut self, now: Micros, kind: ListKind, entries: &[Entry]) {
@@ -247,12 +251,12 @@
     fn on_ended(
         &mut self,
         now: Micros,
-        req: Req,
+        request: Handle,
         attempt: usize,
         ending: Ending,
         report: Option<Report>,
     ) -> bool {
-        let Some(open) = self.reqs.get_mut(&req.0) else { return false };
+        let Some(open) = self.requests.get_mut(&request.0) else { return false };
         if open.attempts.get_mut(attempt).and_then(Option::take).is_none() {
             return false;
         }
@@ -263,17 +267,17 @@
             open.push(Step::Serve { attempt });
         }
         let finished = open.over;
-        let (id, attempt) = (RequestId(req.0.into()), attempt as u32);
+        let (id, attempt) = (RequestId(request.0.into()), attempt as u32);
         self.feed(now, Event::Settled { id, attempt, ending, finished, report });
-        self.forget(req);
+        self.forget(request);
         true
     }
 
-    /// A req stays known until its handler is gone and its attempts have ended.
-    fn forget(&mut self, req: Req) {
+    /// A request stays known until its handler is gone and its attempts have ended.
+    fn forget(&mut self, request: Handle) {
         let done = |open: &Open| open.closed && open.attempts.iter().all(Option::is_none);
-        if self.reqs.get(&req.0).is_some_and(done) {
-            self.reqs.remove(&req.0);
+        if self.requests.get(&request.0).is_some_and(done) {
+            self.requests.remove(&request.0);
         }
     }
 
@@ -294,8 +298,8 @@
         match action {
             Action::Send { id, worker, whole_by } => {
                 let backend = self.backends.get(&worker).cloned();
-                let (Some(backend), Some(open)) = (backend, self.reqs.get_mut(&(id.0 as u64))) else {
-                    return self.must(false, "an attempt for an unknown req or backend");
+                let (Some(backend), Some(open)) = (backend, self.requests.get_mut(&(id.0 as u64))) else {
+                    return self.must(false, "an attempt for an unknown request or backend");
                 };
                 let over = open.over;
                 let (attempt, until) = (open.attempts.len(), open.deadline);
@@ -311,7 +315,7 @@
             Action::Fail { id } => self.tally.failed += self.answer(id, Step::Fail),
             Action::Cancel { id, attempt } => {
                 let attempt = attempt as usize;
-                if let Some(open) = self.reqs.get_mut(&(id.0 as u64)) {
+                if let Some(open) = self.requests.get_mut(&(id.0 as u64)) {
                     open.push(Step::Drop { attempt });
                 }
             }
@@ -330,9 +334,9 @@
         }
     }
 
-    /// Gives a req its final answer; tells how many were given: 1, or 0 where it had one.
+    /// Gives a request its final answer; tells how many were given: 1, or 0 where it had one.
     fn answer(&mut self, id: RequestId, step: Step) -> u64 {
-        let first = match self.reqs.get_mut(&(id.0 as u64)) {
+        let first = match self.requests.get_mut(&(id.0 as u64)) {
             Some(open) if !open.over => {
                 open.over = true;
                 open.push(step);
--- a/crates/core/src/facade/tally.rs
+++ b/crates/core/src/facade/tally.rs
@@ -1,17 +1,17 @@
-//! What the facade counts of reqs and attempts, and how it is written in the log.
+//! What the facade counts of requests and attempts, and how it is written in the log.
 //!
 //! It must never decide: nothing reads these counts back.
 
 /// Counts of what was answered, and of what should have been impossible.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Reqs taken in.
+    /// Requests taken in.
     pub taken: u64,
     /// Final answers by kind.
     pub served: u64,
     /// Refusals.
     pub refused: u64,
-    /// Failed reqs.
+    /// Failed requests.
     pub failed: u64,
     /// Clients that went away first.
     pub gone: u64,
--- a/crates/core/src/facade/types.rs
+++ b/crates/core/src/facade/types.rs
@@ -1,4 +1,4 @@
-//! What goes in and out of the facade: reqs, jobs, steps, entries of the list, what was seen.
+//! What goes in and out of the facade: requests, jobs, steps, entries of the list, what was seen.
 //!
 //! Types only. Nothing here may name a socket, a format or a runtime.
 
@@ -6,9 +6,9 @@
 
 use crate::interface::{Condition, Ending, ListKind, Micros, Report};
 
-/// A req that was taken in.
+/// A request that was taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Req(pub(super) u64);
+pub struct Handle(pub(super) u64);
 
 /// What the decisions need to know of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,12 +29,12 @@
     pub remaining: Micros,
 }
 
-/// What to do next for a req.
+/// What to do next for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
     /// Attempt number `attempt` goes to a backend, and is given up at `until`.
     Attempt {
-        /// Counted from 0 for each req.
+        /// Counted from 0 for each request.
         attempt: usize,
         /// The backend's name in discovery's list.
         backend: Rc<str>,
@@ -85,16 +85,16 @@
     /// News of discovery's list; no entries where the call failed.
     List(ListKind, &'a [Entry]),
     /// The job of an attempt started to run.
-    Started(Req, usize),
+    Started(Handle, usize),
     /// The job of an attempt makes progress.
-    Progress(Req, usize),
+    Progress(Handle, usize),
     /// An attempt ended.
-    Ended(Req, usize, Ending, Option<Report>),
+    Ended(Handle, usize, Ending, Option<Report>),
     /// A probe came back; no load where it failed.
     Probed(&'a Rc<str>, bool, Option<Report>),
 }
 
-/// What is due besides the steps of reqs.
+/// What is due besides the steps of requests.
 #[derive(Debug, Default, PartialEq)]
 pub struct Due {
     /// When to call `tick` next, unless it is woken before.
--- a/crates/core/src/figures.rs
+++ b/crates/core/src/figures.rs
@@ -1,13 +1,13 @@
-//! The ledger of what became of reqs, and the figures that operators read of it.
+//! The ledger of what became of requests, and the figures that operators read of it.
 //!
-//! It owns one count for each req and one for its end, and the lines' form. It must never count an end
-//! twice: who has taken a req in holds an [`Entry`], and gives it up with the end.
+//! It owns one count for each request and one for its end, and the lines' form. It must never count an end
+//! twice: who has taken a request in holds an [`Entry`], and gives it up with the end.
 
 use std::cell::RefCell;
 use std::fmt::Write as _;
 use std::rc::Rc;
 
-/// How a req ended, as its client sees it.
+/// How a request ended, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// Served with a worker's result.
@@ -37,26 +37,26 @@
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// By class; the last are reqs of classes that nobody knows.
+    /// By class; the last are requests of classes that nobody knows.
     classes: Vec<Counts>,
     pending: u64,
 }
 
 impl Inner {
-    /// Taken = ended + pending: what breaks this has counted a req twice, or not at all.
+    /// Taken = ended + pending: what breaks this has counted a request twice, or not at all.
     fn check(&self) {
         if !cfg!(debug_assertions) {
-            return; // each req's entry gives itself up once: the sum is for what a later change may break
+            return; // each request's entry gives itself up once: the sum is for what a later change may break
         }
         let (taken, ended) = self
             .classes
             .iter()
             .fold((0, 0), |(taken, ended), c| (taken + c.taken, ended + c.ended.iter().sum::<u64>()));
-        debug_assert_eq!(taken, ended + self.pending, "each req ends once");
+        debug_assert_eq!(taken, ended + self.pending, "each request ends once");
     }
 }
 
-/// Counts reqs by class and end.
+/// Counts requests by class and end.
 #[derive(Clone, Debug)]
 pub struct Ledger(Rc<RefCell<Inner>>);
 
@@ -66,7 +66,7 @@
         Ledger(Rc::new(RefCell::new(Inner { classes: vec![Counts::default(); classes + 1], pending: 0 })))
     }
 
-    /// A req has come; `None` where its class is none that is known.
+    /// A request has come; `None` where its class is none that is known.
     pub fn take(&self, class: Option<usize>) -> Entry {
         let mut inner = self.0.borrow_mut();
         let unknown = inner.classes.len() - 1;
@@ -76,12 +76,12 @@
         Entry { ledger: self.clone(), class, end: End::Abandoned }
     }
 
-    /// Reqs that were taken and have not ended.
+    /// Requests that were taken and have not ended.
     pub fn pending(&self) -> u64 {
         self.0.borrow().pending
     }
 
-    /// How many reqs of a class ended so; with `None`, of the classes that nobody knows.
+    /// How many requests of a class ended so; with `None`, of the classes that nobody knows.
     pub fn ended(&self, class: Option<usize>, end: End) -> u64 {
         let inner = self.0.borrow();
         let counts = class.map_or(inner.classes.last(), |c| inner.classes.get(c));
@@ -109,7 +109,7 @@
     }
 }
 
-/// A req that was taken and has not ended. Dropped without a word, its client has gone away.
+/// A request that was taken and has not ended. Dropped without a word, its client has gone away.
 #[derive(Debug)]
 pub struct Entry {
     ledger: Ledger,
@@ -118,7 +118,7 @@
 }
 
 impl Entry {
-    /// The req has ended so.
+    /// The request has ended so.
     pub fn end(mut self, end: End) {
         self.end = end;
     }
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -60,8 +60,8 @@
     None,
 }
 
-/// Whatever discovery has to tell counts as told so long after it had it and could be reached, arrived or not:
-/// the protocol's figure, which goes before all others.
+/// Whatever discovery has to tell counts as told so long after it had it and could be reached, arrived or
+/// not: the protocol's figure, which goes before all others.
 pub const TOLD_ANYWAY: Micros = 6_000_000;
 
 /// Everything a dispatcher is told at start. The default is one dispatcher with a pushed list,
--- a/crates/core/tests/mechanism/failing.rs
+++ b/crates/core/tests/mechanism/failing.rs
@@ -93,14 +93,14 @@
 #[test]
 fn what_is_sent_again_in_an_outage_is_a_share_of_what_comes() {
     for (ending, most) in [(Ending::DialFailed, 1.45), (Ending::Dropped, 1.25)] {
-        let (mut sends, mut reqs) = (0, 0);
+        let (mut sends, mut requests) = (0, 0);
         for seed in 0..50 {
             let mut bench = Bench::seeded(Settings { dispatchers: 50, ..settings() }, 60, seed);
             bench.serve(0, 10, 100 * MS);
             for n in 0..100u32 {
                 let (id, actions) = bench.request(n % 2);
                 let (mut at, mut attempt) = (sent(&actions, id), 0);
-                reqs += 1;
+                requests += 1;
                 while let Some(worker) = at {
                     sends += 1;
                     if worker.0 < 30 {
@@ -115,7 +115,7 @@
                 }
             }
         }
-        let each = f64::from(sends) / f64::from(reqs);
-        assert!(each > 1.0 && each < most, "{each} sends for each of {reqs} reqs where {ending:?}");
+        let each = f64::from(sends) / f64::from(requests);
+        assert!(each > 1.0 && each < most, "{each} sends for each of {requests} requests where {ending:?}");
     }
 }
--- a/crates/core/tests/mechanism/list.rs
+++ b/crates/core/tests/mechanism/list.rs
@@ -102,8 +102,9 @@
     assert_eq!(bench.dispatcher.accounts().requests, 0);
 }
 
-/// 48 dispatchers that start at one moment, and discovery that serves calls in turn, 110 ms each, of which one
-/// that has waited for 2 s fails but takes its turn all the same. Then it goes down, and all lose their watches.
+/// 48 dispatchers that start at one moment, and discovery that serves calls in turn, 110 ms each, of which
+/// one that has waited for 2 s fails but takes its turn all the same. Then it goes down, and all lose their
+/// watches.
 #[test]
 fn many_that_start_at_one_moment_are_all_heard_by_slow_discovery() {
     let new = |n: u64| {
--- a/crates/core/tests/model.rs
+++ b/crates/core/tests/model.rs
@@ -1,4 +1,4 @@
-//! A model of a req's and its attempts' states, against which random steps of the facade are held.
+//! A model of a request's and its attempts' states, against which random steps of the facade are held.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -80,7 +80,7 @@
     ended: Option<Ending>,
 }
 
-/// A req: waiting until it is answered or its client is gone.
+/// A request: waiting until it is answered or its client is gone.
 struct Waiting {
     class: u32,
     woken: Arc<Flag>,
@@ -92,8 +92,8 @@
 struct World {
     facade: Facade,
     now: Micros,
-    reqs: HashMap<Req, Waiting>,
-    order: Vec<Req>,
+    requests: HashMap<Handle, Waiting>,
+    order: Vec<Handle>,
     ready: [bool; 4],
     banned: [bool; 4],
     started: [Micros; 4],
@@ -110,11 +110,11 @@
 impl World {
     fn new(dispatchers: u32) -> Self {
         let facade = Facade::new(settings(dispatchers), 3).expect("usable");
-        let (reqs, order) = (HashMap::new(), Vec::new());
+        let (requests, order) = (HashMap::new(), Vec::new());
         let mut world = World {
             facade,
             now: 50_000 * MS,
-            reqs,
+            requests,
             order,
             ready: [true; 4],
             banned: [false; 4],
@@ -151,25 +151,25 @@
             self.subscriptions += u32::from(due.subscribe);
             self.next = due.next;
         }
-        for req in self.order.clone() {
-            while !self.reqs[&req].over {
-                let woken = self.reqs[&req].woken.clone();
+        for request in self.order.clone() {
+            while !self.requests[&request].over {
+                let woken = self.requests[&request].woken.clone();
                 let was = woken.0.swap(false, Ordering::SeqCst);
-                match self.facade.pick(req, &Waker::from(woken)) {
+                match self.facade.pick(request, &Waker::from(woken)) {
                     Poll::Pending => break,
                     Poll::Ready(step) => {
-                        self.reqs[&req].woken.0.store(true, Ordering::SeqCst);
+                        self.requests[&request].woken.0.store(true, Ordering::SeqCst);
                         assert!(was, "a handler was left asleep");
-                        self.take_step(req, step);
+                        self.take_step(request, step);
                     }
                 }
             }
         }
     }
 
-    fn take_step(&mut self, req: Req, step: oakshed_core::facade::Step) {
+    fn take_step(&mut self, request: Handle, step: oakshed_core::facade::Step) {
         use oakshed_core::facade::Step;
-        let r = self.reqs.get_mut(&req).expect("known");
+        let r = self.requests.get_mut(&request).expect("known");
         let may_have_run = r
             .attempts
             .iter()
@@ -197,12 +197,12 @@
             Step::Drop { attempt } => panic!("attempt {attempt} is to be dropped before the answer"),
         };
         r.owed.take().expect("one end").end(end);
-        self.leave(req);
+        self.leave(request);
     }
 
-    fn leave(&mut self, req: Req) {
-        let drops = self.facade.leave(self.now, req);
-        let r = self.reqs.get_mut(&req).expect("known");
+    fn leave(&mut self, request: Handle) {
+        let drops = self.facade.leave(self.now, request);
+        let r = self.requests.get_mut(&request).expect("known");
         assert!(!std::mem::replace(&mut r.over, true), "ended twice");
         r.owed = None; // where its client went away, nobody has said how it ended
         for attempt in drops {
@@ -214,25 +214,25 @@
         assert!(r.attempts.iter().all(|f| f.ended.is_some()), "an attempt was left out");
     }
 
-    fn end(&mut self, req: Req, attempt: usize, ending: Ending) {
-        self.reqs.get_mut(&req).expect("known").attempts[attempt].ended = Some(ending);
-        self.facade.report(self.now, Seen::Ended(req, attempt, ending, None));
+    fn end(&mut self, request: Handle, attempt: usize, ending: Ending) {
+        self.requests.get_mut(&request).expect("known").attempts[attempt].ended = Some(ending);
+        self.facade.report(self.now, Seen::Ended(request, attempt, ending, None));
         // A second word on the same attempt, as when it ends while it is dropped, changes nothing.
-        self.facade.report(self.now, Seen::Ended(req, attempt, Ending::Dropped, None));
+        self.facade.report(self.now, Seen::Ended(request, attempt, Ending::Dropped, None));
     }
 
     /// Time passes: the timer comes due, and attempts run out.
     fn wait_until(&mut self, until: Micros) {
         loop {
-            let open = self.reqs.iter().flat_map(|(req, r)| {
+            let open = self.requests.iter().flat_map(|(request, r)| {
                 let open = r.attempts.iter().enumerate().filter(|(_, f)| f.ended.is_none());
-                open.map(|(n, f)| (f.until, Some((*req, n))))
+                open.map(|(n, f)| (f.until, Some((*request, n))))
             });
             let timer = self.next.map(|at| (at, None));
             let first = open.chain(timer).min_by_key(|(at, what)| (*at, what.is_some()));
             let Some((at, what)) = first.filter(|(at, _)| *at <= until) else { break };
             self.now = self.now.max(at);
-            what.into_iter().for_each(|(req, attempt)| self.end(req, attempt, Ending::Expired));
+            what.into_iter().for_each(|(request, attempt)| self.end(request, attempt, Ending::Expired));
             self.settle();
         }
         self.now = until;
@@ -240,9 +240,9 @@
 
     fn step(&mut self, step: Step) {
         let open = |w: &World, pick: usize| {
-            let of = |req: &Req| {
-                let open = w.reqs[req].attempts.iter().enumerate().filter(|(_, f)| f.ended.is_none());
-                open.map(|(n, _)| (*req, n)).collect::<Vec<_>>()
+            let of = |request: &Handle| {
+                let open = w.requests[request].attempts.iter().enumerate().filter(|(_, f)| f.ended.is_none());
+                open.map(|(n, _)| (*request, n)).collect::<Vec<_>>()
             };
             let open: Vec<_> = w.order.iter().flat_map(of).collect();
             (!open.is_empty()).then(|| open[pick % open.len()])
@@ -259,29 +259,30 @@
                     hint: None,
                     remaining: left * MS,
                 };
-                let req = self.facade.take(self.now, &job);
-                self.order.push(req);
+                let request = self.facade.take(self.now, &job);
+                self.order.push(request);
                 let owed = Some(self.ledger.take(Some(class as usize)));
                 let new = Waiting { class, woken: flag(), attempts: Vec::new(), over: false, owed };
-                self.reqs.insert(req, new);
+                self.requests.insert(request, new);
             }
             Step::Start(pick) => {
-                if let Some((req, attempt)) = open(self, pick) {
-                    self.facade.report(self.now, Seen::Started(req, attempt));
-                    self.facade.report(self.now, Seen::Progress(req, attempt));
+                if let Some((request, attempt)) = open(self, pick) {
+                    self.facade.report(self.now, Seen::Started(request, attempt));
+                    self.facade.report(self.now, Seen::Progress(request, attempt));
                 }
             }
             Step::End(pick, ending) => {
-                open(self, pick).into_iter().for_each(|(req, n)| self.end(req, n, ENDINGS[ending]));
+                open(self, pick).into_iter().for_each(|(request, n)| self.end(request, n, ENDINGS[ending]));
             }
             Step::EndAll(ending) => {
                 // At one moment: no handler runs in between.
-                while let Some((req, n)) = open(self, 0) {
-                    self.end(req, n, ENDINGS[ending]);
+                while let Some((request, n)) = open(self, 0) {
+                    self.end(request, n, ENDINGS[ending]);
                 }
             }
             Step::Leave(pick) => {
-                let waiting: Vec<Req> = self.order.iter().copied().filter(|r| !self.reqs[r].over).collect();
+                let waiting: Vec<Handle> =
+                    self.order.iter().copied().filter(|r| !self.requests[r].over).collect();
                 if !waiting.is_empty() {
                     self.leave(waiting[pick % waiting.len()]);
                 }
@@ -317,7 +318,7 @@
 }
 
 #[test]
-fn every_req_gets_one_answer_and_every_attempt_is_accounted_for() {
+fn every_request_gets_one_answer_and_every_attempt_is_accounted_for() {
     let config = Config { cases: 300, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
@@ -326,7 +327,7 @@
         let mut world = World::new(dispatchers);
         steps.into_iter().for_each(|s| world.step(s));
         world.wait_until(world.now + 20_000 * MS);
-        assert!(world.reqs.values().all(|r| r.over), "a req was left without an answer");
+        assert!(world.requests.values().all(|r| r.over), "a request was left without an answer");
         let t = world.facade.tally();
         assert_eq!(t.taken, t.served + t.refused + t.failed + t.gone);
         assert_eq!(t.attempts, t.ended.iter().sum::<u64>(), "an attempt without an end, or with two");
@@ -357,12 +358,13 @@
         world.step(Step::Whole(0, false));
         world.step(Step::Take(0, 400));
         world.wait_until(world.now + 400 * MS);
-        assert!(world.reqs.values().all(|r| r.over), "it is held and nobody looks at it");
+        assert!(world.requests.values().all(|r| r.over), "it is held and nobody looks at it");
     }
 }
 
-/// Guards against hundreds that start without a list, at one moment, and all call discovery that serves in turn:
-/// it is asked for as many lists a second as it can be taken to give, and the last still has its list in time.
+/// Guards against hundreds that start without a list, at one moment, and all call discovery that serves in
+/// turn: it is asked for as many lists a second as it can be taken to give, and the last still has its list
+/// in time.
 #[test]
 fn without_a_list_each_of_many_calls_at_a_moment_of_its_own() {
     let first_call = |seed| {
--- a/crates/jobs/src/machine/attempts.rs
+++ b/crates/jobs/src/machine/attempts.rs
@@ -95,8 +95,8 @@
             a.number = Some(earlier.len());
             earlier.push((a.worker.clone(), now.saturating_sub(a.lease.sent)));
         }
-        let req = facade.take_again(now, &wanted, &earlier);
-        job.stage = Stage::Held(req);
+        let request = facade.take_again(now, &wanted, &earlier);
+        job.stage = Stage::Held(request);
         if let Ok(mut jobs) = self.woken.jobs.lock() {
             jobs.push(id);
         }
@@ -167,11 +167,11 @@
         facade: &mut Facade,
     ) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let req = job.req();
+        let request = job.request();
         let Some(a) = job.attempts.iter_mut().find(|a| a.lease.token == token) else { return };
         (a.stand, a.ask_at) = (stand, self.now);
-        match (req, a.number) {
-            (Some(req), Some(number)) => facade.report(self.now, Seen::Ended(req, number, how, load)),
+        match (request, a.number) {
+            (Some(request), Some(number)) => facade.report(self.now, Seen::Ended(request, number, how, load)),
             _ => self.look(id, facade),
         }
     }
@@ -185,13 +185,13 @@
         facade: &mut Facade,
     ) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let req = job.req();
+        let request = job.request();
         let Some(a) = job.attempts.iter_mut().find(|a| a.lease.token == token) else { return };
         a.stand = Stand::Ended;
-        match (req, a.number) {
-            (Some(req), Some(number)) => {
+        match (request, a.number) {
+            (Some(request), Some(number)) => {
                 a.result = Some(result);
-                facade.report(self.now, Seen::Ended(req, number, Ending::Delivered, load));
+                facade.report(self.now, Seen::Ended(request, number, Ending::Delivered, load));
             }
             _ => self.finish(id, Answer::Served(result), facade),
         }
--- a/crates/jobs/src/machine/ends.rs
+++ b/crates/jobs/src/machine/ends.rs
@@ -13,19 +13,19 @@
     pub(super) fn give_up(&mut self, id: JobId, facade: &mut Facade) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let req = job.req();
+        let request = job.request();
         for a in job.attempts.iter_mut().filter(|a| a.open()) {
             let sent = a.stand == Stand::Asked || a.let_out;
             a.stand = if sent { Stand::Doubt } else { Stand::Unsent };
             if a.let_out {
                 self.ready.push_back(Effect::Stop { id, token: a.lease.token });
             }
-            if let (Some(req), Some(number)) = (req, a.number) {
+            if let (Some(request), Some(number)) = (request, a.number) {
                 let how = if sent { Ending::Expired } else { Ending::Unused };
-                facade.report(now, Seen::Ended(req, number, how, None));
+                facade.report(now, Seen::Ended(request, number, how, None));
             }
         }
-        if req.is_none() {
+        if request.is_none() {
             self.begin(id, facade);
         }
         self.step(id, facade);
@@ -41,12 +41,12 @@
         if job.is_over() {
             return self.must(false, "a second final answer");
         }
-        if let Some(req) = job.req() {
-            facade.leave(now, req);
+        if let Some(request) = job.request() {
+            facade.leave(now, request);
             // Where attempts may not be cancelled, the decisions wait for their ends.
             for a in job.attempts.iter().filter(|a| a.open()) {
                 if let Some(number) = a.number {
-                    facade.report(now, Seen::Ended(req, number, Ending::Revoked, None));
+                    facade.report(now, Seen::Ended(request, number, Ending::Revoked, None));
                 }
             }
         }
--- a/crates/jobs/src/machine/job.rs
+++ b/crates/jobs/src/machine/job.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use oakshed_core::facade::{Micros, Req};
+use oakshed_core::facade::{Handle, Micros};
 
 use crate::record::{Answer, Lease, Order, Outcome};
 
@@ -78,7 +78,7 @@
     /// Not yet durable, or of a past life and not yet taken up.
     Waiting,
     /// The decisions have it.
-    Held(Req),
+    Held(Handle),
     /// It has its answer, durable once the second is.
     Over(Answer, u64),
 }
@@ -115,9 +115,9 @@
         matches!(self.stage, Stage::Over(Answer::Failed, _)) && self.in_doubt()
     }
 
-    pub(super) fn req(&self) -> Option<Req> {
-        if let Stage::Held(req) = self.stage {
-            Some(req)
+    pub(super) fn request(&self) -> Option<Handle> {
+        if let Stage::Held(request) = self.stage {
+            Some(request)
         } else {
             None
         }
--- a/crates/jobs/src/machine/mod.rs
+++ b/crates/jobs/src/machine/mod.rs
@@ -173,9 +173,9 @@
     }
 
     fn step(&mut self, id: JobId, facade: &mut Facade) {
-        while let Some(req) = self.jobs.get(&id).and_then(Job::req) {
+        while let Some(request) = self.jobs.get(&id).and_then(Job::request) {
             let waker = Waker::from(Arc::new(JobWaker(id, self.woken.clone())));
-            let Poll::Ready(step) = facade.pick(req, &waker) else { return };
+            let Poll::Ready(step) = facade.pick(request, &waker) else { return };
             match step {
                 Step::Attempt { attempt, backend, until, whole_by } => {
                     self.lease(id, attempt, backend, until, whole_by);
@@ -198,7 +198,7 @@
                         let token = a.lease.token;
                         self.ready.push_back(Effect::Stop { id, token });
                     }
-                    facade.report(self.now, Seen::Ended(req, attempt, Ending::Revoked, None));
+                    facade.report(self.now, Seen::Ended(request, attempt, Ending::Revoked, None));
                 }
             }
         }
--- a/crates/jobs/src/machine/network.rs
+++ b/crates/jobs/src/machine/network.rs
@@ -62,14 +62,14 @@
         self.now = now;
         let lease = self.limits.lease;
         let Some(job) = self.jobs.get_mut(&id) else { return };
-        let req = job.req();
+        let request = job.request();
         let Some(a) = job.attempts.iter_mut().find(|a| a.lease.token == token && a.stand == Stand::Out)
         else {
             return;
         };
         (a.alive_until, a.gap) = (now + lease, FENCE_AGAIN);
-        if let (Some(req), Some(number)) = (req, a.number) {
-            let seen = if started { Seen::Started(req, number) } else { Seen::Progress(req, number) };
+        if let (Some(request), Some(number)) = (request, a.number) {
+            let seen = if started { Seen::Started(request, number) } else { Seen::Progress(request, number) };
             facade.report(now, seen);
         }
         self.pump(now, facade);
--- a/crates/jobs/tests/world/laws.rs
+++ b/crates/jobs/tests/world/laws.rs
@@ -80,7 +80,7 @@
         let Some(l) = &mut self.life else { return Err("no scheduler at the end".into()) };
         let (open, ..) = l.jobs.sizes();
         if open > 0 || l.facade.owed() > 0 {
-            return Err(format!("{open} jobs are open, {} reqs owed", l.facade.owed()));
+            return Err(format!("{open} jobs are open, {} requests owed", l.facade.owed()));
         }
         if l.jobs.counts().broken + l.facade.tally().broken > 0 {
             return Err("something broke that must hold".into());
--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -130,7 +130,7 @@
         let (settings, names) = oakshed_wire::settings_and_names(settings.get()).map_err(|e| wrong(&e))?;
         let operator = operator.map_or(Ok(Operator::default()), Operator::read)?;
         let taken = |name: &str| name == "ready" || name == "jobs" && operator.jobs.is_some();
-        // A class is the first part of a path: what cannot be one, or is another one, gets no req.
+        // A class is the first part of a path: what cannot be one, or is another one, gets no request.
         let no_path = |name: &&String| {
             name.is_empty()
                 || taken(name)
--- a/crates/server/src/demo.rs
+++ b/crates/server/src/demo.rs
@@ -9,7 +9,7 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-use oakshed_standin::{ask, config, req, Discovery, Message, Worker, WorkerOptions};
+use oakshed_standin::{ask, config, request, Discovery, Message, Worker, WorkerOptions};
 
 const WORKERS: usize = 6;
 /// The unit of processor time in /proc, a second's hundredth on every Linux.
@@ -129,7 +129,7 @@
         std::thread::sleep(planned.saturating_duration_since(Instant::now()));
         let (tx, class) = (tx.clone(), if n % 3 == 0 { "new-plate" } else { "transfer" });
         std::thread::spawn(move || {
-            let text = req(class, &format!("demo-{n}")).replace("5c0f", &format!("key-{n}"));
+            let text = request(class, &format!("demo-{n}")).replace("5c0f", &format!("key-{n}"));
             let answer = ask(address, &text);
             _ = tx.send((answer, planned.elapsed()));
         });
--- a/crates/server/src/net/admin.rs
+++ b/crates/server/src/net/admin.rs
@@ -126,7 +126,7 @@
     }
 }
 
-/// Whether reqs that come now can be served.
+/// Whether requests that come now can be served.
 fn ready(net: &Net) -> Result<&'static str, &'static str> {
     match () {
         _ if *net.closing.borrow() => Err("stopping"),
--- a/crates/server/src/net/backends/attempt.rs
+++ b/crates/server/src/net/backends/attempt.rs
@@ -37,7 +37,7 @@
     (line + fields + "\r\n".len() + body) as u64
 }
 
-/// An attempt on its way, as its req's handler sees it.
+/// An attempt on its way, as its request's handler sees it.
 pub(crate) struct Attempt {
     task: AbortHandle,
     gone: Rc<Cell<bool>>,
@@ -118,7 +118,7 @@
             Ending::Dropped | Ending::Expired if !sent.in_full() => Ending::DialFailed,
             ending => ending,
         };
-        // A req's handler takes the result from here, once it is told to serve it.
+        // A request's handler takes the result from here, once it is told to serve it.
         if let Some(result) = result.clone() {
             _ = tx.send(result);
         }
@@ -203,7 +203,7 @@
                 net.count(|c| &mut c.malformed_lines);
                 return Ending::Dropped.into();
             };
-            // Only what a backend made for this very req may be served.
+            // Only what a backend made for this very request may be served.
             if line.id.as_bytes() != order.id.as_bytes() {
                 net.count(|c| &mut c.wrong_id_lines);
                 return Ending::Dropped.into();
--- a/crates/server/src/net/discovery/mod.rs
+++ b/crates/server/src/net/discovery/mod.rs
@@ -163,7 +163,8 @@
     fn failed(&self, why: &str) {
         self.unheard.take().then(|| recall(self.net));
         self.net.count(|c| &mut c.discovery_failures);
-        // Once for all in a row: discovery that is down is called many times a second where the list is pushed.
+        // Once for all in a row: discovery that is down is called many times a second where the list is
+        // pushed.
         if !self.failing.replace(true) {
             warn!("discovery: {why}");
         }
--- a/crates/server/src/net/discovery/tests.rs
+++ b/crates/server/src/net/discovery/tests.rs
@@ -124,7 +124,8 @@
         self.signal.send_modify(change);
     }
 
-    /// Discovery serves one call: for itself, as one that its caller has given up takes its turn all the same.
+    /// Discovery serves one call: for itself, as one that its caller has given up takes its turn all the
+    /// same.
     async fn serve(self: Rc<Fleet>, n: usize, from: Option<u64>, hold: Duration) -> Result<Answer, String> {
         let mut signal = self.signal.subscribe();
         let before = *signal.borrow_and_update();
--- a/crates/server/src/net/discovery/watch.rs
+++ b/crates/server/src/net/discovery/watch.rs
@@ -124,7 +124,8 @@
         let first = discovery.call(self.link.take(), from, hold);
         let second = beside(discovery, first, overdue, discovery.call(None, from, again));
         let third = beside(discovery, second, overdue + quarter, discovery.call(None, from, again));
-        // Those that only wait keep their turns: given up and made anew, calls would bring slow discovery to a stand.
+        // Those that only wait keep their turns: given up and made anew, calls would bring slow discovery to
+        // a stand.
         let asked = timeout(overdue + quarter + NOTICED, third).await;
         let (answer, link) = asked.unwrap_or_else(|_| Err("no answer in time".into()))?;
         self.link = Some(link);
--- a/crates/server/src/net/durable/clients.rs
+++ b/crates/server/src/net/durable/clients.rs
@@ -27,7 +27,7 @@
 static PREFER: HeaderName = HeaderName::from_static("prefer");
 static PREFERENCE_APPLIED: HeaderName = HeaderName::from_static("preference-applied");
 
-/// What a client's fields say of its job, beside what every req's do.
+/// What a client's fields say of its job, beside what every request's do.
 pub(in super::super) struct Asked {
     detached: bool,
     wait: Option<u64>,
@@ -101,7 +101,7 @@
     match submitted {
         Submitted::Over(over) => return answer(net, over),
         Submitted::Conflict => {
-            net.count(|c| &mut c.bad_reqs);
+            net.count(|c| &mut c.bad_requests);
             return plain(StatusCode::UNPROCESSABLE_ENTITY, "this key belongs to another payload\n");
         }
         Submitted::Busy => {
--- a/crates/server/src/net/front/clients.rs
+++ b/crates/server/src/net/front/clients.rs
@@ -1,6 +1,6 @@
 //! The clients' connections, and which of them makes room.
 //!
-//! It owns the table of them and what is known of each. It must never make room by closing one whose req
+//! It owns the table of them and what is known of each. It must never make room by closing one whose request
 //! is taken or still comes in; only what is overdue goes all the same.
 
 use std::cell::{Cell, RefCell};
@@ -13,7 +13,7 @@
 use super::super::reader::Intake;
 use super::super::Net;
 
-/// The time that a new connection has to bring a req before it is the first to make room, in
+/// The time that a new connection has to bring a request before it is the first to make room, in
 /// microseconds.
 const GRACE: Micros = 200_000;
 /// So many connections that end may hold descriptors beside the clients' share, out of the reserve for what is on
@@ -24,9 +24,9 @@
 
 /// A client's connection.
 pub(super) struct Client {
-    /// Since when no whole req is under way on it.
+    /// Since when no whole request is under way on it.
     pub(super) idle_since: Cell<Option<Micros>>,
-    /// It has brought a whole req.
+    /// It has brought a whole request.
     pub(super) known: Cell<bool>,
     pub(super) told_to_close: Cell<bool>,
     /// Since when nothing is sent on it any more.
@@ -51,10 +51,11 @@
 
 impl Clients {
     /// Asks the connection that is missed least to close; tells whether there was one. First goes who has
-    /// said nothing in the time to bring a req, longest first; then whose req has begun, or whose
-    /// answer has, and makes no progress; then who is idle between reqs; last who came just now. Never one whose req is taken, or
-    /// still comes in, however slowly, or whose answer still goes out. Guards against usual clients that lose theirs to hundreds that say
-    /// nothing or half of something, and against closing, in a full house, always on the one just accepted.
+    /// said nothing in the time to bring a request, longest first; then whose request has begun, or whose
+    /// answer has, and makes no progress; then who is idle between requests; last who came just now. Never
+    /// one whose request is taken, or still comes in, however slowly, or whose answer still goes out. Guards
+    /// against usual clients that lose theirs to hundreds that say nothing or half of something, and against
+    /// closing, in a full house, always on the one just accepted.
     pub(super) fn close_one(&self, now: Micros) -> bool {
         let at = tokio::time::Instant::now();
         let rank = |c: &Client, since: Micros| match c.intake.part(at).or(c.intake.unwritten(at)) {
@@ -95,9 +96,9 @@
         }
     }
 
-    /// Closes the one idle for longest of those that have brought a req, where these are too many.
+    /// Closes the one idle for longest of those that have brought a request, where these are too many.
     /// Guards against clients that ask once and stay: the platform gives us no more connections for
-    /// reqs than a third of the descriptors, and turns usual clients away from there on.
+    /// requests than a third of the descriptors, and turns usual clients away from there on.
     pub(super) fn keep_room(&self, sockets: usize, now: Micros) {
         let open = self.open.borrow();
         let known = || open.iter().filter(|c| c.known.get() && !c.told_to_close.get());
@@ -113,15 +114,15 @@
     }
 }
 
-/// Closes connections whose req began too long ago and is not there yet, or whose answer is not taken; one that
-/// never said anything is such a one, one that is idle between reqs is not.
+/// Closes connections whose request began too long ago and is not there yet, or whose answer is not taken;
+/// one that never said anything is such a one, one that is idle between requests is not.
 pub(super) async fn sweep(net: Rc<Net>, clients: Rc<Clients>) {
     loop {
         tokio::time::sleep(SWEEP).await;
         let now = tokio::time::Instant::now();
         for client in clients.open.borrow().iter().filter(|c| !c.told_to_close.get() && c.intake.overdue(now))
         {
-            net.count(|c| &mut c.overdue_reqs);
+            net.count(|c| &mut c.overdue_requests);
             client.close();
         }
     }
--- a/crates/server/src/net/front/conversation.rs
+++ b/crates/server/src/net/front/conversation.rs
@@ -1,7 +1,7 @@
-//! One client's connection from its first req to the last byte of ours.
+//! One client's connection from its first request to the last byte of ours.
 //!
 //! It owns what hyper is told to do with it, and when it is to end; `parting` closes it then. It must never end one
-//! on a req that has come, or wait without bound for one that has not.
+//! on a request that has come, or wait without bound for one that has not.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -27,7 +27,7 @@
 /// The answer to what cannot be read.
 const UNREADABLE: &[u8] = b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// One connection from its first req to its last.
+/// One connection from its first request to its last.
 pub(super) async fn converse(
     net: &Rc<Net>,
     clients: &Clients,
@@ -60,15 +60,15 @@
                 if may_end(client, &stream) {
                     return;
                 }
-                // A req has come meanwhile, or begun to: another one is to make room.
+                // A request has come meanwhile, or begun to: another one is to make room.
                 client.told_to_close.set(false);
                 clients.changed.notify_one();
             }
         }
     }
-    // A stop. Guards against closing on a req that has arrived but was not read yet (one accepted last has not been
-    // looked at once), on one that still comes in, and on an answer that is still being written: these have until
-    // the last answers are out, and what was taken has its own time.
+    // A stop. Guards against closing on a request that has arrived but was not read yet (one accepted last
+    // has not been looked at once), on one that still comes in, and on an answer that is still being written:
+    // these have until the last answers are out, and what was taken has its own time.
     loop {
         tokio::select! {
             biased;
@@ -94,12 +94,13 @@
 /// Counts what could not be read, by the reader or by hyper, which answers it itself.
 fn over(net: &Net, client: &Client, ended: hyper::Result<()>) {
     if client.intake.spoilt.get() || ended.is_err_and(|e| e.is_parse()) {
-        net.count(|c| &mut c.bad_reqs);
+        net.count(|c| &mut c.bad_requests);
     }
 }
 
 /// What is still to be said on a connection that hyper is done with: the answer to what cannot be read, of which
-/// hyper knows nothing. Behind a req that was being answered there is none: it would be taken for that one's.
+/// hyper knows nothing. Behind a request that was being answered there is none: it would be taken for that
+/// one's.
 pub(super) fn last_words(client: &Client) -> &'static [u8] {
     if client.intake.refused() {
         UNREADABLE
--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -1,8 +1,8 @@
-//! One req from its arrival to its answer.
+//! One request from its arrival to its answer.
 //!
-//! It owns the handler that does what the decisions say, the req's place in the figures, and the words of its
-//! attempts. It must never decide what a req gets (each step comes from the facade's `pick`), or hold an answer
-//! back.
+//! It owns the handler that does what the decisions say, the request's place in the figures, and the words of
+//! its attempts. It must never decide what a request gets (each step comes from the facade's `pick`), or hold
+//! an answer back.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 use super::super::Net;
 use super::clients::Client;
 use super::request::{class_of, read};
-use oakshed_core::facade::{Ending, Job, Micros, Report, Req, Seen, Step};
+use oakshed_core::facade::{Ending, Handle, Job, Micros, Report, Seen, Step};
 use oakshed_core::figures::{End, Entry};
 
 pub(super) async fn respond(
@@ -54,7 +54,7 @@
     answer
 }
 
-/// A req's place in the operators' figures: it counts from when it has arrived in full, or has its
+/// A request's place in the operators' figures: it counts from when it has arrived in full, or has its
 /// answer, whichever comes first.
 struct Taken<'a> {
     net: &'a Net,
@@ -84,7 +84,7 @@
     let (job, order, mut held) = match read(net, client, taken.class, arrived, head, body).await {
         Ok(read) => read,
         Err(answer) => {
-            net.count(|c| &mut c.bad_reqs);
+            net.count(|c| &mut c.bad_requests);
             return answer;
         }
     };
@@ -96,52 +96,52 @@
         return durable::handle(net, &job, order, &asked).await;
     }
     if !held.claim(&order.id) {
-        net.count(|c| &mut c.bad_reqs);
+        net.count(|c| &mut c.bad_requests);
         return plain(StatusCode::CONFLICT, "another open req has this Req-Id\n");
     }
     handle(net, &job, Rc::new(Order { _held: Some(held), ..order })).await
 }
 
-/// A req from its arrival to its answer. Where its client goes away first, hyper drops it, and
+/// A request from its arrival to its answer. Where its client goes away first, hyper drops it, and
 /// what is still out is given up.
 struct Handler<'a> {
     net: &'a Rc<Net>,
-    req: Req,
+    request: Handle,
     attempts: Vec<Attempt>,
 }
 
 impl Drop for Handler<'_> {
     fn drop(&mut self) {
-        let drops = self.net.facade.borrow_mut().leave(self.net.clock.now(), self.req);
+        let drops = self.net.facade.borrow_mut().leave(self.net.clock.now(), self.request);
         self.attempts.iter().for_each(Attempt::leave);
         drops.into_iter().filter_map(|n| self.attempts.get(n)).for_each(Attempt::stop);
     }
 }
 
-/// A req's attempt, by its number.
+/// A request's attempt, by its number.
 #[derive(Clone, Copy)]
-struct ReqAttempt(Req, usize);
+struct RequestAttempt(Handle, usize);
 
-impl Told for ReqAttempt {
+impl Told for RequestAttempt {
     fn alive(self, net: &Net, started: bool) {
-        let ReqAttempt(req, attempt) = self;
-        net.report(if started { Seen::Started(req, attempt) } else { Seen::Progress(req, attempt) });
+        let RequestAttempt(request, attempt) = self;
+        net.report(if started { Seen::Started(request, attempt) } else { Seen::Progress(request, attempt) });
     }
 
     fn ended(self, net: &Rc<Net>, ending: Ending, _: Option<Bytes>, load: Option<Report>) {
-        let ReqAttempt(req, attempt) = self;
-        net.report(Seen::Ended(req, attempt, ending, load));
+        let RequestAttempt(request, attempt) = self;
+        net.report(Seen::Ended(request, attempt, ending, load));
     }
 }
 
 async fn handle(net: &Rc<Net>, job: &Job, order: Rc<Order>) -> Response<Full<Bytes>> {
-    let req = net.facade.borrow_mut().take(net.clock.now(), job);
-    let mut handler = Handler { net, req, attempts: Vec::new() };
+    let request = net.facade.borrow_mut().take(net.clock.now(), job);
+    let mut handler = Handler { net, request, attempts: Vec::new() };
     loop {
-        match net.pick(req).await {
+        match net.pick(request).await {
             Step::Attempt { attempt, backend, until, whole_by } => {
                 net.must(attempt == handler.attempts.len(), "attempts are numbered in order");
-                let (whose, times) = (ReqAttempt(req, attempt), (until, whole_by));
+                let (whose, times) = (RequestAttempt(request, attempt), (until, whole_by));
                 handler.attempts.push(backends::start(net, &order, whose, backend, times));
             }
             Step::Serve { attempt } => {
@@ -157,7 +157,7 @@
             Step::Fail => return plain(StatusCode::BAD_GATEWAY, "failed\n"),
             Step::Drop { attempt } => {
                 handler.attempts.get(attempt).into_iter().for_each(Attempt::stop);
-                net.report(Seen::Ended(req, attempt, Ending::Revoked, None));
+                net.report(Seen::Ended(request, attempt, Ending::Revoked, None));
             }
         }
     }
--- a/crates/server/src/net/front/mod.rs
+++ b/crates/server/src/net/front/mod.rs
@@ -1,8 +1,8 @@
 //! The clients' side: the listener, and the connections from being accepted to being gone.
 //!
 //! It owns who is accepted, and when no more is. `clients` owns which connection makes room, `conversation` a
-//! connection, `parting` its close, `request` the reading of a req, `handle` its way to its answer. It must never decide what a req
-//! gets, or end before every connection has.
+//! connection, `parting` its close, `request` the reading of a request, `handle` its way to its answer. It
+//! must never decide what a request gets, or end before every connection has.
 
 mod clients;
 mod conversation;
@@ -87,7 +87,7 @@
             }
         }
     }
-    // Connections that the system has accepted for us may carry reqs already. There may be as many as
+    // Connections that the system has accepted for us may carry requests already. There may be as many as
     // BACKLOG, and descriptors for fewer: the others wait until one of these has ended.
     while let Ok(Ok((stream, _))) = tokio::time::timeout(Duration::ZERO, listener.accept()).await {
         welcome(net, &clients, stream);
--- a/crates/server/src/net/front/request.rs
+++ b/crates/server/src/net/front/request.rs
@@ -1,4 +1,4 @@
-//! The reading of a req: out of a request, what the decisions need and what a backend gets.
+//! The reading of a request: what of it the decisions need and what a backend gets.
 //!
 //! It owns the platform's client protocol, its limits and its refusals. It must never let what is malformed
 //! reach a backend, or hold more bodies than there is room for.
@@ -24,7 +24,7 @@
 use oakshed_core::interface::Effect;
 use oakshed_core::names;
 
-/// The largest body of a req.
+/// The largest body of a request.
 const LARGEST_BODY: usize = 64 << 10;
 /// The longest `Req-Id`.
 const LONGEST_ID: usize = 128;
@@ -106,7 +106,7 @@
         tenant: tenant.map(|t| t as u32),
         slots: extra("slots"),
         memory: extra("memory"),
-        // Where a path goes on after the class, it ends with what the req concerns.
+        // Where a path goes on after the class, it ends with what the request concerns.
         key: key.map(names::number_of),
         hint: None,
         remaining: 0,
@@ -140,7 +140,7 @@
     if !headers.contains_key(HOST) {
         return Err(bad("no Host\n"));
     }
-    // A durable job outlives a stop; only its client's wait is cut. A req has arrived with its last byte.
+    // A durable job outlives a stop; only its client's wait is cut. A request has arrived with its last byte.
     let deadline = if net.durable.is_some() { deadline } else { net.bounded(now, deadline) };
     Ok((job, Order { method: head.method, target, headers, id, body, deadline, _held: None }, held))
 }
--- a/crates/server/src/net/handover.rs
+++ b/crates/server/src/net/handover.rs
@@ -223,7 +223,7 @@
         self.after.get() && self.ready.get()
     }
 
-    /// Whether this process may be sent reqs in place of the one before.
+    /// Whether this process may be sent requests in place of the one before.
     pub(super) fn in_place(&self) -> bool {
         !self.untold.get()
     }
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -1,7 +1,7 @@
 //! The network side of the program: sockets, HTTP and the platform's protocol, around the facade.
 //!
 //! This file owns what the parts share (clock, facade, counters, the stop) and the timer task. It
-//! must never decide on a req: each step comes from the facade, and what is seen goes back to it.
+//! must never decide on a request: each step comes from the facade, and what is seen goes back to it.
 //!
 //! The parts use one another in one direction: `front` uses `durable` and `backends`, `durable` uses
 //! `backends`, and `backends` neither. `answers` and `order` are leaves: all three use them, and they
@@ -39,7 +39,7 @@
 use oakshed_core::facade::{Accounts, Facade, Micros, Seen, Step};
 use oakshed_core::figures::Ledger;
 
-/// How long after SIGTERM the platform may still bring reqs that must be answered, whatever else: its
+/// How long after SIGTERM the platform may still bring requests that must be answered, whatever else: its
 /// front sends some for 0.4 s, and clients use their connections until these are closed.
 const LINGER: Micros = 720_000;
 /// SIGKILL follows SIGTERM after the longest deadline, or this where that is longer, and a bit.
@@ -86,7 +86,7 @@
 /// What went wrong on the network, or should have been impossible.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Counters {
-    pub bad_reqs: u64,
+    pub bad_requests: u64,
     pub dials: u64,
     pub reused: u64,
     pub dead_idle: u64,
@@ -105,7 +105,7 @@
     pub silent_watches: u64,
     pub malformed_lists: u64,
     pub evicted_clients: u64,
-    pub overdue_reqs: u64,
+    pub overdue_requests: u64,
     pub no_room: u64,
 }
 
@@ -129,14 +129,14 @@
     pub discovery: watch::Sender<SocketAddr>,
     pub subscribe: Notify,
     pub ready: Cell<bool>,
-    /// Since SIGTERM: reqs that arrive after the first are bounded by the second.
+    /// Since SIGTERM: requests that arrive after the first are bounded by the second.
     pub stop: Cell<Option<(Micros, Micros)>>,
     pub open: order::Open,
     pub others: handover::Others,
     pub bans: bans::Bans,
     /// The list as discovery told it.
     pub held: RefCell<Held>,
-    /// What became of reqs, for operators.
+    /// What became of requests, for operators.
     pub ledger: Ledger,
     /// Durable jobs, where the operators have switched them on.
     pub durable: Option<durable::Durable>,
@@ -172,8 +172,8 @@
         self.facade.borrow_mut().report(self.clock.now(), seen);
     }
 
-    pub(crate) async fn pick(&self, req: oakshed_core::facade::Req) -> Step {
-        poll_fn(|cx| self.facade.borrow_mut().pick(req, cx.waker())).await
+    pub(crate) async fn pick(&self, request: oakshed_core::facade::Handle) -> Step {
+        poll_fn(|cx| self.facade.borrow_mut().pick(request, cx.waker())).await
     }
 
     pub(crate) fn count(&self, which: impl FnOnce(&mut Counters) -> &mut u64) {
@@ -186,13 +186,13 @@
         self.counters.borrow_mut().broken += u64::from(!holds);
     }
 
-    /// Whether reqs that come now can be served.
+    /// Whether requests that come now can be served.
     pub(crate) fn can_serve(&self) -> bool {
         let facade = self.facade.borrow();
         self.ready.get() && self.backends.any_ready(|name| !facade.is_out(name))
     }
 
-    /// A deadline, cut to what SIGKILL leaves of it. Guards against a req that was taken late in a stop
+    /// A deadline, cut to what SIGKILL leaves of it. Guards against a request that was taken late in a stop
     /// and is cut off without an answer.
     pub(crate) fn bounded(&self, arrived: Micros, deadline: Micros) -> Micros {
         match self.stop.get() {
@@ -277,7 +277,7 @@
     }
 }
 
-/// The timer of the decisions, and what they want done besides the steps of reqs.
+/// The timer of the decisions, and what they want done besides the steps of requests.
 async fn run_timer(net: Rc<Net>) {
     let mut sleep: Pin<Box<Sleep>> = Box::pin(tokio::time::sleep(Duration::ZERO));
     loop {
@@ -303,7 +303,7 @@
 }
 
 /// Reads the configuration again at each SIGHUP and takes over discovery's address, which is all
-/// that can change while reqs are open. The environment's address is that of the start: the file
+/// that can change while requests are open. The environment's address is that of the start: the file
 /// counts now.
 async fn reload_when_told(net: Rc<Net>, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
@@ -345,7 +345,7 @@
     }
     tokio::time::sleep(Duration::from_micros(linger)).await;
     let owed = net.facade.borrow().owed();
-    info!(owed, "closing: {owed} reqs are owed an answer");
+    info!(owed, "closing: {owed} requests are owed an answer");
     net.closing.send_replace(true);
 }
 
@@ -355,7 +355,7 @@
     let Accounts { requests, held, attempts, slots, workers } = facade.accounts();
     let (ids, bytes, sockets) = (net.open.ids(), net.open.bytes(), net.backends.sockets());
     format!(
-        "{} {:?} Open {{ reqs: {requests}, held: {held}, attempts: {attempts}, slots: {slots}, ids: {ids}, \
+        "{} {:?} Open {{ requests: {requests}, held: {held}, attempts: {attempts}, slots: {slots}, ids: {ids}, \
          body_bytes: {bytes}, backend_sockets: {sockets}, backends: {workers} }}{jobs}",
         facade.tally(),
         net.counters.borrow()
--- a/crates/server/src/net/order.rs
+++ b/crates/server/src/net/order.rs
@@ -1,8 +1,8 @@
-//! What goes to a backend for a req, and the room that reqs take until they are answered.
+//! What goes to a backend for a request, and the room that requests take until they are answered.
 //!
-//! It owns the ids of the open reqs and the count of their bodies' bytes, and gives both back with the last
-//! copy of an order. It must never know who makes an attempt, or for whom: of the network's
-//! parts it uses `answers` alone.
+//! It owns the ids of the open requests and the count of their bodies' bytes, and gives both back with the
+//! last copy of an order. It must never know who makes an attempt, or for whom: of the network's parts it uses
+//! `answers` alone.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -48,7 +48,7 @@
     }
 }
 
-/// The ids of the open reqs, and the bytes of their bodies and of those under way.
+/// The ids of the open requests, and the bytes of their bodies and of those under way.
 #[derive(Default)]
 pub(crate) struct Open {
     ids: RefCell<FxHashSet<HeaderValue>>,
@@ -65,8 +65,8 @@
     }
 }
 
-/// What one req holds of these, for as long as its handler or an attempt has its order: where attempts may
-/// not be cancelled, an attempt outlives its client.
+/// What one request holds of these, for as long as its handler or an attempt has its order: where attempts
+/// may not be cancelled, an attempt outlives its client.
 pub(crate) struct Held {
     net: Rc<Net>,
     id: Option<HeaderValue>,
@@ -84,7 +84,7 @@
         Some(Held { net: net.clone(), id: None, body })
     }
 
-    /// The id, unless another open req has it: a backend's answer could not be told apart.
+    /// The id, unless another open request has it: a backend's answer could not be told apart.
     pub(super) fn claim(&mut self, id: &HeaderValue) -> bool {
         let new = self.net.open.ids.borrow_mut().insert(id.clone());
         self.id = new.then(|| id.clone());
--- a/crates/server/tests/common/mod.rs
+++ b/crates/server/tests/common/mod.rs
@@ -4,7 +4,7 @@
 
 use std::path::PathBuf;
 
-use oakshed_standin::req;
+use oakshed_standin::request;
 
 /// A directory that goes with its test.
 pub struct Dir(pub PathBuf);
@@ -30,7 +30,7 @@
 }
 
 pub fn keyed(class: &str, id: &str, key: &str, more: &str) -> String {
-    let text = req(class, id).replace("Idempotency-Key: 5c0f\r\n", "");
+    let text = request(class, id).replace("Idempotency-Key: 5c0f\r\n", "");
     text.replace("Content-Length", &format!("Idempotency-Key: {key}\r\n{more}Content-Length"))
 }
 
--- a/crates/server/tests/daily/bans.rs
+++ b/crates/server/tests/daily/bans.rs
@@ -19,7 +19,7 @@
         let first = next.replace(next.get() + jobs);
         std::thread::scope(|s| {
             for n in first..first + jobs {
-                let text = req("new-plate", &format!("id-{n}")).replace("5c0f", &format!("key-{n}"));
+                let text = request("new-plate", &format!("id-{n}")).replace("5c0f", &format!("key-{n}"));
                 s.spawn(|| assert_eq!(program.ask(&{ text }).status(), 200));
             }
         });
@@ -57,10 +57,10 @@
     program.reload("transfer", "transfer");
     until("the reload", || program.log().contains("reload: discovery"));
     unused("a reload");
-    // With nobody left it says so, and reqs are refused as with no ready worker.
+    // With nobody left it says so, and requests are refused as with no ready worker.
     assert!(call(at, "exclude s-0").starts_with("YES"));
     assert!(call(at, "readyz").starts_with("NO"));
-    let late = req("transfer", "none").replace("Deadline-Ms: 5000", "Deadline-Ms: 300");
+    let late = request("transfer", "none").replace("Deadline-Ms: 5000", "Deadline-Ms: 300");
     assert_eq!(program.ask(&late).status(), 503);
     assert!(call(at, "include s-0").starts_with("YES"));
     unused("the other's return");
@@ -100,7 +100,7 @@
     in_time("the ban", &old, 1);
     let before = backends[0].count();
     for n in 0..20 {
-        let answer = ask(place.listen, &req("transfer", &format!("id-{n}")));
+        let answer = ask(place.listen, &request("transfer", &format!("id-{n}")));
         assert_eq!(answer.map(|m| m.status()), Some(200));
     }
     assert_eq!(backends[0].count(), before, "sent to one that was taken out");
--- a/crates/server/tests/daily/calls.rs
+++ b/crates/server/tests/daily/calls.rs
@@ -41,7 +41,7 @@
         assert_eq!(answer.matches('\n').count(), 1, "{answer:?} to {pieces:?}");
     }
     // No job is served there.
-    assert!(call_in(at, &[req("transfer", "id-1").as_bytes()], false).starts_with("NO"));
+    assert!(call_in(at, &[request("transfer", "id-1").as_bytes()], false).starts_with("NO"));
     assert_eq!(backend.count(), 0);
     let figures = call(at, "telemetry");
     assert!(figures.ends_with("\nEND\n"), "{figures}");
@@ -111,7 +111,7 @@
                     if stop.load(Ordering::SeqCst) {
                         break;
                     }
-                    _ = ask(program.address, &req("transfer", &format!("id-{t}-{n}")));
+                    _ = ask(program.address, &request("transfer", &format!("id-{t}-{n}")));
                 }
             });
         }
--- a/crates/server/tests/daily/figures.rs
+++ b/crates/server/tests/daily/figures.rs
@@ -1,4 +1,4 @@
-//! The figures: each end of a req counted once, and as its client saw it.
+//! The figures: each end of a request counted once, and as its client saw it.
 //!
 //! It owns the tests of what is counted. It must never take a figure for its own proof: clients and
 //! workers count, too.
@@ -9,7 +9,7 @@
 
 use crate::figure;
 
-/// Each way in which a req can end, counted once, and as its client saw it.
+/// Each way in which a request can end, counted once, and as its client saw it.
 #[test]
 fn the_figures_are_what_clients_and_workers_counted() {
     let backend =
@@ -29,11 +29,11 @@
     };
     for n in 0..10 {
         for kind in ["served", "served", "broken", "reset", "full"] {
-            count(program.ask(&req("transfer", &format!("{kind}-{n}"))).status());
+            count(program.ask(&request("transfer", &format!("{kind}-{n}"))).status());
         }
     }
     // Refused before the decisions see it.
-    let text = req("transfer", "served-x");
+    let text = request("transfer", "served-x");
     count(program.ask(&text.replace("Req-Id: served-x\r\n", "")).status());
     count(program.ask(&text.replace("Req-Kind: transfer", "Req-Kind: new-plate")).status());
     count(program.ask(&text.replace("Length: 4", "Length: 70000")).status());
@@ -41,7 +41,7 @@
     assert_eq!(program.ask(&text.replace("transfer", "scrapping")).status(), 404);
     assert_eq!(program.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 200);
     // Its own deadline ends it.
-    let late = req("transfer", "silent-1").replace("Deadline-Ms: 5000", "Deadline-Ms: 100");
+    let late = request("transfer", "silent-1").replace("Deadline-Ms: 5000", "Deadline-Ms: 100");
     count(program.ask(&late).status());
     // One whose client goes away, one that has not come in full, and one that waits.
     let open = |text: &str| {
@@ -49,7 +49,7 @@
         client.write_all(text.as_bytes()).expect("written");
         client
     };
-    let waiting = [open(&req("transfer", "silent-2")), open(&req("new-plate", "silent-3"))];
+    let waiting = [open(&request("transfer", "silent-2")), open(&request("new-plate", "silent-3"))];
     let _half = open(&text[..text.len() - 2]);
     until("both under way", || figure(&call(at, "telemetry"), "pending") == 2);
     let [leaves, waits] = waiting;
--- a/crates/server/tests/daily/handover.rs
+++ b/crates/server/tests/daily/handover.rs
@@ -12,15 +12,15 @@
 
 use crate::{figure, slow, wait_for_yes};
 
-/// Sends reqs until told to stop, on fresh connections or on one that is kept; tells how many were served,
-/// and what else was seen. A kept connection that was closed between two reqs is opened anew.
+/// Sends requests until told to stop, on fresh connections or on one that is kept; tells how many were
+/// served, and what else was seen. A kept connection that was closed between two requests is opened anew.
 fn clients(at: SocketAddr, name: &str, kept: bool, stop: &AtomicBool) -> (usize, Vec<String>) {
     let (mut served, mut wrong, mut open) = (0, Vec::new(), None::<TcpStream>);
     for n in 0.. {
         if stop.load(Ordering::SeqCst) {
             break;
         }
-        let text = req("transfer", &format!("{name}-{n}"));
+        let text = request("transfer", &format!("{name}-{n}"));
         let mut stream = match open.take().map_or_else(|| TcpStream::connect(at), Ok) {
             Ok(stream) => stream,
             Err(e) => {
@@ -70,7 +70,7 @@
         for _ in 0..2 {
             // One that is idle stays open while that is possible, and is served once more.
             let mut idle = running.connect();
-            assert_eq!(ask_on(&mut idle, &req("transfer", &format!("idle-{}", jobs()))).status(), 200);
+            assert_eq!(ask_on(&mut idle, &request("transfer", &format!("idle-{}", jobs()))).status(), 200);
             let next = start();
             wait_for_yes(&next);
             assert!(next.log().contains("took the socket"), "{}", next.log());
@@ -78,7 +78,7 @@
             until("the stop", || running.log().contains("accepting no more"));
             let so_far = jobs();
             until("more jobs", || jobs() > so_far + 100);
-            let answer = ask_on(&mut idle, &req("transfer", &format!("idle-{}", jobs())));
+            let answer = ask_on(&mut idle, &request("transfer", &format!("idle-{}", jobs())));
             assert_eq!((answer.status(), answer.field("connection")), (200, Some("close")));
             let ended = running.wait();
             assert_eq!(ended.code(), Some(0), "{}", running.log());
@@ -108,14 +108,14 @@
     let mut old = start();
     wait_for_yes(&old);
     let mut idle = old.connect();
-    assert_eq!(ask_on(&mut idle, &req("transfer", "id-1")).status(), 200);
+    assert_eq!(ask_on(&mut idle, &request("transfer", "id-1")).status(), 200);
     let new = start();
     wait_for_yes(&new);
     until("its place", || old.log().contains("the next process can serve"));
     old.signal("-TERM");
     assert_eq!(idle.read(&mut [0; 1]).expect("an end and no reset"), 0);
     assert_eq!(old.wait().code(), Some(0));
-    assert_eq!(ask(place.listen, &req("transfer", "id-2")).map(|m| m.status()), Some(200));
+    assert_eq!(ask(place.listen, &request("transfer", "id-2")).map(|m| m.status()), Some(200));
 }
 
 /// A new process that ends before or after its yes leaves the old one serving, and the next one takes over.
@@ -134,7 +134,7 @@
             _ = link.read(&mut [0; 1]);
         }
         drop(link);
-        assert_eq!(ask(place.listen, &req("transfer", "id-1")).map(|m| m.status()), Some(200));
+        assert_eq!(ask(place.listen, &request("transfer", "id-1")).map(|m| m.status()), Some(200));
     }
     for served in [false, true] {
         let mut new = start();
@@ -147,7 +147,7 @@
             old.log().matches("the next process has ended").count() > usize::from(served)
         });
         for n in 0..20 {
-            let answer = ask(place.listen, &req("transfer", &format!("id-{served}-{n}")));
+            let answer = ask(place.listen, &request("transfer", &format!("id-{served}-{n}")));
             assert_eq!(answer.map(|m| m.status()), Some(200));
         }
     }
@@ -167,7 +167,7 @@
     let start = || {
         let program = Program::start_at(&place, &discovery, 512, &[ADMIN]);
         wait_for_yes(&program);
-        assert_eq!(ask(place.listen, &req("transfer", "id-1")).map(|m| m.status()), Some(200));
+        assert_eq!(ask(place.listen, &request("transfer", "id-1")).map(|m| m.status()), Some(200));
         program
     };
     let mut first = start();
@@ -195,7 +195,7 @@
     let new = start();
     assert!(!new.log().contains("took the socket"));
     drop(old);
-    assert_eq!(ask(place.listen, &req("transfer", "id-2")).map(|m| m.status()), Some(200));
+    assert_eq!(ask(place.listen, &request("transfer", "id-2")).map(|m| m.status()), Some(200));
 }
 
 /// A Unix socket's path holds a hundred bytes; a folder's may be much longer.
--- a/crates/server/tests/durable.rs
+++ b/crates/server/tests/durable.rs
@@ -47,8 +47,8 @@
     assert_eq!((again.status(), &again.body), (200, &first.body), "the same job, the same answer");
     let other = program.ask(&keyed("transfer", "id-3", "k-1", "").replace("body", "BODY"));
     assert_eq!(other.status(), 422, "another payload");
-    let third = insist(&program, &req("transfer", "id-4"));
-    assert_eq!((third.status(), program.ask(&req("transfer", "id-4")).body), (200, third.body));
+    let third = insist(&program, &request("transfer", "id-4"));
+    assert_eq!((third.status(), program.ask(&request("transfer", "id-4")).body), (200, third.body));
     // Without waiting.
     let look = |place: &str| format!("GET {place} HTTP/1.1\r\nHost: x\r\nPrefer: wait=10\r\n\r\n");
     let (mut place, mut seen) = (String::new(), String::new());
@@ -140,7 +140,7 @@
     let log = program.log();
     let last = log.lines().rfind(|l| l.contains("stopped")).expect("its counts");
     assert!(
-        last.contains("Open { reqs: 0, held: 0, attempts: 0, slots: 0, ids: 0, body_bytes: 0,"),
+        last.contains("Open { requests: 0, held: 0, attempts: 0, slots: 0, ids: 0, body_bytes: 0,"),
         "{last}"
     );
     assert!(last.contains("in_doubt: 2"), "{last}");
--- a/crates/server/tests/peers.rs
+++ b/crates/server/tests/peers.rs
@@ -210,7 +210,7 @@
     let before = second.count();
     for (i, at) in all.iter().map(Scheduler::address).enumerate() {
         for n in 0..20 {
-            let answer = ask(at, &req("transfer", &format!("id-{i}-{n}"))).map(|m| m.status());
+            let answer = ask(at, &request("transfer", &format!("id-{i}-{n}"))).map(|m| m.status());
             assert_eq!(answer, Some(200));
         }
     }
--- a/crates/server/tests/sockets/answers.rs
+++ b/crates/server/tests/sockets/answers.rs
@@ -1,4 +1,4 @@
-//! Backends that answer twice: what comes late must not be taken for the next req's answer.
+//! Backends that answer twice: what comes late must not be taken for the next request's answer.
 
 use std::collections::HashSet;
 use std::io::Write;
@@ -7,10 +7,10 @@
 
 use oakshed_standin::*;
 
-/// Guards against 'turned away' that was said of the req before, and comes again once the next one is written
-/// on the same connection: that one runs, and would run once more elsewhere.
+/// Guards against 'turned away' that was said of the request before, and comes again once the next one is
+/// written on the same connection: that one runs, and would run once more elsewhere.
 #[test]
-fn a_second_refusal_that_comes_late_is_not_taken_for_the_next_reqs() {
+fn a_second_refusal_that_comes_late_is_not_taken_for_the_next_requests() {
     let (full, asked) = (Arc::new(AtomicBool::new(true)), Arc::new(AtomicUsize::new(0)));
     let (is_full, count, refused) = (full.clone(), asked.clone(), Mutex::new(HashSet::new()));
     let backend = Peer::new(move |message, stream| {
@@ -29,20 +29,21 @@
     });
     let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     until("a refusal", || {
-        assert_eq!(program.ask(&req("transfer", "id-0")).status(), 503);
+        assert_eq!(program.ask(&request("transfer", "id-0")).status(), 503);
         asked.load(Ordering::SeqCst) > 0
     });
     full.store(false, Ordering::SeqCst);
     let before = asked.load(Ordering::SeqCst);
     let mut answer = 0;
     until("the next that is sent", || {
-        answer = program.ask(&req("transfer", "id-1")).status();
+        answer = program.ask(&request("transfer", "id-1")).status();
         asked.load(Ordering::SeqCst) > before
     });
     assert_eq!((answer, asked.load(Ordering::SeqCst)), (200, before + 1), "it ran, and was called refused");
 }
 
-/// Guards against bytes on a connection at rest, or beside the next req's answer, that are served as that.
+/// Guards against bytes on a connection at rest, or beside the next request's answer, that are served as
+/// that.
 #[test]
 fn a_second_result_that_comes_late_is_served_to_nobody() {
     for with_the_next in [true, false] {
@@ -67,11 +68,11 @@
             }
         });
         let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
-        assert_eq!(program.ask(&req("transfer", "id-1")).body, b"theirs");
+        assert_eq!(program.ask(&request("transfer", "id-1")).body, b"theirs");
         if !with_the_next {
             until("its connection's end", || backend.ended.load(Ordering::SeqCst) == 1);
         }
-        let next = program.ask(&req("transfer", "id-2"));
+        let next = program.ask(&request("transfer", "id-2"));
         assert_eq!(next.status(), if with_the_next { 502 } else { 200 }, "in doubt, or on a new connection");
         assert_ne!(next.body, b"theirs");
         assert_eq!(backend.count(), 2);
--- a/crates/server/tests/sockets/attempts.rs
+++ b/crates/server/tests/sockets/attempts.rs
@@ -126,7 +126,7 @@
 }
 
 fn send(client: &mut TcpStream, class: &str, id: &str) {
-    let text = req(class, id).replace("Ms: 5000", "Ms: 20000");
+    let text = request(class, id).replace("Ms: 5000", "Ms: 20000");
     client.write_all(text.as_bytes()).expect("written");
     client.set_read_timeout(Some(LONG)).expect("a limit");
 }
@@ -135,7 +135,7 @@
     Message::read(&mut BufReader::new(client)).expect("an answer").status()
 }
 
-/// Guards against sending to who was told to drain, where the list lies unread beside the req.
+/// Guards against sending to who was told to drain, where the list lies unread beside the request.
 #[test]
 fn a_list_that_came_before_the_first_byte_counts_whichever_is_read_first() {
     for list_first in [true, false] {
@@ -146,7 +146,7 @@
             // Its connection is kept, and those of the clients are at rest.
             let rested = |n| {
                 let mut client = program.connect();
-                assert_eq!(ask_on(&mut client, &req("transfer", &format!("first-{n}"))).status(), 200);
+                assert_eq!(ask_on(&mut client, &request("transfer", &format!("first-{n}"))).status(), 200);
                 client
             };
             let mut clients: Vec<TcpStream> = (0..4).map(rested).collect();
@@ -158,7 +158,7 @@
                 for (n, client) in clients.iter_mut().enumerate() {
                     send(client, "transfer", &format!("id-{n}"));
                     let from = client.local_addr().expect("its address");
-                    until("the req", || unread(from));
+                    until("the request", || unread(from));
                 }
                 if !list_first {
                     drains(&discovery, "s-1");
@@ -273,7 +273,7 @@
     let program = Program::start_with(&discovery, 1024, &EDITS);
     let mut client = program.connect();
     let sent = Instant::now();
-    let text = req("new-plate", "id-1").replace("Ms: 5000", "Ms: 3000");
+    let text = request("new-plate", "id-1").replace("Ms: 5000", "Ms: 3000");
     client.write_all(text.as_bytes()).expect("written");
     until("the dial", || held.dialled());
     still(&program, || {
--- a/crates/server/tests/sockets/backends.rs
+++ b/crates/server/tests/sockets/backends.rs
@@ -13,7 +13,7 @@
     let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let mut client = program.connect();
     for n in 0..20 {
-        assert_eq!(ask_on(&mut client, &req("transfer", &format!("id-{n}"))).status(), 200);
+        assert_eq!(ask_on(&mut client, &request("transfer", &format!("id-{n}"))).status(), 200);
     }
     program.signal("-TERM");
     until("the log's last counts", || program.log().contains("stopped"));
@@ -22,14 +22,14 @@
 }
 
 #[test]
-fn a_backend_that_closes_after_each_answer_loses_no_req() {
+fn a_backend_that_closes_after_each_answer_loses_no_request() {
     let backend = Peer::new(|message, stream| {
         done(message, stream, "made");
         false
     });
     let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     for n in 1..=20 {
-        assert_eq!(program.ask(&req("transfer", &format!("id-{n}"))).status(), 200);
+        assert_eq!(program.ask(&request("transfer", &format!("id-{n}"))).status(), 200);
         // The system may tell of a close a while after the other side has made it.
         until("its close", || {
             backend.ended.load(Ordering::SeqCst) == n && connections(backend.address, "01") == 0
@@ -37,7 +37,7 @@
     }
 }
 
-/// Guards against writing reqs to kept connections for as long as the settings allow, where these are
+/// Guards against writing requests to kept connections for as long as the settings allow, where these are
 /// forgotten sooner on the way.
 #[test]
 fn connections_that_are_reset_when_idle_are_kept_for_less_time() {
@@ -53,7 +53,7 @@
     let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let mut failed = 0;
     for n in 0..30 {
-        failed += u32::from(program.ask(&req("transfer", &format!("id-{n}"))).status() == 502);
+        failed += u32::from(program.ask(&request("transfer", &format!("id-{n}"))).status() == 502);
         std::thread::sleep(std::time::Duration::from_millis(120)); // idle on purpose
     }
     assert!((1..=3).contains(&failed), "{failed} of 30");
@@ -66,7 +66,7 @@
     let discovery = Discovery::new(&list);
     let program = Program::start(&discovery);
     until("a kept connection", || {
-        program.ask(&req("transfer", "id")).status() == 200 && connections(backends[0].address, "01") > 0
+        program.ask(&request("transfer", "id")).status() == 200 && connections(backends[0].address, "01") > 0
     });
     discovery.set("s-1", "draining");
     until("the news", || program.log().contains("1 backends ready"));
@@ -75,13 +75,13 @@
     assert!(told.elapsed().as_millis() < 2_000, "a drained backend's connections are kept as long as others");
     let before = backends[0].count();
     for n in 0..10 {
-        assert_eq!(program.ask(&req("transfer", &format!("id-{n}"))).status(), 200);
+        assert_eq!(program.ask(&request("transfer", &format!("id-{n}"))).status(), 200);
     }
     assert_eq!(backends[0].count(), before);
     discovery.set("s-2", "gone");
     until("the news", || program.log().contains("0 backends ready"));
     assert_eq!(program.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status(), 503);
-    let answer = program.ask(&req("transfer", "id-x"));
+    let answer = program.ask(&request("transfer", "id-x"));
     assert_eq!(answer.status(), 503, "with nobody to send to, the client is told to come again");
     let wait: f64 = answer.field("retry-after").expect("when").parse().expect("seconds");
     assert!(wait > 0.0 && wait <= 2.0);
@@ -94,14 +94,14 @@
     let discovery = Discovery::new(&[("s-1", before.address)]);
     let program = Program::start(&discovery);
     let mut client = program.connect();
-    client.write_all(req("transfer", "id-1").as_bytes()).expect("written");
+    client.write_all(request("transfer", "id-1").as_bytes()).expect("written");
     until("the attempt", || before.count() == 1);
     discovery.move_to("s-1", after.address);
     until("the news", || program.log().matches("list ").count() >= 2);
     open.send(()).expect("released"); // its connection comes free only now, and is not kept
     assert_eq!(Message::read(&mut BufReader::new(client)).expect("an answer").body, b"before");
     for n in 2..6 {
-        assert_eq!(program.ask(&req("transfer", &format!("id-{n}"))).body, b"made");
+        assert_eq!(program.ask(&request("transfer", &format!("id-{n}"))).body, b"made");
     }
     assert_eq!(before.count(), 1);
 }
@@ -122,7 +122,7 @@
     let program = Program::start_with(&discovery, 1024, &edits);
     let dials = || connections(address, "02");
     let (before, mut client) = (dials(), program.connect());
-    client.write_all(req("transfer", "id-1").as_bytes()).expect("written");
+    client.write_all(request("transfer", "id-1").as_bytes()).expect("written");
     until("the dial", || dials() > before);
     ends(&discovery, &program);
     until("the news", || program.log().contains(news));
--- a/crates/server/tests/sockets/customers.rs
+++ b/crates/server/tests/sockets/customers.rs
@@ -5,8 +5,8 @@
 
 use oakshed_standin::*;
 
-/// Guards against another customer's workers: where both discoveries' lists have one number, the list that came with
-/// the socket was believed for good.
+/// Guards against another customer's workers: where both discoveries' lists have one number, the list that
+/// came with the socket was believed for good.
 #[test]
 fn what_a_process_of_other_settings_knew_is_left_out() {
     let (theirs, own, place) = ([good(), good()], good(), Place::new());
@@ -28,14 +28,14 @@
         old.signal("-TERM");
         assert_eq!(old.wait().code(), Some(0), "{}", old.log());
         let count = worker.count();
-        assert_eq!(ask(place.listen, &req(class, "id-1")).map(|m| m.status()), Some(200), "{class}");
+        assert_eq!(ask(place.listen, &request(class, "id-1")).map(|m| m.status()), Some(200), "{class}");
         assert_eq!(worker.count(), count + 1, "another customer's worker had it");
         old = new;
     }
 }
 
-/// Guards against a reload that takes half of a file: discovery moves, of the rest nothing changes, and one line
-/// says so, whatever else it is that differs.
+/// Guards against a reload that takes half of a file: discovery moves, of the rest nothing changes, and one
+/// line says so, whatever else it is that differs.
 #[test]
 fn a_reload_moves_discovery_and_says_that_the_rest_needs_a_restart() {
     let (first, second) = (good(), good());
@@ -64,8 +64,10 @@
     let ours = r#""name":"new-plate""#;
     reload(ours, r#""name":"booking""#);
     reload(&old.peer.address.to_string(), &new.peer.address.to_string());
-    until("the new list", || program.ask(&req("new-plate", "id-1")).status() == 200 && second.count() == 1);
-    assert_eq!(program.ask(&req("booking", "id-2")).status(), 404, "not a class before a restart");
+    until("the new list", || {
+        program.ask(&request("new-plate", "id-1")).status() == 200 && second.count() == 1
+    });
+    assert_eq!(program.ask(&request("booking", "id-2")).status(), 404, "not a class before a restart");
 }
 
 /// Guards against a limit of another deployment under which nothing is served any more: what a file may say, or
@@ -101,10 +103,10 @@
     for (from, to) in edits {
         let program = Program::start_with(&discovery, 1024, &[(from, to)]);
         for class in ["transfer", "new-plate"] {
-            let answer = program.ask(&req(class, "id-1"));
+            let answer = program.ask(&request(class, "id-1"));
             assert_eq!(answer.status(), 200, "{class} with {to:?} for {from}: {}", program.log());
         }
-        let stranger = req("transfer", "id-2").replace("storholt-bilar", "nobody-known");
+        let stranger = request("transfer", "id-2").replace("storholt-bilar", "nobody-known");
         assert_eq!(program.ask(&stranger).status(), 200, "a tenant unknown, with {to:?} for {from}");
     }
 }
--- a/crates/server/tests/sockets/discovery.rs
+++ b/crates/server/tests/sockets/discovery.rs
@@ -8,7 +8,7 @@
 
 use super::{gated, serve, unreachable};
 
-/// A first start knows no list, and the front brings no req before it is ready: it has to ask by itself.
+/// A first start knows no list, and the front brings no request before it is ready: it has to ask by itself.
 #[test]
 fn a_start_without_a_list_asks_for_it_at_once() {
     let backend = good();
@@ -16,7 +16,7 @@
         let discovery = Discovery::new(&[("s-1", backend.address)]);
         let edits = [(r#""membership-mode":"on_request""#, &*format!(r#""membership-mode":"{membership}""#))];
         let program = Program::start_knowing(&discovery, "null", 1024, &edits);
-        assert_eq!(program.ask(&req("transfer", "id-1")).status(), 200, "{membership}");
+        assert_eq!(program.ask(&request("transfer", "id-1")).status(), 200, "{membership}");
     }
 }
 
@@ -36,7 +36,7 @@
     until("the news after", || program.log().contains("0 backends ready"));
     discovery.set("s-1", "ready");
     until("and again", || program.log().contains("entries, 1 backends ready"));
-    until("a served req", || program.ask(&req("transfer", "id-1")).status() == 200);
+    until("a served request", || program.ask(&request("transfer", "id-1")).status() == 200);
 }
 
 /// Guards against a first list without anybody in it: nothing of it may keep the next one from being used.
@@ -46,7 +46,7 @@
     let discovery = Discovery::new(&[("s-1", backend.address)]);
     let nobody = r#"{"generation":0,"reset":true,"instances":[]}"#;
     let program = Program::start_knowing(&discovery, nobody, 1024, &[]);
-    assert_eq!(program.ask(&req("transfer", "id-1")).status(), 200);
+    assert_eq!(program.ask(&request("transfer", "id-1")).status(), 200);
 }
 
 #[test]
@@ -63,8 +63,8 @@
     assert!(!program.log().contains("malformed"), "{}", program.log());
 }
 
-/// A watch and two calls beside it unanswered, it is discovery in trouble: it is left alone for a moment, and then
-/// asked again.
+/// A watch and two calls beside it unanswered, it is discovery in trouble: it is left alone for a moment, and
+/// then asked again.
 #[test]
 fn discovery_that_stays_silent_is_given_up_and_asked_again() {
     let backend = good();
@@ -98,7 +98,7 @@
 }
 
 /// Guards against a timer that is lost: among many schedulers the first call comes a moment after a start with
-/// a list, and nothing but that timer brings it where no req comes.
+/// a list, and nothing but that timer brings it where no request comes.
 #[test]
 fn started_with_a_list_among_many_and_without_traffic_it_calls_discovery() {
     let discovery = Discovery::new(&[("s-1", "127.0.0.1:9".parse().expect("an address"))]);
@@ -117,7 +117,7 @@
     let (old, new) = (Discovery::new(&[("s-1", before.address)]), Discovery::new(&[("s-2", after.address)]));
     let program = Program::start(&old);
     let mut client = program.connect();
-    client.write_all(req("transfer", "id-1").as_bytes()).expect("written");
+    client.write_all(request("transfer", "id-1").as_bytes()).expect("written");
     until("the attempt", || before.count() == 1);
     program.reload("\"discovery\"", "\"discovery");
     until("the refusal", || program.log().contains("going on as before"));
@@ -128,7 +128,7 @@
     until("a watch on the new list", || new.peer.count() >= 2);
     assert_eq!(new.peer.seen.lock().unwrap()[0].first, "GET /v1/endpoints HTTP/1.1");
     until("the old one's end", || old.peer.ended.load(Ordering::SeqCst) == 1);
-    assert_eq!(program.ask(&req("transfer", "id-2")).body, b"made");
+    assert_eq!(program.ask(&request("transfer", "id-2")).body, b"made");
     open.send(()).expect("released");
     assert_eq!(Message::read(&mut BufReader::new(client)).expect("an answer").body, b"before");
 }
@@ -167,7 +167,7 @@
         program.signal("-HUP");
         until("the refusal", || program.log().matches("going on as before").count() == n + 1);
         assert_eq!(lines(), before + n + 1, "{}", program.log());
-        assert_eq!(program.ask(&req("transfer", &format!("id-{n}"))).status(), 200);
+        assert_eq!(program.ask(&request("transfer", &format!("id-{n}"))).status(), 200);
     }
     assert_eq!((new.peer.count(), old.peer.ended.load(Ordering::SeqCst)), (0, 0), "the watch stands");
     // Two at once and one while it stops: the last file counts, and the stop goes on.
@@ -180,7 +180,7 @@
     std::fs::write(&program.path, "{").expect("written");
     program.signal("-HUP");
     until("the refusal", || program.log().matches("going on as before").count() == files.len() + 1);
-    assert_eq!(program.ask(&req("transfer", "last")).status(), 200);
+    assert_eq!(program.ask(&request("transfer", "last")).status(), 200);
     assert_eq!(program.wait().code(), Some(0));
 }
 
--- a/crates/server/tests/sockets/leaving.rs
+++ b/crates/server/tests/sockets/leaving.rs
@@ -1,4 +1,4 @@
-//! Clients that leave while their req waits, however much they have sent.
+//! Clients that leave while their request waits, however much they have sent.
 
 use std::io::Write;
 use std::net::{Shutdown, TcpStream};
@@ -8,9 +8,9 @@
 
 use super::unread_from;
 
-/// A req that waits, as no backend is ready, goes nowhere once its client has left: neither where the client is
-/// seen to leave first, nor where a backend is found to be ready in the same turn. Guards against a reader that
-/// stops reading where much waits behind a req.
+/// A request that waits, as no backend is ready, goes nowhere once its client has left: neither where the
+/// client is seen to leave first, nor where a backend is found to be ready in the same turn. Guards against a
+/// reader that stops reading where much waits behind a request.
 #[test]
 fn whose_client_has_left_is_never_sent_on() {
     let ways: [fn(&TcpStream); 3] = [
@@ -25,14 +25,14 @@
     let pending = || call(program.admin(), "telemetry").contains("edge_router.pending:1|g");
     let ready = || program.ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status() == 200;
     // More than is held of a connection; the system holds it, or the rest of it, for as long as nobody reads.
-    let much: String = (0..400).map(|n| req("transfer", &format!("behind-{n}"))).collect();
+    let much: String = (0..400).map(|n| request("transfer", &format!("behind-{n}"))).collect();
     let mut half_closed = Vec::new();
     for case in 0..12 {
         let (way, behind, same_turn) = (case % 3, case % 6 > 2, case > 5);
         discovery.set("s-1", "draining");
         until("the drain", || !ready());
         let mut client = program.connect();
-        client.write_all(req("transfer", &format!("gone-{case}")).as_bytes()).expect("written");
+        client.write_all(request("transfer", &format!("gone-{case}")).as_bytes()).expect("written");
         until("its wait", pending);
         if behind {
             client.set_nonblocking(true).expect("set");
@@ -54,7 +54,7 @@
             discovery.set("s-1", "ready");
         }
         until("the backend's return", ready);
-        assert_eq!(program.ask(&req("transfer", &format!("id-{case}"))).status(), 200);
+        assert_eq!(program.ask(&request("transfer", &format!("id-{case}"))).status(), 200);
         let seen: Vec<_> =
             backend.seen.lock().unwrap().iter().map(|m| format!("{:?}", m.field("req-id"))).collect();
         assert!(
--- a/crates/server/tests/sockets/main.rs
+++ b/crates/server/tests/sockets/main.rs
@@ -73,7 +73,7 @@
     std::fs::read_to_string("/proc/net/tcp").expect("the system's list").matches(&entry).count()
 }
 
-/// A backend that serves with this result, one req for each word that is sent.
+/// A backend that serves with this result, one request for each word that is sent.
 fn gated(result: &'static str) -> (Peer, std::sync::mpsc::Sender<()>) {
     let (open, gate) = std::sync::mpsc::channel::<()>();
     let gate = std::sync::Mutex::new(gate);
--- a/crates/server/tests/sockets/malformed.rs
+++ b/crates/server/tests/sockets/malformed.rs
@@ -8,7 +8,7 @@
 fn what_is_malformed_gets_a_4xx_and_reaches_no_backend() {
     let backend = good();
     let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
-    let text = req("transfer", "id-1");
+    let text = request("transfer", "id-1");
     let large = 65 * 1024;
     let cases = [
         (text.replace("Req-Id: id-1\r\n", ""), 400),
@@ -21,8 +21,8 @@
         (text.replace("POST /transfer", "GET /transfer"), 405),
         (text.replace("POST /transfer", "POST /ready"), 405),
         (text.replace("Length: 4", &format!("Length: {large}")) + &"x".repeat(large - 4), 413),
-        (req("new-plate", "id-2").replace("Idempotency-Key: 5c0f\r\n", ""), 400),
-        // Taken as the class's own, a deadline that is no number would keep a req for too long.
+        (request("new-plate", "id-2").replace("Idempotency-Key: 5c0f\r\n", ""), 400),
+        // Taken as the class's own, a deadline that is no number would keep a request for too long.
         (text.replace("Deadline-Ms: 5000", "Deadline-Ms: soon"), 400),
         (text.replace("Deadline-Ms: 5000", "Deadline-Ms: -5"), 400),
         (text.replace("Deadline-Ms: 5000", "Deadline-Ms: "), 400),
@@ -56,9 +56,9 @@
 fn what_leaves_its_end_in_doubt_is_refused_and_closed() {
     let backend = good();
     let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
-    let text = req("transfer", "id-1");
+    let text = request("transfer", "id-1");
     let (length, coding) = ("Content-Length: 4\r\n", "Transfer-Encoding: chunked\r\n");
-    let hidden = "0\r\n\r\n".to_owned() + &req("transfer", "id-2");
+    let hidden = "0\r\n\r\n".to_owned() + &request("transfer", "id-2");
     let length_of = |value: &str| text.replace("Length: 4", &format!("Length: {value}"));
     for doubt in [
         text.replace(length, &format!("{length}{coding}")).replace("body", &hidden),
@@ -77,33 +77,33 @@
     assert_eq!(backend.count(), 0);
     // A chunked body alone is in no doubt; nothing may follow it.
     let chunked = text.replace(length, coding).replace("body", "4\r\nbody\r\n0\r\n\r\n");
-    let answer = told(&program, &[&chunked, &req("transfer", "id-3")]);
+    let answer = told(&program, &[&chunked, &request("transfer", "id-3")]);
     assert!(answer.starts_with("HTTP/1.1 200") && answer.matches("HTTP/1.1").count() == 1, "{answer}");
     assert_eq!((backend.count(), backend.seen.lock().unwrap()[0].body.as_slice()), (1, &b"body"[..]));
 }
 
-/// Guards against clients that hold a connection, and us, with a req that never arrives.
+/// Guards against clients that hold a connection, and us, with a request that never arrives.
 #[test]
 fn what_does_not_arrive_in_time_is_closed_and_what_is_idle_is_not() {
     let backend = good();
     let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let mut usual = program.connect();
-    assert_eq!(ask_on(&mut usual, &req("transfer", "id-1")).status(), 200);
+    assert_eq!(ask_on(&mut usual, &request("transfer", "id-1")).status(), 200);
     let start = std::time::Instant::now();
-    let text = req("transfer", "id-2");
+    let text = request("transfer", "id-2");
     std::thread::scope(|s| {
-        // Nothing at all, half a head, half a body, and half of one behind a whole req.
+        // Nothing at all, half a head, half a body, and half of one behind a whole request.
         for pieces in [vec![], vec![&text[..30]], vec![&text[..text.len() - 2]]] {
             let program = &program;
             s.spawn(move || told(program, &pieces));
         }
         s.spawn(|| {
-            assert!(told(&program, &[&req("transfer", "id-3"), &text[..30]]).starts_with("HTTP/1.1 200"));
+            assert!(told(&program, &[&request("transfer", "id-3"), &text[..30]]).starts_with("HTTP/1.1 200"));
         });
     });
     let took = start.elapsed().as_millis();
     assert!((1_400..2_900).contains(&took), "{took} ms");
-    assert_eq!(ask_on(&mut usual, &req("transfer", "id-4")).status(), 200);
+    assert_eq!(ask_on(&mut usual, &request("transfer", "id-4")).status(), 200);
     assert_eq!(backend.count(), 3);
 }
 
@@ -112,7 +112,7 @@
 fn what_is_too_large_is_refused_at_once() {
     let backend = good();
     let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
-    let (head, _) = req("transfer", "id-1")
+    let (head, _) = request("transfer", "id-1")
         .replace("Length: 4", "Length: 60000000")
         .split_once("body")
         .map(|(head, rest)| (head.to_owned(), rest.to_owned()))
@@ -128,7 +128,7 @@
 fn what_is_odd_is_served_and_what_is_amiss_ends_plainly() {
     let backend = good();
     let mut program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
-    let text = |id: &str| req("transfer", id);
+    let text = |id: &str| request("transfer", id);
     let with =
         |id: &str, field: &str| text(id).replace("Content-Length", &format!("{field}\r\nContent-Length"));
     let behind = |id: &str| with(id, "Connection: close");
@@ -179,7 +179,7 @@
     assert_eq!(program.wait().code(), Some(0));
     until("the log's last counts", || program.log().contains("stopped"));
     let log = program.log();
-    let bad = log.split("bad_reqs: ").last().and_then(|t| t.split(',').next()?.parse().ok());
+    let bad = log.split("bad_requests: ").last().and_then(|t| t.split(',').next()?.parse().ok());
     assert!(bad.is_some_and(|bad: usize| (7..=14).contains(&bad)), "{log}");
     assert!(log.lines().count() < 20, "no line for each: {log}");
 }
--- a/crates/server/tests/sockets/passing.rs
+++ b/crates/server/tests/sockets/passing.rs
@@ -1,4 +1,4 @@
-//! A req on its way: through, never twice, given up with its client.
+//! A request on its way: through, never twice, given up with its client.
 
 use std::io::{BufReader, Read, Write};
 use std::sync::atomic::Ordering;
@@ -8,10 +8,10 @@
 use super::descriptors;
 
 #[test]
-fn a_req_passes_through_unchanged_and_its_result_is_the_answer() {
+fn a_request_passes_through_unchanged_and_its_result_is_the_answer() {
     let backend = good();
     let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
-    let text = req("new-plate", "9b1f03aa5c7e2d41").replace("/new-plate ", "/new-plate/%7euser?x=%20&y ");
+    let text = request("new-plate", "9b1f03aa5c7e2d41").replace("/new-plate ", "/new-plate/%7euser?x=%20&y ");
     let answer = program.ask(&text);
     assert_eq!((answer.status(), answer.body.as_slice()), (200, &b"made"[..]));
     let seen = backend.seen.lock().unwrap()[0].clone();
@@ -49,11 +49,11 @@
         (r#""resolution-ms":4"#, r#""resolution-ms":4,"load-info":{"how":"probe","columns":["x0"]}"#),
     ];
     let program = Program::start_with(&Discovery::new(&list), 1024, &edits);
-    // Reqs do not wait for probes: the first go anywhere.
+    // Requests do not wait for probes: the first go anywhere.
     let seen = |b: &Peer, what| b.seen.lock().unwrap().iter().filter(|m| m.first.starts_with(what)).count();
     let mut asked = 0;
     let mut ask = || {
-        assert_eq!(program.ask(&req("transfer", &format!("id-{asked}"))).status(), 200);
+        assert_eq!(program.ask(&request("transfer", &format!("id-{asked}"))).status(), 200);
         asked += 1;
     };
     until("both are probed", || {
@@ -66,9 +66,9 @@
     assert!(to_full <= 2, "jobs go where slots are free: {to_full} of 20 did not");
 }
 
-/// Guards against two reqs under one id: a backend's answer to one could be served to the other.
+/// Guards against two requests under one id: a backend's answer to one could be served to the other.
 #[test]
-fn the_id_of_an_open_req_is_refused() {
+fn the_id_of_an_open_request_is_refused() {
     let (open, gate) = std::sync::mpsc::channel::<()>();
     let gate = std::sync::Mutex::new(gate);
     let backend = Peer::new(move |message, stream| {
@@ -77,38 +77,38 @@
     });
     let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let mut first = program.connect();
-    first.write_all(req("transfer", "id-1").as_bytes()).expect("written");
+    first.write_all(request("transfer", "id-1").as_bytes()).expect("written");
     until("the attempt", || backend.count() == 1);
-    assert_eq!(program.ask(&req("new-plate", "id-1")).status(), 409);
+    assert_eq!(program.ask(&request("new-plate", "id-1")).status(), 409);
     open.send(()).expect("released");
     assert_eq!(Message::read(&mut BufReader::new(first)).expect("an answer").status(), 200);
     open.send(()).expect("released");
-    assert_eq!(program.ask(&req("transfer", "id-1")).status(), 200, "it is open no more");
+    assert_eq!(program.ask(&request("transfer", "id-1")).status(), 200, "it is open no more");
     assert_eq!(backend.count(), 2);
     // Where attempts may not be cancelled, its attempt is open for longer than its client waits.
     let silent = Peer::new(|_, _| true);
     let edits = [(r#""cancelling":true"#, r#""cancelling":false"#)];
     let program = Program::start_with(&Discovery::new(&[("s-1", silent.address)]), 1024, &edits);
     let mut client = program.connect();
-    client.write_all(req("transfer", "id-2").as_bytes()).expect("written");
+    client.write_all(request("transfer", "id-2").as_bytes()).expect("written");
     until("the attempt", || silent.count() == 1);
     let held = descriptors(&program);
     drop(client);
     until("the client's end", || descriptors(&program) < held);
-    assert_eq!(program.ask(&req("transfer", "id-2")).status(), 409);
+    assert_eq!(program.ask(&request("transfer", "id-2")).status(), 409);
 }
 
 /// Guards against a reader that holds the next request back for good, mixes the order, or closes on
 /// what cannot be read only once all before it is answered.
 #[test]
-fn pipelined_reqs_get_one_answer_each_in_order() {
+fn pipelined_requests_get_one_answer_each_in_order() {
     let backend = Peer::new(|message, stream| match message.field("req-id") {
         Some("never") => true,
         id => done(message, stream, id.expect("an id")),
     });
     let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let mut client = program.connect();
-    let all: String = (0..100).map(|n| req("transfer", &format!("id-{n}"))).collect();
+    let all: String = (0..100).map(|n| request("transfer", &format!("id-{n}"))).collect();
     client.write_all(all.as_bytes()).expect("written");
     let mut reader = BufReader::new(client);
     for n in 0..100 {
@@ -117,7 +117,7 @@
     }
     let start = std::time::Instant::now();
     let mut client = program.connect();
-    client.write_all(req("transfer", "never").as_bytes()).expect("written");
+    client.write_all(request("transfer", "never").as_bytes()).expect("written");
     until("the attempt", || backend.count() == 101);
     client.write_all(b"no request\r\n\r\n").expect("written");
     assert_eq!(client.read(&mut [0; 1]).map_or(0, |n| n), 0, "closed unanswered");
@@ -173,7 +173,7 @@
             chunk(stream, false, "{\"id\":\"id-1\",\"state\":\"returned\"}\n");
             stream.write_all(b"0\r\n\r\n").is_ok()
         },
-        // A head without bound would take the memory of many reqs.
+        // A head without bound would take the memory of many requests.
         |message, stream| {
             let head = format!(
                 "HTTP/1.1 200 OK\r\nX: {}\r\nTransfer-Encoding: chunked\r\n\r\n",
@@ -189,7 +189,7 @@
         let backends = [Peer::new(ending), Peer::new(ending)];
         let list = [("s-1", backends[0].address), ("s-2", backends[1].address)];
         let program = Program::start(&Discovery::new(&list));
-        let answer = program.ask(&req("transfer", "id-1"));
+        let answer = program.ask(&request("transfer", "id-1"));
         assert_eq!(answer.status(), 502, "ending {n}");
         assert_eq!(backends[0].count() + backends[1].count(), 1, "ending {n}");
     }
@@ -208,7 +208,7 @@
         let backend = good();
         let program = Program::start(&Discovery::new(&[("s-1", bad), ("s-2", backend.address)]));
         for n in 0..6 {
-            assert_eq!(program.ask(&req("transfer", &format!("id-{n}"))).status(), 200);
+            assert_eq!(program.ask(&request("transfer", &format!("id-{n}"))).status(), 200);
         }
         assert_eq!(backend.count(), 6);
     }
@@ -226,7 +226,7 @@
         stream.write_all(b"0\r\n\r\n").is_ok()
     });
     let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
-    assert_eq!(program.ask(&req("transfer", "id-1")).body, "a\"é".as_bytes());
+    assert_eq!(program.ask(&request("transfer", "id-1")).body, "a\"é".as_bytes());
 }
 
 #[test]
@@ -243,19 +243,19 @@
         &[(r#""give-up-ms":5000"#, r#""give-up-ms":600000"#)], // far longer than the test waits
     );
     let mut client = program.connect();
-    let text = req("new-plate", "id-1").replace("Ms: 5000", "Ms: 600000");
+    let text = request("new-plate", "id-1").replace("Ms: 5000", "Ms: 600000");
     client.write_all(text.as_bytes()).expect("written");
     until("the attempt", || backend.count() == 1);
     drop(client);
     until("its connection's end", || backend.ended.load(Ordering::SeqCst) == 1);
-    assert_eq!(program.ask(&req("transfer", "id-2")).status(), 200);
+    assert_eq!(program.ask(&request("transfer", "id-2")).status(), 200);
 }
 
 #[test]
-fn a_req_without_an_answer_ends_with_its_deadline() {
+fn a_request_without_an_answer_ends_with_its_deadline() {
     let backend = Peer::new(|_, _| true);
     let program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
-    let text = req("transfer", "id-1").replace("Deadline-Ms: 5000", "Deadline-Ms: 700");
+    let text = request("transfer", "id-1").replace("Deadline-Ms: 5000", "Deadline-Ms: 700");
     let start = std::time::Instant::now();
     assert_eq!(program.ask(&text).status(), 502);
     assert!(start.elapsed().as_millis() >= 690, "not before the client gives up");
--- a/crates/server/tests/sockets/room.rs
+++ b/crates/server/tests/sockets/room.rs
@@ -14,7 +14,7 @@
     let mut idle: Vec<_> = (0..60).map(|_| program.connect()).collect();
     idle[0].write_all(b"POST /tra").expect("half a head");
     let mut last = program.connect();
-    assert_eq!(ask_on(&mut last, &req("transfer", "id-1")).status(), 200);
+    assert_eq!(ask_on(&mut last, &request("transfer", "id-1")).status(), 200);
     let open = descriptors(&program);
     assert!(open <= 64, "{open} descriptors");
 }
@@ -47,7 +47,7 @@
         let slow: Vec<_> = (0..4)
             .map(|n| {
                 s.spawn(move || {
-                    let text = req("transfer", &format!("slow-{n}"));
+                    let text = request("transfer", &format!("slow-{n}"));
                     let mut stream = std::net::TcpStream::connect(at).expect("a connection");
                     stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
                     for piece in text.as_bytes().chunks(text.len() / 19) {
@@ -60,7 +60,7 @@
             })
             .collect();
         for n in 0..60 {
-            assert_eq!(program.ask(&req("transfer", &format!("quick-{n}"))).status(), 200);
+            assert_eq!(program.ask(&request("transfer", &format!("quick-{n}"))).status(), 200);
         }
         let slow: Vec<u16> = slow.into_iter().map(|t| t.join().expect("answered")).collect();
         stop.store(true, Ordering::SeqCst);
@@ -68,43 +68,43 @@
     });
 }
 
-/// Guards against closing on the client just accepted, where all others have brought a req before:
+/// Guards against closing on the client just accepted, where all others have brought a request before:
 /// in a full house it would be the only one that has not.
 #[test]
-fn a_new_client_gets_the_time_to_bring_its_req_in_a_full_house() {
+fn a_new_client_gets_the_time_to_bring_its_request_in_a_full_house() {
     let backend = good();
     let program = Program::start_with(&Discovery::new(&[("s-1", backend.address)]), 64, &[]);
     let mut kept: Vec<_> = (0..14).map(|_| program.connect()).collect();
     for (n, client) in kept.iter_mut().enumerate() {
-        assert_eq!(ask_on(client, &req("transfer", &format!("id-{n}"))).status(), 200);
+        assert_eq!(ask_on(client, &request("transfer", &format!("id-{n}"))).status(), 200);
     }
     let mut new: Vec<_> = (0..8).map(|_| program.connect()).collect();
     for (n, client) in new.iter_mut().enumerate() {
-        assert_eq!(ask_on(client, &req("transfer", &format!("new-{n}"))).status(), 200);
+        assert_eq!(ask_on(client, &request("transfer", &format!("new-{n}"))).status(), 200);
     }
     assert_eq!(kept[0].read(&mut [0]).map_or(0, |n| n), 0, "the one idle for longest has made room");
 }
 
 /// Guards against clients that ask once and stay until the platform gives us no more connections: it
-/// lets clients hold a third of the descriptors for reqs.
+/// lets clients hold a third of the descriptors for requests.
 #[test]
 fn those_who_ask_once_and_stay_leave_room_for_others() {
     let backend = good();
     let program = Program::start_with(&Discovery::new(&[("s-1", backend.address)]), 96, &[]);
     let mut kept: Vec<_> = (0..30).map(|_| program.connect()).collect();
     for (n, client) in kept.iter_mut().enumerate() {
-        assert_eq!(ask_on(client, &req("transfer", &format!("id-{n}"))).status(), 200);
+        assert_eq!(ask_on(client, &request("transfer", &format!("id-{n}"))).status(), 200);
     }
     std::thread::sleep(std::time::Duration::from_millis(300)); // idle on purpose
-    assert_eq!(ask_on(&mut kept[20], &req("transfer", "once-more")).status(), 200);
+    assert_eq!(ask_on(&mut kept[20], &request("transfer", "once-more")).status(), 200);
     let limit = Some(std::time::Duration::from_secs(2));
     kept[0].set_read_timeout(limit).expect("a limit");
     assert_eq!(kept[0].read(&mut [0]).expect("an end"), 0, "24 of 32 connections are kept");
-    assert_eq!(ask_on(&mut kept[20], &req("transfer", "again")).status(), 200);
+    assert_eq!(ask_on(&mut kept[20], &request("transfer", "again")).status(), 200);
 }
 
-/// Guards against idle clients that leave no descriptor for discovery: it is down while they come, and each call
-/// needs a new one. The limit is the system's as well.
+/// Guards against idle clients that leave no descriptor for discovery: it is down while they come, and each
+/// call needs a new one. The limit is the system's as well.
 #[test]
 fn idle_clients_leave_room_for_discovery_and_for_new_ones() {
     for sockets in [64, 256] {
@@ -133,7 +133,7 @@
         until("the list", || program.ask(ready).status() == 200);
         for n in 0..8 {
             crowd.push(program.connect());
-            assert_eq!(program.ask(&req("transfer", &format!("id-{n}"))).status(), 200);
+            assert_eq!(program.ask(&request("transfer", &format!("id-{n}"))).status(), 200);
         }
         program.signal("-TERM");
         assert_eq!(program.wait().code(), Some(0));
--- a/crates/server/tests/sockets/stages.rs
+++ b/crates/server/tests/sockets/stages.rs
@@ -1,4 +1,4 @@
-//! Reqs at every stage: what ends there gives back what it took.
+//! Requests at every stage: what ends there gives back what it took.
 
 use std::io::{BufReader, Write};
 
@@ -6,7 +6,7 @@
 
 use super::{connections, descriptors, unreachable};
 
-/// A backend that keeps a req at the stage that its id names.
+/// A backend that keeps a request at the stage that its id names.
 fn staged() -> Peer {
     Peer::new(|message, stream| {
         let id = message.field("req-id").expect("an id").to_owned();
@@ -28,7 +28,7 @@
     transfers.for_each(|m| assert!(ids.insert(m.field("req-id")), "{} went out twice", m.first));
 }
 
-/// Guards against a place on a req's way at which its client's end leaves something taken: its id, the
+/// Guards against a place on a request's way at which its client's end leaves something taken: its id, the
 /// room for its body, a slot of the cap, a descriptor. And against a second run of what may have run.
 #[test]
 fn every_stage_gives_back_what_it_took() {
@@ -45,7 +45,7 @@
     }
 }
 
-/// Lets reqs of a class reach a stage, which so many backends have seen then, and end there.
+/// Lets requests of a class reach a stage, which so many backends have seen then, and end there.
 fn play(cancelling: &str, stages: &[(&str, &str, usize)], ends: &[&str]) {
     let backends = [staged(), staged()];
     let (nowhere, _full) = unreachable();
@@ -67,7 +67,7 @@
         until("the news", || newest(program.log()).is_some_and(|l| l.contains(&told) && l.contains(&number)));
     };
     listen(&["s-1", "s-2"]);
-    assert_eq!(program.ask(&req("transfer", "answered-first")).status(), 200);
+    assert_eq!(program.ask(&request("transfer", "answered-first")).status(), 200);
     let start = descriptors(&program);
     let seen = |id: &str| {
         let of = |b: &Peer| b.seen.lock().unwrap().iter().filter(|m| m.field("req-id") == Some(id)).count();
@@ -83,7 +83,7 @@
         let at_its_stage = |end: &str| {
             for n in 0..100 {
                 let id = format!("{stage}-{end}-{n}");
-                let text = req(class, &id);
+                let text = request(class, &id);
                 let text = if stage == "reading" { &text[..text.len() - 2] } else { &text };
                 let mut client = program.connect();
                 client.write_all(text.as_bytes()).expect("written");
@@ -122,7 +122,7 @@
     until("the log's last counts", || program.log().contains("stopped"));
     let log = program.log();
     let last = log.lines().rfind(|l| l.contains("stopped")).expect("its counts");
-    let zero = "Open { reqs: 0, held: 0, attempts: 0, slots: 0, ids: 0, body_bytes: 0,";
+    let zero = "Open { requests: 0, held: 0, attempts: 0, slots: 0, ids: 0, body_bytes: 0,";
     assert!(last.contains(zero), "cancelling {cancelling}: {last}");
     assert!(last.contains("broken=0") && last.contains("broken: 0"), "{last}");
     let sockets = last.split("backend_sockets: ").nth(1).and_then(|t| t.split(',').next()?.parse().ok());
@@ -130,10 +130,10 @@
 }
 
 /// Guards against a stop that loses what was taken, answers it twice, never ends, or leaves its address
-/// taken: with reqs at every stage, half of one on a client's connection, discovery down, and whoever
+/// taken: with requests at every stage, half of one on a client's connection, discovery down, and whoever
 /// stops it out of patience.
 #[test]
-fn a_stop_with_reqs_at_every_stage_answers_each_and_the_next_start_succeeds() {
+fn a_stop_with_requests_at_every_stage_answers_each_and_the_next_start_succeeds() {
     let backend = staged();
     let (nowhere, _full) = unreachable();
     let discovery = Discovery::new(&[("s-1", backend.address), ("s-2", nowhere)]);
@@ -143,7 +143,7 @@
     let mut clients = Vec::new();
     for n in 0..24 {
         let stage = ["sent", "started", "answered"][n % 3];
-        let text = req(["transfer", "new-plate"][n % 2], &format!("{stage}-{n}"));
+        let text = request(["transfer", "new-plate"][n % 2], &format!("{stage}-{n}"));
         let mut client = program.connect();
         client.write_all(text.replace("Ms: 5000", "Ms: 2500").as_bytes()).expect("written");
         clients.push(client);
@@ -176,5 +176,5 @@
     let next = Program::start_knowing(&discovery, &stale, 1024, &[(r#""listen":"127.0.0.1:0""#, &again)]);
     assert_eq!(next.address, program.address);
     until("the list of today", || next.log().contains("list 1 (All)"));
-    assert_eq!(next.ask(&req("transfer", "id-1")).status(), 200);
+    assert_eq!(next.ask(&request("transfer", "id-1")).status(), 200);
 }
--- a/crates/server/tests/sockets/stop.rs
+++ b/crates/server/tests/sockets/stop.rs
@@ -20,12 +20,12 @@
     let (mut slow, mut kept, unused) = (program.connect(), program.connect(), program.connect());
     let mut half = program.connect();
     half.write_all(b"POST /tra").expect("half a head");
-    slow.write_all(req("transfer", "slow").as_bytes()).expect("written");
+    slow.write_all(request("transfer", "slow").as_bytes()).expect("written");
     until("the slow attempt", || backend.count() == 1);
     program.signal("-TERM");
     until("the signal", || program.log().contains("told to stop"));
-    assert_eq!(ask_on(&mut kept, &req("transfer", "id-1")).status(), 200);
-    assert_eq!(program.ask(&req("transfer", "id-2")).status(), 200, "on a new connection");
+    assert_eq!(ask_on(&mut kept, &request("transfer", "id-1")).status(), 200);
+    assert_eq!(program.ask(&request("transfer", "id-2")).status(), 200, "on a new connection");
     until("the closing", || program.log().contains("closing"));
     assert_eq!(kept.read(&mut [0]).expect("an end"), 0, "idle connections are closed");
     open.send(()).expect("released");
@@ -35,8 +35,8 @@
     drop((unused, half));
 }
 
-/// Guards against a req taken late in a stop that waits for its deadline, at a backend or for one, when SIGKILL
-/// comes first (3.7 s after SIGTERM, as the longest deadline is over 3 s).
+/// Guards against a request taken late in a stop that waits for its deadline, at a backend or for one, when
+/// SIGKILL comes first (3.7 s after SIGTERM, as the longest deadline is over 3 s).
 #[test]
 fn what_is_taken_late_in_a_stop_is_answered_before_the_kill() {
     std::thread::scope(|s| {
@@ -53,7 +53,7 @@
                 assert_eq!(ask_on(&mut client, ready).status(), 200);
                 discovery.set("s-1", lifecycle);
                 until("the news", || (ask_on(&mut client, ready).status() == 200) == (lifecycle == "ready"));
-                let text = req("transfer", "id-1");
+                let text = request("transfer", "id-1");
                 let begun = if begun { text.len() - 2 } else { 0 };
                 client.write_all(&text.as_bytes()[..begun]).expect("begun");
                 let start = std::time::Instant::now();
@@ -79,7 +79,7 @@
     let mut program = Program::start_with(&Discovery::new(&[("s-1", backend.address)]), 1024, &edits);
     let (mut greedy, resting) = (program.connect(), program.connect());
     // More answers than the system holds for a client that reads none.
-    let all: String = (0..160).map(|n| req("transfer", &format!("untaken-{n}"))).collect();
+    let all: String = (0..160).map(|n| request("transfer", &format!("untaken-{n}"))).collect();
     greedy.write_all(all.as_bytes()).expect("written");
     let mut before = 0;
     until("no answer more", || {
@@ -88,9 +88,9 @@
     });
     assert!((1..160).contains(&before), "{before} answers are written");
     let (mut hangs, mut half) = (program.connect(), program.connect());
-    let text = req("transfer", "half");
+    let text = request("transfer", "half");
     half.write_all(&text.as_bytes()[..text.len() - 2]).expect("half of it");
-    hangs.write_all(req("transfer", "hangs").as_bytes()).expect("written");
+    hangs.write_all(request("transfer", "hangs").as_bytes()).expect("written");
     let start = std::time::Instant::now();
     program.signal("-TERM");
     let answer = Message::read(&mut BufReader::new(hangs)).expect("an answer").status();
@@ -106,7 +106,7 @@
     let mut program = Program::start(&Discovery::new(&[("s-1", backend.address)]));
     let mut clients: Vec<_> = (0..20).map(|_| program.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        assert_eq!(ask_on(client, &req("transfer", &format!("first-{n}"))).status(), 200);
+        assert_eq!(ask_on(client, &request("transfer", &format!("first-{n}"))).status(), 200);
     }
     program.signal("-TERM");
     until("the signal", || program.log().contains("told to stop"));
@@ -115,7 +115,7 @@
     program.signal("-STOP");
     clients.extend((0..20).map(|_| program.connect()));
     for (n, client) in clients.iter_mut().enumerate() {
-        client.write_all(req("transfer", &format!("last-{n}")).as_bytes()).expect("written");
+        client.write_all(request("transfer", &format!("last-{n}")).as_bytes()).expect("written");
     }
     std::thread::sleep(std::time::Duration::from_secs(2));
     program.signal("-CONT");
@@ -131,13 +131,13 @@
 fn what_waits_to_be_accepted_at_a_stop_is_answered_within_the_descriptors() {
     let backend = good();
     let mut program = Program::start_with(&Discovery::new(&[("s-1", backend.address)]), 64, &[]);
-    assert_eq!(program.ask(&req("transfer", "first")).status(), 200);
+    assert_eq!(program.ask(&request("transfer", "first")).status(), 200);
     program.signal("-TERM");
     until("the signal", || program.log().contains("told to stop"));
     program.signal("-STOP");
     let mut clients: Vec<_> = (0..90).map(|_| program.connect()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.write_all(req("transfer", &format!("last-{n}")).as_bytes()).expect("written");
+        client.write_all(request("transfer", &format!("last-{n}")).as_bytes()).expect("written");
     }
     std::thread::sleep(std::time::Duration::from_secs(2)); // it is to close when it goes on
     program.signal("-CONT");
--- a/crates/server/tests/sockets/told.rs
+++ b/crates/server/tests/sockets/told.rs
@@ -34,8 +34,8 @@
     assert!(discovery.spoilt.lock().unwrap().is_empty(), "{wrong:?}: not all of it was met");
 }
 
-/// Guards against taking a reset watch for a refusal by discovery that has too many callers: the pause after it
-/// grew with the time for asking, beyond that after which a change counts as told.
+/// Guards against taking a reset watch for a refusal by discovery that has too many callers: the pause after
+/// it grew with the time for asking, beyond that after which a change counts as told.
 #[test]
 fn a_drain_right_after_a_watch_was_reset_is_heard_before_it_counts_as_told() {
     std::thread::scope(|s| {
@@ -98,7 +98,7 @@
     assert_eq!((ready, before.count()), (Some(503), 0), "ready by what was known at the start");
     open.send(()).expect("released");
     until("ready", || ask(listen, READY).is_some_and(|m| m.status() == 200));
-    assert_eq!(ask(listen, &req("transfer", "id-1")).map(|m| m.status()), Some(200));
+    assert_eq!(ask(listen, &request("transfer", "id-1")).map(|m| m.status()), Some(200));
     assert_eq!((before.count(), after.count()), (0, 1));
     _ = child.kill();
     _ = child.wait();
@@ -117,7 +117,7 @@
         edit(&path, PUSHED);
         let (mut child, listen, _log, _) = serve(&path, &[]);
         until("ready", || ask(listen, READY).is_some_and(|m| m.status() == 200));
-        assert_eq!(ask(listen, &req("transfer", "id-1")).map(|m| m.status()), Some(200));
+        assert_eq!(ask(listen, &request("transfer", "id-1")).map(|m| m.status()), Some(200));
         _ = child.kill();
         _ = child.wait();
         _ = std::fs::remove_file(path);
--- a/crates/standin/src/clients.rs
+++ b/crates/standin/src/clients.rs
@@ -54,8 +54,8 @@
     call_in(at, &[line.as_bytes(), b"\n"], false)
 }
 
-/// A req in the platform's form.
-pub fn req(class: &str, id: &str) -> String {
+/// A request in the platform's form.
+pub fn request(class: &str, id: &str) -> String {
     let key = if class == "new-plate" { "Idempotency-Key: 5c0f\r\n" } else { "" };
     format!(
         "POST /{class} HTTP/1.1\r\nHost: backend.local\r\nReq-Id: {id}\r\nReq-Kind: {class}\r\nReq-Owner: storholt-bilar\r\n\
--- a/crates/standin/src/fleet/worker.rs
+++ b/crates/standin/src/fleet/worker.rs
@@ -59,7 +59,7 @@
     /// When its head was read.
     pub at: u64,
     /// Its `Req-Id`.
-    pub req: String,
+    pub request: String,
     /// Its lease's id.
     pub lease: Option<String>,
     /// It was run; else declined.
@@ -174,10 +174,13 @@
         let Ok(body) = body.collect().await else { return answer(400, "") };
         return lease(&shared, rest, token, &body.to_bytes());
     }
-    let Some(req) = text("req-id").filter(|_| head.method == Method::POST) else { return answer(404, "") };
+    let Some(request) = text("req-id").filter(|_| head.method == Method::POST) else {
+        return answer(404, "");
+    };
     let leased = text("lease-id").filter(|_| token.is_some());
     let (at, lease) = (now_us(), leased.clone());
-    let arrive = |ran| shared.arrivals.borrow_mut().push(Arrival { at, req: req.clone(), lease, ran });
+    let arrive =
+        |ran| shared.arrivals.borrow_mut().push(Arrival { at, request: request.clone(), lease, ran });
     let declined = || {
         let mut response = answer(503, "");
         response.headers_mut().insert("srv-declined", hyper::header::HeaderValue::from_static("1"));
@@ -196,7 +199,7 @@
     let slot = shared.slots.acquire().await;
     drop(waits);
     let Ok(slot) = slot else { return declined() };
-    let id = leased.unwrap_or_else(|| req.clone());
+    let id = leased.unwrap_or_else(|| request.clone());
     let may = match token {
         Some(token) => shared.ledger.borrow_mut().start(&id, token).unwrap_or(false),
         None => true,
@@ -212,7 +215,7 @@
     tokio::task::spawn_local(async move {
         let mut life = worker.life.subscribe();
         let line =
-            |rest: &str| Bytes::from(format!("{{\"id\":\"{req}\",\"from\":\"s\",\"state\":{rest}}}\n"));
+            |rest: &str| Bytes::from(format!("{{\"id\":\"{request}\",\"from\":\"s\",\"state\":{rest}}}\n"));
         let run = async {
             let mut left = worker.service();
             _ = to.send_data(line("\"started\"")).await;
--- a/crates/standin/src/ledger.rs
+++ b/crates/standin/src/ledger.rs
@@ -22,7 +22,7 @@
     },
     /// A job starts under this token.
     Start {
-        /// The job, or its req's id where it came without a lease.
+        /// The job, or its request's id where it came without a lease.
         job: String,
         /// The token.
         token: u64,
--- a/crates/standin/src/worker.rs
+++ b/crates/standin/src/worker.rs
@@ -151,7 +151,7 @@
     }
 
     fn job(&self, message: &Message, stream: &mut TcpStream) -> bool {
-        let Some(req) = message.field("req-id").map(str::to_owned) else {
+        let Some(request) = message.field("req-id").map(str::to_owned) else {
             return status(stream, "404 Not Found");
         };
         let declined = |stream: &mut TcpStream| {
@@ -161,11 +161,11 @@
         if !self.enter() {
             return declined(stream);
         }
-        let id = message.field("lease-id").unwrap_or(&req).to_owned();
+        let id = message.field("lease-id").unwrap_or(&request).to_owned();
         let token = message.field("lease-token").and_then(|t| t.parse().ok()).unwrap_or(1);
         let may = self.ledger.lock().expect("whole").start(&id, token);
         let goes_on = match may {
-            Ok(true) => self.run(&id, &req, stream),
+            Ok(true) => self.run(&id, &request, stream),
             Ok(false) => declined(stream),
             Err(_) => false,
         };
@@ -175,8 +175,8 @@
     }
 
     /// Runs the job to its end, whether or not anyone still listens.
-    fn run(&self, id: &str, req: &str, stream: &mut TcpStream) -> bool {
-        let line = |state: &str| format!("{{\"id\":\"{req}\",\"from\":\"s\",\"state\":\"{state}\"}}\n");
+    fn run(&self, id: &str, request: &str, stream: &mut TcpStream) -> bool {
+        let line = |state: &str| format!("{{\"id\":\"{request}\",\"from\":\"s\",\"state\":\"{state}\"}}\n");
         chunk(stream, true, &line("started"));
         let mut left = self.options.service;
         while left > self.options.progress {
@@ -190,7 +190,7 @@
             return false;
         }
         let line =
-            format!("{{\"id\":\"{req}\",\"from\":\"s\",\"state\":\"done\",\"result\":\"{result}\"}}\n");
+            format!("{{\"id\":\"{request}\",\"from\":\"s\",\"state\":\"done\",\"result\":\"{result}\"}}\n");
         chunk(stream, false, &line);
         stream.write_all(b"0\r\n\r\n").is_ok()
     }
--- a/crates/trials/src/checks.rs
+++ b/crates/trials/src/checks.rs
@@ -7,7 +7,7 @@
 
 use oakshed_standin::fleet::{Arrival, Call, Outcome};
 
-use crate::history::{End, Req, Span};
+use crate::history::{End, Request, Span};
 
 /// A scheduler, as its checkers see it.
 #[derive(Clone, Debug, Default)]
@@ -65,8 +65,8 @@
     pub schedulers: Vec<SchedulerFacts>,
     /// The workers.
     pub workers: Vec<WorkerFacts>,
-    /// The reqs that ended.
-    pub reqs: Vec<Req>,
+    /// The requests that ended.
+    pub requests: Vec<Request>,
     /// Discovery's calls.
     pub calls: Vec<Call>,
 }
@@ -87,9 +87,10 @@
 /// Whatever happens to calls and watches, a change counts as told so long after discovery had it and could be
 /// reached, in microseconds.
 pub const TOLD_ANYWAY: u64 = 6_000_000;
-/// So long after its client has left no attempt of a req begins, in microseconds: 0.1 s. The rest is for a machine that
-/// is busy with other tests, on which what began in time came up to 0.5 s late; who waits, or is tried again, for a
-/// client that has gone is in the way for longer. The 0.1 s themselves are held by tests on sockets.
+/// So long after its client has left no attempt of a request begins, in microseconds: 0.1 s. The rest is for
+/// a machine that is busy with other tests, on which what began in time came up to 0.5 s late; who waits, or
+/// is tried again, for a client that has gone is in the way for longer. The 0.1 s themselves are held by
+/// tests on sockets.
 pub const LEFT_SLACK: u64 = 100_000 + 900_000;
 /// Within this a process is ready after its start, in microseconds, and how many of ten are.
 pub const READY_WITHIN: u64 = 10_000_000;
@@ -97,13 +98,13 @@
 
 /// What may run once has run at most once, over all workers.
 pub fn nothing_runs_twice(facts: &Facts) -> Vec<Breach> {
-    let once: BTreeMap<&str, &Req> =
-        facts.reqs.iter().filter(|r| r.once).map(|r| (r.id.as_str(), r)).collect();
+    let once: BTreeMap<&str, &Request> =
+        facts.requests.iter().filter(|r| r.once).map(|r| (r.id.as_str(), r)).collect();
     let mut runs: BTreeMap<&str, (usize, &str)> = BTreeMap::new();
     let mut breaches = Vec::new();
     for worker in &facts.workers {
         for arrival in worker.arrivals.iter().filter(|a| a.ran) {
-            let id = arrival.lease.as_deref().unwrap_or(&arrival.req);
+            let id = arrival.lease.as_deref().unwrap_or(&arrival.request);
             if arrival.lease.is_none() && !once.contains_key(id) {
                 continue;
             }
@@ -118,19 +119,20 @@
     breaches
 }
 
-/// Each req whose connection was dialled when its scheduler listened, which lived on and was not stopped, has its
-/// answer. Guards against a connection kept from an earlier life: what is written into it is taken by nobody.
+/// Each request whose connection was dialled when its scheduler listened, which lived on and was not stopped,
+/// has its answer. Guards against a connection kept from an earlier life: what is written into it is taken by
+/// nobody.
 pub fn all_answered(facts: &Facts) -> Vec<Breach> {
     let mut breaches = Vec::new();
-    for req in facts.reqs.iter().filter(|r| matches!(r.end, End::Broken | End::Silence)) {
-        let scheduler = &facts.schedulers[req.scheduler];
-        let listened = |since: u64| scheduler.listens.iter().any(|at| (since..=req.dialled).contains(at));
+    for request in facts.requests.iter().filter(|r| matches!(r.end, End::Broken | End::Silence)) {
+        let scheduler = &facts.schedulers[request.scheduler];
+        let listened = |since: u64| scheduler.listens.iter().any(|at| (since..=request.dialled).contains(at));
         let mut lives = scheduler.lives.iter();
-        let lived = lives.any(|l| listened(l.from) && l.to.is_none_or(|to| to > req.ended));
-        let stopped = scheduler.stops.iter().any(|s| s.meets(req.sent, req.ended));
+        let lived = lives.any(|l| listened(l.from) && l.to.is_none_or(|to| to > request.ended));
+        let stopped = scheduler.stops.iter().any(|s| s.meets(request.sent, request.ended));
         if lived && !stopped {
-            let what = format!("{} had no answer: {:?}", req.id, req.end);
-            breaches.push(Breach { at: req.ended, node: scheduler.name.clone(), what });
+            let what = format!("{} had no answer: {:?}", request.id, request.end);
+            breaches.push(Breach { at: request.ended, node: scheduler.name.clone(), what });
         }
     }
     breaches
@@ -139,11 +141,12 @@
 /// A drained or gone worker gets nothing new later than the slack after its scheduler was told. A scheduler
 /// that was stopped in that time is given its slack from when it was continued.
 pub fn drained_in_time(facts: &Facts) -> Vec<Breach> {
-    let senders: BTreeMap<&str, usize> = facts.reqs.iter().map(|r| (r.id.as_str(), r.scheduler)).collect();
+    let senders: BTreeMap<&str, usize> =
+        facts.requests.iter().map(|r| (r.id.as_str(), r.scheduler)).collect();
     let mut breaches = Vec::new();
     for worker in facts.workers.iter().filter(|w| !w.drains.is_empty()) {
         for arrival in &worker.arrivals {
-            let Some(scheduler) = senders.get(arrival.req.as_str()).map(|&s| &facts.schedulers[s]) else {
+            let Some(scheduler) = senders.get(arrival.request.as_str()).map(|&s| &facts.schedulers[s]) else {
                 continue;
             };
             let mut lives = scheduler.lives.iter();
@@ -162,7 +165,8 @@
             if arrival.at > from + DRAIN_SLACK {
                 let late = (arrival.at - from) / 1_000;
                 let (name, number) = (&scheduler.name, drain.0);
-                let what = format!("{} from {name} {late} ms after it was told (list {number})", arrival.req);
+                let what =
+                    format!("{} from {name} {late} ms after it was told (list {number})", arrival.request);
                 breaches.push(Breach { at: arrival.at, node: worker.name.clone(), what });
             }
         }
@@ -170,21 +174,22 @@
     breaches
 }
 
-/// No scheduler sends a worker anything new later than the slack after a drain counts as told: 6 s after discovery
-/// had it and could be reached, whether or not anything came. Its clock begins anew with its life, with the end of a
-/// stop, and with each end of a time in which it was cut off.
+/// No scheduler sends a worker anything new later than the slack after a drain counts as told: 6 s after
+/// discovery had it and could be reached, whether or not anything came. Its clock begins anew with its life,
+/// with the end of a stop, and with each end of a time in which it was cut off.
 pub fn told_in_time(facts: &Facts) -> Vec<Breach> {
-    let senders: BTreeMap<&str, usize> = facts.reqs.iter().map(|r| (r.id.as_str(), r.scheduler)).collect();
+    let senders: BTreeMap<&str, usize> =
+        facts.requests.iter().map(|r| (r.id.as_str(), r.scheduler)).collect();
     let mut breaches = Vec::new();
     for worker in &facts.workers {
         for arrival in &worker.arrivals {
             let Some(drain) = worker.drained.iter().rev().find(|d| d.meets(arrival.at, arrival.at)) else {
                 continue;
             };
-            let scheduler = senders.get(arrival.req.as_str()).map(|&s| &facts.schedulers[s]);
+            let scheduler = senders.get(arrival.request.as_str()).map(|&s| &facts.schedulers[s]);
             let Some(since) = scheduler.and_then(|s| s.since(drain.from, arrival.at)) else { continue };
             if arrival.at > since + TOLD_ANYWAY + DRAIN_SLACK {
-                let (id, late) = (&arrival.req, (arrival.at - since) / 1_000);
+                let (id, late) = (&arrival.request, (arrival.at - since) / 1_000);
                 let what = format!("{id} {late} ms after discovery had its drain and could be reached");
                 breaches.push(Breach { at: arrival.at, node: worker.name.clone(), what });
             }
@@ -196,17 +201,20 @@
 /// No attempt, first or further, begins later than the slack after its client has left. A scheduler that was
 /// stopped sees it when it goes on.
 pub fn nothing_for_who_left(facts: &Facts) -> Vec<Breach> {
-    let left = facts.reqs.iter().filter(|r| matches!(r.end, End::Left | End::Silence));
-    let left: BTreeMap<&str, &Req> = left.map(|r| (r.id.as_str(), r)).collect();
+    let left = facts.requests.iter().filter(|r| matches!(r.end, End::Left | End::Silence));
+    let left: BTreeMap<&str, &Request> = left.map(|r| (r.id.as_str(), r)).collect();
     let mut breaches = Vec::new();
     for worker in &facts.workers {
         for arrival in &worker.arrivals {
-            let Some(req) = left.get(arrival.req.as_str()).filter(|r| r.ended <= arrival.at) else {
+            let Some(request) = left.get(arrival.request.as_str()).filter(|r| r.ended <= arrival.at) else {
+                continue;
+            };
+            let Some(seen) = facts.schedulers[request.scheduler].since(request.ended, arrival.at) else {
                 continue;
             };
-            let Some(seen) = facts.schedulers[req.scheduler].since(req.ended, arrival.at) else { continue };
             if arrival.at > seen + LEFT_SLACK {
-                let what = format!("{} {} ms after its client had left", req.id, (arrival.at - seen) / 1_000);
+                let what =
+                    format!("{} {} ms after its client had left", request.id, (arrival.at - seen) / 1_000);
                 breaches.push(Breach { at: arrival.at, node: worker.name.clone(), what });
             }
         }
--- a/crates/trials/src/history.rs
+++ b/crates/trials/src/history.rs
@@ -1,5 +1,5 @@
-//! What happened in a trial, as its checkers read it: events by node, reqs and their answers, lives and stops
-//! of processes, what they logged.
+//! What happened in a trial, as its checkers read it: events by node, requests and their answers, lives and
+//! stops of processes, what they logged.
 //!
 //! It owns the record and never judges it. Times are in microseconds of Unix time, as all nodes are on one
 //! machine.
@@ -10,7 +10,7 @@
 use oakshed_standin::fleet::now_us;
 pub use oakshed_standin::fleet::now_us as now;
 
-/// What became of a req, as its client saw it.
+/// What became of a request, as its client saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// An answer with this status.
@@ -25,9 +25,9 @@
     Left,
 }
 
-/// One req of a client.
+/// One request of a client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Req {
+pub struct Request {
     /// Its `Req-Id`.
     pub id: String,
     /// The scheduler that it was sent to.
@@ -100,8 +100,8 @@
 pub struct Record {
     /// Events, in the order of their times.
     pub notes: Vec<Note>,
-    /// Reqs that ended.
-    pub reqs: Vec<Req>,
+    /// Requests that ended.
+    pub requests: Vec<Request>,
 }
 
 impl History {
@@ -110,9 +110,9 @@
         self.0.borrow_mut().notes.push(Note { at: now_us(), node: node.to_owned(), word: word.into() });
     }
 
-    /// A req has ended.
-    pub fn ended(&self, req: Req) {
-        self.0.borrow_mut().reqs.push(req);
+    /// A request has ended.
+    pub fn ended(&self, request: Request) {
+        self.0.borrow_mut().requests.push(request);
     }
 
     /// The record so far.
@@ -120,8 +120,8 @@
         self.0.borrow().clone()
     }
 
-    /// How many reqs have ended.
-    pub fn reqs(&self) -> usize {
-        self.0.borrow().reqs.len()
+    /// How many requests have ended.
+    pub fn requests(&self) -> usize {
+        self.0.borrow().requests.len()
     }
 }
--- a/crates/trials/src/load.rs
+++ b/crates/trials/src/load.rs
@@ -1,7 +1,7 @@
-//! Clients: an open load on all schedulers that run, and what became of each req.
+//! Clients: an open load on all schedulers that run, and what became of each request.
 //!
-//! It owns kept connections, one pool a scheduler, and the end of each req. It must never send a
-//! req twice, but where its clients insist.
+//! It owns kept connections, one pool a scheduler, and the end of each request. It must never send a
+//! request twice, but where its clients insist.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -17,7 +17,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{interval, sleep, timeout, MissedTickBehavior};
 
-use crate::history::{End, History, Req};
+use crate::history::{self, End, History};
 use crate::settings::{CLASSES, DEADLINE_MS};
 use crate::world::World;
 
@@ -26,14 +26,14 @@
 const DIAL: Duration = Duration::from_secs(1);
 /// Idle connections that are kept to one scheduler.
 const KEPT: usize = 16;
-/// Reqs under way; further ones are not sent, as a load of clients is bounded too.
+/// Requests under way; further ones are not sent, as a load of clients is bounded too.
 const MOST: usize = 4_096;
 
 /// How long a client comes again, in microseconds, and after what pause.
 const INSISTS: u64 = 40_000_000;
 const AGAIN: Duration = Duration::from_millis(50);
 
-/// One req in so many has a client that goes after so long, where clients leave.
+/// One request in so many has a client that goes after so long, where clients leave.
 const LEAVES: usize = 8;
 const LEAVES_AFTER: Duration = Duration::from_millis(30);
 
@@ -62,7 +62,7 @@
         Some((sender, dialled))
     }
 
-    /// Sends a req, and tells its end and when its connection was dialled.
+    /// Sends a request, and tells its end and when its connection was dialled.
     async fn send(&self, class: &str, id: &str) -> (End, u64) {
         let dialled = Cell::new(now_us());
         let request = || {
@@ -121,12 +121,12 @@
 pub struct Load(Rc<Shared>);
 
 impl Load {
-    /// Sends so many reqs a second, each to a scheduler by chance.
+    /// Sends so many requests a second, each to a scheduler by chance.
     pub fn start(world: &World, per_second: f64, seed: u64) -> Load {
         Load::of(world, per_second, seed, false, false)
     }
 
-    /// The same, of clients of which some go soon, whatever becomes of their reqs.
+    /// The same, of clients of which some go soon, whatever becomes of their requests.
     pub fn leaving(world: &World, per_second: f64, seed: u64) -> Load {
         Load::of(world, per_second, seed, false, true)
     }
@@ -201,6 +201,6 @@
         sleep(AGAIN).await;
         (end, dialled) = shared.pools[scheduler].send(class, &id).await;
     }
-    shared.history.ended(Req { id, scheduler, once, sent, dialled, ended: now_us(), end });
+    shared.history.ended(history::Request { id, scheduler, once, sent, dialled, ended: now_us(), end });
     shared.under_way.set(shared.under_way.get() - 1);
 }
--- a/crates/trials/src/plays/cold.rs
+++ b/crates/trials/src/plays/cold.rs
@@ -112,14 +112,14 @@
     tokio::time::sleep(Duration::from_micros((began + COUNTED.1).saturating_sub(now_us()))).await;
     load.end().await;
     let facts = world.facts();
-    let counts = |r: &&crate::history::Req| (began + COUNTED.0..began + COUNTED.1).contains(&r.sent);
-    let sent = facts.reqs.iter().filter(counts).count();
-    let served = facts.reqs.iter().filter(counts).filter(|r| r.end == End::Answer(200)).count();
+    let counts = |r: &&crate::history::Request| (began + COUNTED.0..began + COUNTED.1).contains(&r.sent);
+    let sent = facts.requests.iter().filter(counts).count();
+    let served = facts.requests.iter().filter(counts).filter(|r| r.end == End::Answer(200)).count();
     let share = served as f64 / sent.max(1) as f64;
     let opened: Vec<u64> = facts.workers.iter().flat_map(|w| w.opened.iter().copied()).collect();
     let most = facts.workers.iter().map(|w| densest(w.opened.clone(), 100_000)).max().unwrap_or(0);
     let figures = vec![
-        format!("{schedulers} schedulers, {workers} workers, {per_second:.0} reqs a second"),
+        format!("{schedulers} schedulers, {workers} workers, {per_second:.0} requests a second"),
         format!("from second 5 on {served} of {sent} served, {share:.3}"),
         format!(
             "connections to workers: {}, most in 100 ms {} in all, {most} to one",
--- a/crates/trials/src/plays/mod.rs
+++ b/crates/trials/src/plays/mod.rs
@@ -158,27 +158,27 @@
     Ok(())
 }
 
-/// Waits until so many further reqs have ended.
-async fn calm(world: &World, reqs: usize, load: &Load) -> Result<(), String> {
-    let (wanted, start) = (world.history.reqs() + reqs, tokio::time::Instant::now());
-    while world.history.reqs() < wanted {
+/// Waits until so many further requests have ended.
+async fn calm(world: &World, requests: usize, load: &Load) -> Result<(), String> {
+    let (wanted, start) = (world.history.requests() + requests, tokio::time::Instant::now());
+    while world.history.requests() < wanted {
         if start.elapsed() > PATIENCE {
-            return Err(format!("{} reqs were sent, {} ended", load.sent(), world.history.reqs()));
+            return Err(format!("{} requests were sent, {} ended", load.sent(), world.history.requests()));
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     Ok(())
 }
 
-/// Waits until each of these has served a req that was sent from now on.
+/// Waits until each of these has served a request that was sent from now on.
 async fn serves(world: &mut World, which: &[usize]) -> Result<Duration, String> {
     let from = now();
     let served = |world: &mut World| {
         let record = world.history.record();
-        let by = |s: usize| move |r: &&crate::history::Req| r.scheduler == s && r.sent >= from;
-        which.iter().all(|&s| record.reqs.iter().rev().filter(by(s)).any(|r| r.end == End::Answer(200)))
+        let by = |s: usize| move |r: &&crate::history::Request| r.scheduler == s && r.sent >= from;
+        which.iter().all(|&s| record.requests.iter().rev().filter(by(s)).any(|r| r.end == End::Answer(200)))
     };
-    world.until("a req served by each", PATIENCE, served).await
+    world.until("a request served by each", PATIENCE, served).await
 }
 
 /// Judges what was played by the checks that hold for every trial, and by the trial's own.
@@ -218,15 +218,15 @@
 /// The most breaches of one rule that are told in full.
 const MOST_TOLD: usize = 20;
 
-/// What became of the reqs, in a line.
+/// What became of the requests, in a line.
 fn answers(facts: &Facts) -> String {
-    let count = |f: &dyn Fn(End) -> bool| facts.reqs.iter().filter(|r| f(r.end)).count();
+    let count = |f: &dyn Fn(End) -> bool| facts.requests.iter().filter(|r| f(r.end)).count();
     let served = count(&|e| e == End::Answer(200));
     let other = count(&|e| matches!(e, End::Answer(s) if s != 200));
     let (broken, unsent) = (count(&|e| e == End::Broken), count(&|e| e == End::Unsent));
     let silent = count(&|e| e == End::Silence);
     format!(
-        "{} reqs: {served} served, {other} otherwise answered, {broken} broken, {unsent} unsent, {silent} silent",
-        facts.reqs.len()
+        "{} requests: {served} served, {other} otherwise answered, {broken} broken, {unsent} unsent, {silent} silent",
+        facts.requests.len()
     )
 }
--- a/crates/trials/src/plays/processes.rs
+++ b/crates/trials/src/plays/processes.rs
@@ -103,7 +103,7 @@
     let facts = world.facts();
     figures.push(answers(&facts));
     // Clients that come again until then get an answer that is final.
-    let open = facts.reqs.iter().filter(|r| !matches!(r.end, End::Answer(200 | 502)));
+    let open = facts.requests.iter().filter(|r| !matches!(r.end, End::Answer(200 | 502)));
     let broken = open.map(|r| format!("{} has no final answer: {:?}", r.id, r.end)).collect();
     Ok(Told { figures, broken })
 }
--- a/crates/trials/src/schedule.rs
+++ b/crates/trials/src/schedule.rs
@@ -76,7 +76,7 @@
             8 if !discovery => (Fault::Down(true), Some(Fault::Down(false))),
             9 if !discovery => (Fault::Slow(rng.u64(20..800)), Some(Fault::Slow(0))),
             10 => (Fault::Silence, None),
-            // Half of the workers always stay, so that reqs can be served.
+            // Half of the workers always stay, so that requests can be served.
             11 if w >= workers / 2 && !drained(w, &open) => match rng.bool() {
                 true => (Fault::Drain(w, true), Some(Fault::Drain(w, false))),
                 false => (Fault::RestartWorker(w, rng.u64(..3_000)), None),
--- a/crates/trials/src/settings.rs
+++ b/crates/trials/src/settings.rs
@@ -4,7 +4,7 @@
 
 use serde_json::{json, Value};
 
-/// The time within which a class's reqs are to be answered, in milliseconds.
+/// The time within which a class's requests are to be answered, in milliseconds.
 pub const DEADLINE_MS: u64 = 5_000;
 /// What a fresh worker is allowed, as in the platform's settings.
 pub const COLD_SHARE: f64 = 0.32;
@@ -15,7 +15,7 @@
 /// The time of the above, in milliseconds.
 pub const FALL_MS: u64 = 2_000;
 
-/// Classes: their names, and whether a req may run at most once.
+/// Classes: their names, and whether a request may run at most once.
 pub const CLASSES: [(&str, bool); 2] = [("transfer", true), ("lookup", false)];
 
 /// The settings of a fleet of so many schedulers.
--- a/crates/trials/src/world.rs
+++ b/crates/trials/src/world.rs
@@ -376,7 +376,7 @@
         Facts {
             schedulers: self.schedulers.iter().enumerate().map(scheduler).collect(),
             workers: self.workers.iter().map(worker).collect(),
-            reqs: self.history.record().reqs,
+            requests: self.history.record().requests,
             calls: self.discovery.calls(),
         }
     }
--- a/crates/trials/tests/checks.rs
+++ b/crates/trials/tests/checks.rs
@@ -2,16 +2,16 @@
 
 use oakshed_standin::fleet::{Arrival, Call, Outcome};
 use oakshed_trials::checks::*;
-use oakshed_trials::history::{End, Req, Span};
+use oakshed_trials::history::{End, Request, Span};
 
 const S: u64 = 1_000_000;
 
-fn req(id: &str, sent: u64, ended: u64, end: End) -> Req {
-    Req { id: id.into(), scheduler: 0, once: true, sent, dialled: sent, ended, end }
+fn request(id: &str, sent: u64, ended: u64, end: End) -> Request {
+    Request { id: id.into(), scheduler: 0, once: true, sent, dialled: sent, ended, end }
 }
 
-fn arrival(at: u64, req: &str) -> Arrival {
-    Arrival { at, req: req.into(), lease: None, ran: true }
+fn arrival(at: u64, request: &str) -> Arrival {
+    Arrival { at, request: request.into(), lease: None, ran: true }
 }
 
 /// A scheduler that lives from the first second on, and two workers.
@@ -27,50 +27,50 @@
 #[test]
 fn a_second_run_is_found_over_all_workers() {
     let mut facts = facts();
-    facts.reqs = vec![req("a", S, 2 * S, End::Answer(200)), req("b", S, 2 * S, End::Answer(200))];
-    facts.reqs[1].once = false;
+    facts.requests = vec![request("a", S, 2 * S, End::Answer(200)), request("b", S, 2 * S, End::Answer(200))];
+    facts.requests[1].once = false;
     facts.workers[0].arrivals = vec![arrival(S, "a"), arrival(S, "b")];
     facts.workers[1].arrivals = vec![arrival(2 * S, "b"), Arrival { ran: false, ..arrival(2 * S, "a") }];
     assert_eq!(nothing_runs_twice(&facts), [], "b may run again, and a was declined");
     facts.workers[1].arrivals.push(arrival(3 * S, "a"));
     let found = nothing_runs_twice(&facts);
     assert_eq!((found.len(), found[0].node.as_str(), found[0].at), (1, "w1", 3 * S));
-    // A leased job goes by its lease, whatever its reqs' ids are.
-    let leased = |at, req: &str| Arrival { lease: Some("j".into()), ..arrival(at, req) };
+    // A leased job goes by its lease, whatever its requests' ids are.
+    let leased = |at, request: &str| Arrival { lease: Some("j".into()), ..arrival(at, request) };
     facts.workers[0].arrivals = vec![leased(S, "x"), leased(2 * S, "y")];
     facts.workers[1].arrivals.clear();
     assert_eq!(nothing_runs_twice(&facts).len(), 1);
 }
 
 #[test]
-fn a_req_without_an_answer_is_found_where_its_scheduler_lived_on() {
+fn a_request_without_an_answer_is_found_where_its_scheduler_lived_on() {
     let mut facts = facts();
-    facts.reqs = vec![req("a", 2 * S, 3 * S, End::Broken)];
+    facts.requests = vec![request("a", 2 * S, 3 * S, End::Broken)];
     assert_eq!(all_answered(&facts).len(), 1);
-    facts.reqs[0].end = End::Silence;
+    facts.requests[0].end = End::Silence;
     assert_eq!(all_answered(&facts).len(), 1);
     facts.schedulers[0].lives = vec![Span { from: S, to: Some(5 * S / 2) }, Span { from: 3 * S, to: None }];
     assert_eq!(all_answered(&facts), [], "it was killed meanwhile");
-    (facts.reqs[0].sent, facts.reqs[0].dialled, facts.reqs[0].ended) = (3 * S, 3 * S, 4 * S);
+    (facts.requests[0].sent, facts.requests[0].dialled, facts.requests[0].ended) = (3 * S, 3 * S, 4 * S);
     assert_eq!(all_answered(&facts), [], "it did not listen yet");
-    facts.reqs[0].dialled = 3 * S + 1;
+    facts.requests[0].dialled = 3 * S + 1;
     assert_eq!(all_answered(&facts).len(), 1);
-    facts.reqs[0].dialled = 2 * S;
+    facts.requests[0].dialled = 2 * S;
     assert_eq!(all_answered(&facts), [], "its connection is from the life before");
-    (facts.reqs[0].sent, facts.reqs[0].ended) = (2 * S, 3 * S);
+    (facts.requests[0].sent, facts.requests[0].ended) = (2 * S, 3 * S);
     facts.schedulers[0].lives = vec![Span { from: S, to: None }];
     facts.schedulers[0].stops = vec![Span { from: S, to: Some(2 * S) }];
     assert_eq!(all_answered(&facts), [], "it was stopped when this came");
     facts.schedulers[0].stops = vec![Span { from: S, to: Some(2 * S - 1) }];
     assert_eq!(all_answered(&facts).len(), 1);
-    facts.reqs[0].end = End::Answer(503);
+    facts.requests[0].end = End::Answer(503);
     assert_eq!(all_answered(&facts), []);
 }
 
 #[test]
 fn a_late_job_on_a_drained_worker_is_found() {
     let mut facts = facts();
-    facts.reqs = vec![req("a", S, 9 * S, End::Answer(200))];
+    facts.requests = vec![request("a", S, 9 * S, End::Answer(200))];
     facts.schedulers[0].told = vec![(S, 1), (2 * S, 5)];
     facts.workers[0].drains = vec![(5, Some(7))];
     facts.workers[0].arrivals = vec![arrival(2 * S + DRAIN_SLACK, "a")];
@@ -109,7 +109,7 @@
 #[test]
 fn a_job_long_after_a_drain_is_found_whether_or_not_it_was_heard() {
     let mut facts = facts();
-    facts.reqs = vec![req("a", S, 30 * S, End::Answer(200))];
+    facts.requests = vec![request("a", S, 30 * S, End::Answer(200))];
     facts.workers[0].drained = vec![Span { from: 2 * S, to: Some(29 * S) }];
     let last = 2 * S + TOLD_ANYWAY + DRAIN_SLACK;
     let at = |facts: &mut Facts, at: u64| {
@@ -136,13 +136,14 @@
 #[test]
 fn an_attempt_for_a_client_that_has_left_is_found() {
     let mut facts = facts();
-    facts.reqs = vec![req("a", 2 * S, 3 * S, End::Left), req("b", 2 * S, 3 * S, End::Answer(200))];
+    facts.requests =
+        vec![request("a", 2 * S, 3 * S, End::Left), request("b", 2 * S, 3 * S, End::Answer(200))];
     facts.workers[0].arrivals =
         vec![arrival(2 * S, "a"), arrival(3 * S + LEFT_SLACK, "a"), arrival(4 * S, "b")];
     assert_eq!(nothing_for_who_left(&facts), []);
     facts.workers[1].arrivals = vec![arrival(3 * S + LEFT_SLACK + 1, "a")];
     assert_eq!(nothing_for_who_left(&facts).len(), 1, "a further attempt, on another worker");
-    facts.reqs[0].end = End::Silence;
+    facts.requests[0].end = End::Silence;
     assert_eq!(nothing_for_who_left(&facts).len(), 1, "it gave up, and went");
     facts.schedulers[0].stops = vec![Span { from: 2 * S, to: Some(3 * S + 1) }];
     assert_eq!(nothing_for_who_left(&facts), [], "it was stopped, and saw it when it went on");
