--- a/crates/timeline/tests/pictures.rs
+++ b/crates/timeline/tests/pictures.rs
@@ -39,7 +39,7 @@
     line.event(12_000, 299, "kill");
     line.message(13_000, 7, 8, None, "ping");
     line.message(13_000, 290, 291, None, "ping");
-    insta::assert_snapshot!(line.draw(&page(72)));
+    insta::assert_snapshot!(line.draw(&page(75)));
 }
 
 #[test]
