--- a/crates/core/src/facade/types.rs
+++ b/crates/core/src/facade/types.rs
@@ -1,4 +1,4 @@
-//! What goes in and out of the facade: reqs, jobs, steps, entries of the list, what was seen.
+//! What goes in and out of the facade: requests, jobs, steps, entries of the list, what was seen.
 //!
 //! Types only. Nothing here may name a socket, a format or a runtime.
 
@@ -6,9 +6,9 @@
 
 use crate::interface::{Condition, Ending, ListKind, Micros, Report};
 
-/// A req that was taken in.
+/// A request that was taken in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Req(pub(super) u64);
+pub struct Handle(pub(super) u64);
 
 /// What the decisions need to know of a job.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -29,40 +29,40 @@
     pub remaining: Micros,
 }
 
-/// What to do next for a req.
+/// What to do next for a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Fetch number `fetch` goes to a backend, and is given up at `until`.
-    Fetch {
-        /// Counted from 0 for each req.
-        fetch: usize,
-        /// The backend's name in the director's list.
+    /// Attempt number `attempt` goes to a backend, and is given up at `until`.
+    Attempt {
+        /// Counted from 0 for each request.
+        attempt: usize,
+        /// The backend's name in discovery's list.
         backend: Rc<str>,
         /// When it has timed out.
         until: Micros,
         /// From then on nothing more of it may be written: what is not whole by then never ran.
         whole_by: Micros,
     },
-    /// Final: the result of this fetch is the answer.
+    /// Final: the result of this attempt is the answer.
     Serve {
         /// Which one.
-        fetch: usize,
+        attempt: usize,
     },
-    /// Final: a synthetic answer that tells the client to come again, perhaps after a while.
-    Synthetic {
+    /// Final: a refusal that tells the client to come again, perhaps after a while.
+    Refuse {
         /// How long to stay away.
         retry_after: Option<Micros>,
     },
     /// Final: failed, nothing promised.
     Fail,
-    /// Stop waiting for this fetch, and report it as [`Ending::Revoked`].
+    /// Stop waiting for this attempt, and report it as [`Ending::Revoked`].
     Drop {
         /// Which one.
-        fetch: usize,
+        attempt: usize,
     },
 }
 
-/// One entry of the director's list, with names resolved to the settings' indices.
+/// One entry of discovery's list, with names resolved to the settings' indices.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
     /// The backend's name, the same at every scheduler.
@@ -82,24 +82,24 @@
 /// Something that was seen.
 #[derive(Clone, Copy, Debug)]
 pub enum Seen<'a> {
-    /// News of the director's list; no entries where the call failed.
+    /// News of discovery's list; no entries where the call failed.
     List(ListKind, &'a [Entry]),
-    /// The job of a fetch started to run.
-    Started(Req, usize),
-    /// The job of a fetch makes progress.
-    Progress(Req, usize),
-    /// A fetch ended.
-    Ended(Req, usize, Ending, Option<Report>),
+    /// The job of an attempt started to run.
+    Started(Handle, usize),
+    /// The job of an attempt makes progress.
+    Progress(Handle, usize),
+    /// An attempt ended.
+    Ended(Handle, usize, Ending, Option<Report>),
     /// A probe came back; no load where it failed.
     Probed(&'a Rc<str>, bool, Option<Report>),
 }
 
-/// What is due besides the steps of reqs.
+/// What is due besides the steps of requests.
 #[derive(Debug, Default, PartialEq)]
 pub struct Due {
     /// When to call `tick` next, unless it is woken before.
     pub next: Option<Micros>,
-    /// Subscribe to the director's list anew.
+    /// Subscribe to discovery's list anew.
     pub subscribe: bool,
     /// Backends whose load to ask for.
     pub probes: Vec<Rc<str>>,
--- a/crates/jobs/src/machine/job.rs
+++ b/crates/jobs/src/machine/job.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use oakshed_core::facade::{Micros, Req};
+use oakshed_core::facade::{Handle, Micros};
 
 use crate::record::{Answer, Lease, Order, Outcome};
 
@@ -33,7 +33,7 @@
     pub(super) lease: Lease,
     pub(super) worker: Rc<str>,
     /// Its number at the facade, in this life.
-    pub(super) fetch: Option<usize>,
+    pub(super) number: Option<usize>,
     pub(super) stand: Stand,
     /// Its bytes may leave: the lease is durable.
     pub(super) let_out: bool,
@@ -49,11 +49,11 @@
 impl Attempt {
     pub(super) fn new(lease: Lease, stand: Stand) -> Attempt {
         let worker = lease.worker.as_str().into();
-        let (fetch, result) = (None, None);
+        let (number, result) = (None, None);
         Attempt {
             lease,
             worker,
-            fetch,
+            number,
             stand,
             let_out: false,
             whole_by: Micros::MAX,
@@ -78,7 +78,7 @@
     /// Not yet durable, or of a past life and not yet taken up.
     Waiting,
     /// The decisions have it.
-    Held(Req),
+    Held(Handle),
     /// It has its answer, durable once the second is.
     Over(Answer, u64),
 }
@@ -115,9 +115,9 @@
         matches!(self.stage, Stage::Over(Answer::Failed, _)) && self.in_doubt()
     }
 
-    pub(super) fn req(&self) -> Option<Req> {
-        if let Stage::Held(req) = self.stage {
-            Some(req)
+    pub(super) fn request(&self) -> Option<Handle> {
+        if let Stage::Held(request) = self.stage {
+            Some(request)
         } else {
             None
         }
--- a/crates/jobs/src/machine/mod.rs
+++ b/crates/jobs/src/machine/mod.rs
@@ -93,7 +93,7 @@
     trimmed: u64,
     /// Some list has named workers, be it the one remembered from before the start.
     listed: bool,
-    /// The director itself has been heard in this life.
+    /// Discovery itself has been heard in this life.
     fresh: bool,
     failed: bool,
     full: bool,
@@ -173,32 +173,32 @@
     }
 
     fn step(&mut self, id: JobId, facade: &mut Facade) {
-        while let Some(req) = self.jobs.get(&id).and_then(Job::req) {
+        while let Some(request) = self.jobs.get(&id).and_then(Job::request) {
             let waker = Waker::from(Arc::new(JobWaker(id, self.woken.clone())));
-            let Poll::Ready(step) = facade.pick(req, &waker) else { return };
+            let Poll::Ready(step) = facade.pick(request, &waker) else { return };
             match step {
-                Step::Fetch { fetch, backend, until, whole_by } => {
-                    self.lease(id, fetch, backend, until, whole_by);
+                Step::Attempt { attempt, backend, until, whole_by } => {
+                    self.lease(id, attempt, backend, until, whole_by);
                 }
-                Step::Serve { fetch } => {
+                Step::Serve { attempt } => {
                     let job = self.jobs.get_mut(&id);
-                    let a = job.and_then(|j| j.attempts.iter_mut().find(|a| a.fetch == Some(fetch)));
+                    let a = job.and_then(|j| j.attempts.iter_mut().find(|a| a.number == Some(attempt)));
                     let result = a.and_then(|a| a.result.take());
                     self.must(result.is_some(), "a served attempt has its result");
                     self.finish(id, result.map_or(Answer::Failed, Answer::Served), facade);
                 }
-                Step::Synthetic { retry_after } => self.finish(id, Answer::Refused(retry_after), facade),
+                Step::Refuse { retry_after } => self.finish(id, Answer::Refused(retry_after), facade),
                 Step::Fail => self.finish(id, Answer::Failed, facade),
-                Step::Drop { fetch } => {
+                Step::Drop { attempt } => {
                     let job = self.jobs.get_mut(&id);
-                    let a = job.and_then(|j| j.attempts.iter_mut().find(|a| a.fetch == Some(fetch)));
+                    let a = job.and_then(|j| j.attempts.iter_mut().find(|a| a.number == Some(attempt)));
                     if let Some(a) = a.filter(|a| a.open()) {
                         let sent = a.let_out || a.stand == Stand::Asked;
                         a.stand = if sent { Stand::Doubt } else { Stand::Unsent };
                         let token = a.lease.token;
                         self.ready.push_back(Effect::Stop { id, token });
                     }
-                    facade.report(self.now, Seen::Ended(req, fetch, Ending::Revoked, None));
+                    facade.report(self.now, Seen::Ended(request, attempt, Ending::Revoked, None));
                 }
             }
         }
--- a/crates/server/src/net/backends/mod.rs
+++ b/crates/server/src/net/backends/mod.rs
@@ -1,11 +1,12 @@
 //! The backends: their addresses and the idle connections to them.
 //!
-//! It owns the table of both, and the budget of sockets; `link` owns a connection, `fetch` a fetch on one,
-//! `gate` the last look before its bytes leave, `stream` the form of a job's stream, `probe` what is asked that is no job. It must never send to a backend
-//! that is not listed as ready what asks for anything new, and never know for whom a fetch is: who starts one
-//! is told of it through `Told`. Of the network's parts it uses `order` and `answers` alone.
+//! It owns the table of both, and the budget of sockets; `link` owns a connection, `attempt` what goes over
+//! one, `gate` the last look before its bytes leave, `stream` the form of a job's stream, `probe` what is asked
+//! that is no job. It must never send to a backend that is not listed as ready what asks for anything new, and
+//! never know for whom an attempt is: who starts one is told of it through `Told`. Of the network's
+//! parts it uses `order` and `answers` alone.
 
-mod fetch;
+mod attempt;
 mod gate;
 mod link;
 mod probe;
@@ -24,7 +25,7 @@
 use link::{Slot, Socket};
 use oakshed_core::facade::{Condition, Entry, Micros};
 
-pub(crate) use fetch::{start, Fetch, Told};
+pub(crate) use attempt::{start, Attempt, Told};
 pub(crate) use link::Link;
 pub(crate) use probe::{consult, probe};
 
@@ -46,7 +47,7 @@
     idle: Vec<(Micros, Link)>,
 }
 
-/// All backends that the director has named, and the connections to them.
+/// All backends that discovery has named, and the connections to them.
 #[derive(Default)]
 pub(crate) struct Backends {
     all: RefCell<FxHashMap<Rc<str>, Backend>>,
@@ -60,7 +61,7 @@
 }
 
 impl Backends {
-    /// Takes over what the director tells; in a whole list, who is not named is gone.
+    /// Takes over what discovery tells; in a whole list, who is not named is gone.
     pub(crate) fn update<'a>(&self, whole: bool, list: impl Iterator<Item = (&'a Entry, SocketAddr)>) {
         let mut all = self.all.borrow_mut();
         if whole {
--- a/crates/server/src/net/durable/clients.rs
+++ b/crates/server/src/net/durable/clients.rs
@@ -14,7 +14,7 @@
 use oakshed_jobs::machine::Submitted;
 use oakshed_jobs::record::{self, Answer, JobId, Key, Outcome};
 
-use super::super::answers::{not_allowed, plain, synthetic, IDEMPOTENCY_KEY, REQ_OWNER};
+use super::super::answers::{not_allowed, plain, refusal, IDEMPOTENCY_KEY, REQ_OWNER};
 use super::super::order::Order;
 use super::super::Net;
 use super::News;
@@ -27,7 +27,7 @@
 static PREFER: HeaderName = HeaderName::from_static("prefer");
 static PREFERENCE_APPLIED: HeaderName = HeaderName::from_static("preference-applied");
 
-/// What a client's fields say of its job, beside what every req's do.
+/// What a client's fields say of its job, beside what every request's do.
 pub(in super::super) struct Asked {
     detached: bool,
     wait: Option<u64>,
@@ -61,7 +61,7 @@
     match answer {
         Answer::Served(result) => Response::new(Full::new(result.into())),
         Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed\n"),
-        Answer::Refused(wait) => synthetic(wait.filter(|_| net.config.settings.retry_after)),
+        Answer::Refused(wait) => refusal(wait.filter(|_| net.config.settings.retry_after)),
         Answer::Cancelled => plain(StatusCode::GONE, "withdrawn\n"),
     }
 }
@@ -101,12 +101,12 @@
     match submitted {
         Submitted::Over(over) => return answer(net, over),
         Submitted::Conflict => {
-            net.count(|c| &mut c.bad_reqs);
+            net.count(|c| &mut c.bad_requests);
             return plain(StatusCode::UNPROCESSABLE_ENTITY, "this key belongs to another payload\n");
         }
         Submitted::Busy => {
             let s = &net.config.settings;
-            let mut busy = synthetic(s.retry_after.then_some(s.max_retry_after / 2));
+            let mut busy = refusal(s.retry_after.then_some(s.max_retry_after / 2));
             if !busy.headers().contains_key(RETRY_AFTER) {
                 busy.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
             }
--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -1,8 +1,8 @@
-//! One req from its arrival to its answer.
+//! One request from its arrival to its answer.
 //!
-//! It owns the handler that does what the decisions say, the req's place in the figures, and the words of its
-//! fetches. It must never decide what a req gets (each step comes from the facade's `pick`), or hold an answer
-//! back.
+//! It owns the handler that does what the decisions say, the request's place in the figures, and the words of
+//! its attempts. It must never decide what a request gets (each step comes from the facade's `pick`), or hold
+//! an answer back.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,14 +13,14 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
 
-use super::super::answers::{not_allowed, plain, synthetic};
-use super::super::backends::{self, Fetch, Told};
+use super::super::answers::{not_allowed, plain, refusal};
+use super::super::backends::{self, Attempt, Told};
 use super::super::durable;
 use super::super::order::Order;
 use super::super::Net;
 use super::clients::Client;
 use super::request::{class_of, read};
-use oakshed_core::facade::{Ending, Job, Micros, Report, Req, Seen, Step};
+use oakshed_core::facade::{Ending, Handle, Job, Micros, Report, Seen, Step};
 use oakshed_core::figures::{End, Entry};
 
 pub(super) async fn respond(
@@ -54,7 +54,7 @@
     answer
 }
 
-/// A req's place in the operators' figures: it counts from when it has arrived in full, or has its
+/// A request's place in the operators' figures: it counts from when it has arrived in full, or has its
 /// answer, whichever comes first.
 struct Taken<'a> {
     net: &'a Net,
@@ -84,7 +84,7 @@
     let (job, order, mut held) = match read(net, client, taken.class, arrived, head, body).await {
         Ok(read) => read,
         Err(answer) => {
-            net.count(|c| &mut c.bad_reqs);
+            net.count(|c| &mut c.bad_requests);
             return answer;
         }
     };
@@ -96,68 +96,68 @@
         return durable::handle(net, &job, order, &asked).await;
     }
     if !held.claim(&order.id) {
-        net.count(|c| &mut c.bad_reqs);
+        net.count(|c| &mut c.bad_requests);
         return plain(StatusCode::CONFLICT, "another open req has this Req-Id\n");
     }
     handle(net, &job, Rc::new(Order { _held: Some(held), ..order })).await
 }
 
-/// A req from its arrival to its answer. Where its client goes away first, hyper drops it, and
+/// A request from its arrival to its answer. Where its client goes away first, hyper drops it, and
 /// what is still out is given up.
 struct Handler<'a> {
     net: &'a Rc<Net>,
-    req: Req,
-    fetches: Vec<Fetch>,
+    request: Handle,
+    attempts: Vec<Attempt>,
 }
 
 impl Drop for Handler<'_> {
     fn drop(&mut self) {
-        let drops = self.net.facade.borrow_mut().leave(self.net.clock.now(), self.req);
-        self.fetches.iter().for_each(Fetch::leave);
-        drops.into_iter().filter_map(|n| self.fetches.get(n)).for_each(Fetch::stop);
+        let drops = self.net.facade.borrow_mut().leave(self.net.clock.now(), self.request);
+        self.attempts.iter().for_each(Attempt::leave);
+        drops.into_iter().filter_map(|n| self.attempts.get(n)).for_each(Attempt::stop);
     }
 }
 
-/// A req's fetch, by its number.
+/// A request's attempt, by its number.
 #[derive(Clone, Copy)]
-struct ReqFetch(Req, usize);
+struct RequestAttempt(Handle, usize);
 
-impl Told for ReqFetch {
+impl Told for RequestAttempt {
     fn alive(self, net: &Net, started: bool) {
-        let ReqFetch(req, fetch) = self;
-        net.report(if started { Seen::Started(req, fetch) } else { Seen::Progress(req, fetch) });
+        let RequestAttempt(request, attempt) = self;
+        net.report(if started { Seen::Started(request, attempt) } else { Seen::Progress(request, attempt) });
     }
 
     fn ended(self, net: &Rc<Net>, ending: Ending, _: Option<Bytes>, load: Option<Report>) {
-        let ReqFetch(req, fetch) = self;
-        net.report(Seen::Ended(req, fetch, ending, load));
+        let RequestAttempt(request, attempt) = self;
+        net.report(Seen::Ended(request, attempt, ending, load));
     }
 }
 
 async fn handle(net: &Rc<Net>, job: &Job, order: Rc<Order>) -> Response<Full<Bytes>> {
-    let req = net.facade.borrow_mut().take(net.clock.now(), job);
-    let mut handler = Handler { net, req, fetches: Vec::new() };
+    let request = net.facade.borrow_mut().take(net.clock.now(), job);
+    let mut handler = Handler { net, request, attempts: Vec::new() };
     loop {
-        match net.pick(req).await {
-            Step::Fetch { fetch, backend, until, whole_by } => {
-                net.must(fetch == handler.fetches.len(), "fetches are numbered in order");
-                let (whose, times) = (ReqFetch(req, fetch), (until, whole_by));
-                handler.fetches.push(backends::start(net, &order, whose, backend, times));
+        match net.pick(request).await {
+            Step::Attempt { attempt, backend, until, whole_by } => {
+                net.must(attempt == handler.attempts.len(), "attempts are numbered in order");
+                let (whose, times) = (RequestAttempt(request, attempt), (until, whole_by));
+                handler.attempts.push(backends::start(net, &order, whose, backend, times));
             }
-            Step::Serve { fetch } => {
-                let result = match handler.fetches.get_mut(fetch) {
-                    Some(fetch) => fetch.result().await,
+            Step::Serve { attempt } => {
+                let result = match handler.attempts.get_mut(attempt) {
+                    Some(attempt) => attempt.result().await,
                     None => None,
                 };
-                net.must(result.is_some(), "a served fetch has its result");
+                net.must(result.is_some(), "a served attempt has its result");
                 let Some(result) = result else { return plain(StatusCode::BAD_GATEWAY, "failed\n") };
                 return Response::new(Full::new(result));
             }
-            Step::Synthetic { retry_after } => return synthetic(retry_after),
+            Step::Refuse { retry_after } => return refusal(retry_after),
             Step::Fail => return plain(StatusCode::BAD_GATEWAY, "failed\n"),
-            Step::Drop { fetch } => {
-                handler.fetches.get(fetch).into_iter().for_each(Fetch::stop);
-                net.report(Seen::Ended(req, fetch, Ending::Revoked, None));
+            Step::Drop { attempt } => {
+                handler.attempts.get(attempt).into_iter().for_each(Attempt::stop);
+                net.report(Seen::Ended(request, attempt, Ending::Revoked, None));
             }
         }
     }
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -1,17 +1,17 @@
 //! The network side of the program: sockets, HTTP and the platform's protocol, around the facade.
 //!
 //! This file owns what the parts share (clock, facade, counters, the stop) and the timer task. It
-//! must never decide on a req: each step comes from the facade, and what is seen goes back to it.
+//! must never decide on a request: each step comes from the facade, and what is seen goes back to it.
 //!
 //! The parts use one another in one direction: `front` uses `durable` and `backends`, `durable` uses
 //! `backends`, and `backends` neither. `answers` and `order` are leaves: all three use them, and they
-//! use none of the three. What a fetch has to say goes back through the trait `backends::Told`.
+//! use none of the three. What an attempt has to say goes back through the trait `backends::Told`.
 
 mod admin;
 mod answers;
 pub mod backends;
 mod bans;
-pub mod director;
+pub mod discovery;
 mod durable;
 pub mod front;
 mod handover;
@@ -39,7 +39,7 @@
 use oakshed_core::facade::{Accounts, Facade, Micros, Seen, Step};
 use oakshed_core::figures::Ledger;
 
-/// How long after SIGTERM the platform may still bring reqs that must be answered, whatever else: its
+/// How long after SIGTERM the platform may still bring requests that must be answered, whatever else: its
 /// front sends some for 0.4 s, and clients use their connections until these are closed.
 const LINGER: Micros = 720_000;
 /// SIGKILL follows SIGTERM after the longest deadline, or this where that is longer, and a bit.
@@ -52,7 +52,7 @@
 /// Between two looks at whether there is something new to log.
 const LOG_EVERY: Duration = Duration::from_secs(10);
 /// Descriptors for what is not a client or a backend: standard streams, the runtime's own, the
-/// listener, the director, and what is on its way from closed to gone.
+/// listener, discovery, and what is on its way from closed to gone.
 const RESERVED_SOCKETS: usize = 32;
 /// Where hardly any are left beside those, so many are for clients, and as many for backends.
 const LEAST_SHARE: usize = 4;
@@ -60,7 +60,7 @@
 /// last moment could not be answered any more.
 const IDLE_UNTIL: Micros = 1_000_000;
 
-/// Unix time in microseconds as of the start, going on with the monotonic clock: the director's
+/// Unix time in microseconds as of the start, going on with the monotonic clock: discovery's
 /// start times fit in, and it never runs backwards.
 #[derive(Clone, Copy)]
 pub(crate) struct Clock {
@@ -86,7 +86,7 @@
 /// What went wrong on the network, or should have been impossible.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Counters {
-    pub bad_reqs: u64,
+    pub bad_requests: u64,
     pub dials: u64,
     pub reused: u64,
     pub dead_idle: u64,
@@ -100,12 +100,12 @@
     pub drained_before_send: u64,
     pub broken: u64,
     pub accept_errors: u64,
-    pub director_calls: u64,
-    pub director_failures: u64,
+    pub discovery_calls: u64,
+    pub discovery_failures: u64,
     pub silent_watches: u64,
     pub malformed_lists: u64,
     pub evicted_clients: u64,
-    pub overdue_reqs: u64,
+    pub overdue_requests: u64,
     pub no_room: u64,
 }
 
@@ -125,18 +125,18 @@
     pub closing: watch::Sender<bool>,
     /// The next process has the listening socket: nothing more is accepted.
     pub handed: watch::Sender<bool>,
-    /// Where the director is: a reload may move it.
-    pub director: watch::Sender<SocketAddr>,
+    /// Where discovery is: a reload may move it.
+    pub discovery: watch::Sender<SocketAddr>,
     pub subscribe: Notify,
     pub ready: Cell<bool>,
-    /// Since SIGTERM: reqs that arrive after the first are bounded by the second.
+    /// Since SIGTERM: requests that arrive after the first are bounded by the second.
     pub stop: Cell<Option<(Micros, Micros)>>,
     pub open: order::Open,
     pub others: handover::Others,
     pub bans: bans::Bans,
-    /// The list as the director told it.
+    /// The list as discovery told it.
     pub held: RefCell<Held>,
-    /// What became of reqs, for operators.
+    /// What became of requests, for operators.
     pub ledger: Ledger,
     /// Durable jobs, where the operators have switched them on.
     pub durable: Option<durable::Durable>,
@@ -153,7 +153,7 @@
             counters: RefCell::default(),
             closing: watch::Sender::new(false),
             handed: watch::Sender::new(false),
-            director: watch::Sender::new(config.director),
+            discovery: watch::Sender::new(config.discovery),
             subscribe: Notify::new(),
             ready: Cell::new(false),
             stop: Cell::new(None),
@@ -172,8 +172,8 @@
         self.facade.borrow_mut().report(self.clock.now(), seen);
     }
 
-    pub(crate) async fn pick(&self, req: oakshed_core::facade::Req) -> Step {
-        poll_fn(|cx| self.facade.borrow_mut().pick(req, cx.waker())).await
+    pub(crate) async fn pick(&self, request: oakshed_core::facade::Handle) -> Step {
+        poll_fn(|cx| self.facade.borrow_mut().pick(request, cx.waker())).await
     }
 
     pub(crate) fn count(&self, which: impl FnOnce(&mut Counters) -> &mut u64) {
@@ -186,13 +186,13 @@
         self.counters.borrow_mut().broken += u64::from(!holds);
     }
 
-    /// Whether reqs that come now can be served.
+    /// Whether requests that come now can be served.
     pub(crate) fn can_serve(&self) -> bool {
         let facade = self.facade.borrow();
         self.ready.get() && self.backends.any_ready(|name| !facade.is_out(name))
     }
 
-    /// A deadline, cut to what SIGKILL leaves of it. Guards against a req that was taken late in a stop
+    /// A deadline, cut to what SIGKILL leaves of it. Guards against a request that was taken late in a stop
     /// and is cut off without an answer.
     pub(crate) fn bounded(&self, arrived: Micros, deadline: Micros) -> Micros {
         match self.stop.get() {
@@ -243,19 +243,19 @@
     let mut net = Net::new(config, clock, facade, durable);
     net.peers = peers;
     let net = Rc::new(net);
-    let (listen, Config { name, director, sockets, .. }) = (listener.local_addr()?, &net.config);
-    info!(%listen, %director, sockets, "{name} listens on {listen}, director {director}, {sockets} sockets");
+    let (listen, Config { name, discovery, sockets, .. }) = (listener.local_addr()?, &net.config);
+    info!(%listen, %discovery, sockets, "{name} listens on {listen}, discovery {discovery}, {sockets} sockets");
     tokio::task::spawn_local(durable::run(net.clone(), told));
     if let Some(folder) = &folder {
         bans::start(&net, folder);
     }
-    director::remember(&net);
+    discovery::remember(&net);
     if net.peers.is_some() {
         tokio::task::spawn_local(peers::run(net.clone()));
     }
     net.ready.set(true);
     tokio::task::spawn_local(run_timer(net.clone()));
-    tokio::task::spawn_local(director::run(net.clone()));
+    tokio::task::spawn_local(discovery::run(net.clone()));
     tokio::task::spawn_local(backends::sweep(net.clone()));
     tokio::task::spawn_local(log_counters(net.clone()));
     tokio::task::spawn_local(reload_when_told(net.clone(), hangup));
@@ -277,7 +277,7 @@
     }
 }
 
-/// The timer of the decisions, and what they want done besides the steps of reqs.
+/// The timer of the decisions, and what they want done besides the steps of requests.
 async fn run_timer(net: Rc<Net>) {
     let mut sleep: Pin<Box<Sleep>> = Box::pin(tokio::time::sleep(Duration::ZERO));
     loop {
@@ -302,8 +302,8 @@
     }
 }
 
-/// Reads the configuration again at each SIGHUP and takes over the director's address, which is all
-/// that can change while reqs are open. The environment's address is that of the start: the file
+/// Reads the configuration again at each SIGHUP and takes over discovery's address, which is all
+/// that can change while requests are open. The environment's address is that of the start: the file
 /// counts now.
 async fn reload_when_told(net: Rc<Net>, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
@@ -320,8 +320,8 @@
         let told = |c: &Config| (c.name.clone(), c.names.clone(), c.settings.clone());
         let kept = (limits(&new), told(&new)) == (limits(old), told(old));
         let rest = if kept { "" } else { "; what else has changed needs a restart" };
-        info!(director = %new.director, "reload: director {}{rest}", new.director);
-        net.director.send_if_modified(|at| std::mem::replace(at, new.director) != new.director);
+        info!(discovery = %new.discovery, "reload: discovery {}{rest}", new.discovery);
+        net.discovery.send_if_modified(|at| std::mem::replace(at, new.discovery) != new.discovery);
     }
 }
 
@@ -345,7 +345,7 @@
     }
     tokio::time::sleep(Duration::from_micros(linger)).await;
     let owed = net.facade.borrow().owed();
-    info!(owed, "closing: {owed} reqs are owed an answer");
+    info!(owed, "closing: {owed} requests are owed an answer");
     net.closing.send_replace(true);
 }
 
@@ -355,7 +355,7 @@
     let Accounts { requests, held, attempts, slots, workers } = facade.accounts();
     let (ids, bytes, sockets) = (net.open.ids(), net.open.bytes(), net.backends.sockets());
     format!(
-        "{} {:?} Open {{ reqs: {requests}, held: {held}, attempts: {attempts}, slots: {slots}, ids: {ids}, \
+        "{} {:?} Open {{ requests: {requests}, held: {held}, attempts: {attempts}, slots: {slots}, ids: {ids}, \
          body_bytes: {bytes}, backend_sockets: {sockets}, backends: {workers} }}{jobs}",
         facade.tally(),
         net.counters.borrow()
--- a/crates/server/tests/daily/handover.rs
+++ b/crates/server/tests/daily/handover.rs
@@ -12,15 +12,15 @@
 
 use crate::{figure, slow, wait_for_yes};
 
-/// Sends reqs until told to stop, on fresh connections or on one that is kept; tells how many were served,
-/// and what else was seen. A kept connection that was closed between two reqs is opened anew.
+/// Sends requests until told to stop, on fresh connections or on one that is kept; tells how many were
+/// served, and what else was seen. A kept connection that was closed between two requests is opened anew.
 fn clients(at: SocketAddr, name: &str, kept: bool, stop: &AtomicBool) -> (usize, Vec<String>) {
     let (mut served, mut wrong, mut open) = (0, Vec::new(), None::<TcpStream>);
     for n in 0.. {
         if stop.load(Ordering::SeqCst) {
             break;
         }
-        let text = req("transfer", &format!("{name}-{n}"));
+        let text = request("transfer", &format!("{name}-{n}"));
         let mut stream = match open.take().map_or_else(|| TcpStream::connect(at), Ok) {
             Ok(stream) => stream,
             Err(e) => {
@@ -51,12 +51,12 @@
     let backends = [slow(), slow(), slow()];
     let names = ["s-0", "s-1", "s-2"];
     let list: Vec<_> = names.into_iter().zip(backends.iter().map(|b| b.address)).collect();
-    let (director, place, stop) = (Director::new(&list), Place::new(), AtomicBool::new(false));
-    let start = || Program::start_at(&place, &director, 512, &[ADMIN]);
+    let (discovery, place, stop) = (Discovery::new(&list), Place::new(), AtomicBool::new(false));
+    let start = || Program::start_at(&place, &discovery, 512, &[ADMIN]);
     let mut running = start();
     wait_for_yes(&running);
-    // What was told of before is known to the next process, also where the director says nothing more.
-    director.set("s-2", "draining");
+    // What was told of before is known to the next process, also where discovery says nothing more.
+    discovery.set("s-2", "draining");
     until("the drain", || figure(&call(running.admin(), "telemetry"), "members_unavailable") == 1);
     let before = backends[2].count();
     std::thread::scope(|s| {
@@ -70,7 +70,7 @@
         for _ in 0..2 {
             // One that is idle stays open while that is possible, and is served once more.
             let mut idle = running.connect();
-            assert_eq!(ask_on(&mut idle, &req("transfer", &format!("idle-{}", jobs()))).status(), 200);
+            assert_eq!(ask_on(&mut idle, &request("transfer", &format!("idle-{}", jobs()))).status(), 200);
             let next = start();
             wait_for_yes(&next);
             assert!(next.log().contains("took the socket"), "{}", next.log());
@@ -78,7 +78,7 @@
             until("the stop", || running.log().contains("accepting no more"));
             let so_far = jobs();
             until("more jobs", || jobs() > so_far + 100);
-            let answer = ask_on(&mut idle, &req("transfer", &format!("idle-{}", jobs())));
+            let answer = ask_on(&mut idle, &request("transfer", &format!("idle-{}", jobs())));
             assert_eq!((answer.status(), answer.field("connection")), (200, Some("close")));
             let ended = running.wait();
             assert_eq!(ended.code(), Some(0), "{}", running.log());
@@ -102,28 +102,28 @@
 #[test]
 fn with_the_shortest_deadlines_the_process_before_ends_in_time() {
     let backend = good();
-    let (director, place) = (Director::new(&[("s-1", backend.address)]), Place::new());
+    let (discovery, place) = (Discovery::new(&[("s-1", backend.address)]), Place::new());
     let short = (r#""give-up-ms":5000"#, r#""give-up-ms":200"#);
-    let start = || Program::start_at(&place, &director, 512, &[ADMIN, short]);
+    let start = || Program::start_at(&place, &discovery, 512, &[ADMIN, short]);
     let mut old = start();
     wait_for_yes(&old);
     let mut idle = old.connect();
-    assert_eq!(ask_on(&mut idle, &req("transfer", "id-1")).status(), 200);
+    assert_eq!(ask_on(&mut idle, &request("transfer", "id-1")).status(), 200);
     let new = start();
     wait_for_yes(&new);
     until("its place", || old.log().contains("the next process can serve"));
     old.signal("-TERM");
     assert_eq!(idle.read(&mut [0; 1]).expect("an end and no reset"), 0);
     assert_eq!(old.wait().code(), Some(0));
-    assert_eq!(ask(place.listen, &req("transfer", "id-2")).map(|m| m.status()), Some(200));
+    assert_eq!(ask(place.listen, &request("transfer", "id-2")).map(|m| m.status()), Some(200));
 }
 
 /// A new process that ends before or after its yes leaves the old one serving, and the next one takes over.
 #[test]
 fn a_new_process_that_ends_leaves_the_old_one_as_it_was() {
     let backend = good();
-    let (director, place) = (Director::new(&[("s-1", backend.address)]), Place::new());
-    let start = || Program::start_at(&place, &director, 512, &[ADMIN]);
+    let (discovery, place) = (Discovery::new(&[("s-1", backend.address)]), Place::new());
+    let start = || Program::start_at(&place, &discovery, 512, &[ADMIN]);
     let old = start();
     wait_for_yes(&old);
     // It connects, and ends: at once, after its hello, with the socket in its hands.
@@ -134,7 +134,7 @@
             _ = link.read(&mut [0; 1]);
         }
         drop(link);
-        assert_eq!(ask(place.listen, &req("transfer", "id-1")).map(|m| m.status()), Some(200));
+        assert_eq!(ask(place.listen, &request("transfer", "id-1")).map(|m| m.status()), Some(200));
     }
     for served in [false, true] {
         let mut new = start();
@@ -147,7 +147,7 @@
             old.log().matches("the next process has ended").count() > usize::from(served)
         });
         for n in 0..20 {
-            let answer = ask(place.listen, &req("transfer", &format!("id-{served}-{n}")));
+            let answer = ask(place.listen, &request("transfer", &format!("id-{served}-{n}")));
             assert_eq!(answer.map(|m| m.status()), Some(200));
         }
     }
@@ -162,12 +162,12 @@
 #[test]
 fn a_start_that_finds_nobody_to_take_over_from_is_a_usual_one() {
     let backend = good();
-    let (director, place) = (Director::new(&[("s-1", backend.address)]), Place::new());
+    let (discovery, place) = (Discovery::new(&[("s-1", backend.address)]), Place::new());
     let socket = place.shared().join("handover");
     let start = || {
-        let program = Program::start_at(&place, &director, 512, &[ADMIN]);
+        let program = Program::start_at(&place, &discovery, 512, &[ADMIN]);
         wait_for_yes(&program);
-        assert_eq!(ask(place.listen, &req("transfer", "id-1")).map(|m| m.status()), Some(200));
+        assert_eq!(ask(place.listen, &request("transfer", "id-1")).map(|m| m.status()), Some(200));
         program
     };
     let mut first = start();
@@ -195,20 +195,20 @@
     let new = start();
     assert!(!new.log().contains("took the socket"));
     drop(old);
-    assert_eq!(ask(place.listen, &req("transfer", "id-2")).map(|m| m.status()), Some(200));
+    assert_eq!(ask(place.listen, &request("transfer", "id-2")).map(|m| m.status()), Some(200));
 }
 
 /// A Unix socket's path holds a hundred bytes; a folder's may be much longer.
 #[test]
 fn a_long_path_is_no_hindrance() {
     let backend = good();
-    let (director, mut place) = (Director::new(&[("s-1", backend.address)]), Place::new());
+    let (discovery, mut place) = (Discovery::new(&[("s-1", backend.address)]), Place::new());
     let top = place.folder.clone();
     place.folder = top.join("x".repeat(150));
     std::fs::create_dir(&place.folder).expect("made");
-    let old = Program::start_at(&place, &director, 512, &[ADMIN]);
+    let old = Program::start_at(&place, &discovery, 512, &[ADMIN]);
     wait_for_yes(&old);
-    let new = Program::start_at(&place, &director, 512, &[ADMIN]);
+    let new = Program::start_at(&place, &discovery, 512, &[ADMIN]);
     wait_for_yes(&new);
     assert!(new.log().contains("took the socket"), "{}", new.log());
     place.folder = top;
--- a/crates/trials/src/plays/mod.rs
+++ b/crates/trials/src/plays/mod.rs
@@ -4,7 +4,7 @@
 //! judge by a moment: it waits for conditions, and its limits are those of the rules.
 
 mod cold;
-mod director;
+mod discovery;
 mod mixed;
 mod processes;
 
@@ -58,7 +58,7 @@
 pub const ALL: [Play; 8] = [
     named(
         "cold-start",
-        "all start at once without a list; the director serves in turn, 20 ms a call, and refuses after 3 s",
+        "all start at once without a list; discovery serves in turn, 20 ms a call, and refuses after 3 s",
     ),
     named(
         "returns",
@@ -66,8 +66,8 @@
     ),
     named("silent-watches", "all watches fall silent at one moment, and a worker is drained right then"),
     named(
-        "director-cut",
-        "the director's answers do not reach half of the schedulers, a worker is drained, it heals",
+        "discovery-cut",
+        "discovery's answers do not reach half of the schedulers, a worker is drained, it heals",
     ),
     named("stopped", "a scheduler is stopped for 3 s (SIGSTOP) across a drain"),
     named(
@@ -78,7 +78,7 @@
         "durable-kills",
         "schedulers with durable jobs are killed, and start with a known list and without",
     ),
-    named("mixed", "sixteen faults of all kinds drawn from the seed: processes, ways, director, workers"),
+    named("mixed", "sixteen faults of all kinds drawn from the seed: processes, ways, discovery, workers"),
 ];
 
 /// What [`play`] fails with after Ctrl-C or SIGTERM.
@@ -123,7 +123,7 @@
     let setup = match name {
         "cold-start" => cold::setup(options),
         "returns" => cold::setup_returns(options),
-        "silent-watches" | "director-cut" => director::setup(options),
+        "silent-watches" | "discovery-cut" => discovery::setup(options),
         "stopped" => processes::setup_stopped(options),
         "third-killed" => processes::setup_killed(options),
         "durable-kills" => processes::setup_durable(options),
@@ -134,8 +134,8 @@
     let outcome = match name {
         "cold-start" => cold::start(&mut world).await,
         "returns" => cold::returns(&mut world).await,
-        "silent-watches" => director::silent(&mut world).await,
-        "director-cut" => director::cut(&mut world).await,
+        "silent-watches" => discovery::silent(&mut world).await,
+        "discovery-cut" => discovery::cut(&mut world).await,
         "stopped" => processes::stopped(&mut world).await,
         "third-killed" => processes::killed(&mut world).await,
         "durable-kills" => processes::durable(&mut world).await,
@@ -152,33 +152,33 @@
 /// Starts all with the list as it is, and waits until each has told of it.
 async fn began_with_list(world: &mut World) -> Result<(), String> {
     world.start_all(Known::Held).map_err(|e| e.to_string())?;
-    let number = world.director.number();
+    let number = world.discovery.number();
     let holds = |w: &mut World| w.schedulers.iter().all(|s| s.holds(number));
     world.until("a list on all", PATIENCE, holds).await?;
     Ok(())
 }
 
-/// Waits until so many further reqs have ended.
-async fn calm(world: &World, reqs: usize, load: &Load) -> Result<(), String> {
-    let (wanted, start) = (world.history.reqs() + reqs, tokio::time::Instant::now());
-    while world.history.reqs() < wanted {
+/// Waits until so many further requests have ended.
+async fn calm(world: &World, requests: usize, load: &Load) -> Result<(), String> {
+    let (wanted, start) = (world.history.requests() + requests, tokio::time::Instant::now());
+    while world.history.requests() < wanted {
         if start.elapsed() > PATIENCE {
-            return Err(format!("{} reqs were sent, {} ended", load.sent(), world.history.reqs()));
+            return Err(format!("{} requests were sent, {} ended", load.sent(), world.history.requests()));
         }
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     Ok(())
 }
 
-/// Waits until each of these has served a req that was sent from now on.
+/// Waits until each of these has served a request that was sent from now on.
 async fn serves(world: &mut World, which: &[usize]) -> Result<Duration, String> {
     let from = now();
     let served = |world: &mut World| {
         let record = world.history.record();
-        let by = |s: usize| move |r: &&crate::history::Req| r.scheduler == s && r.sent >= from;
-        which.iter().all(|&s| record.reqs.iter().rev().filter(by(s)).any(|r| r.end == End::Answer(200)))
+        let by = |s: usize| move |r: &&crate::history::Request| r.scheduler == s && r.sent >= from;
+        which.iter().all(|&s| record.requests.iter().rev().filter(by(s)).any(|r| r.end == End::Answer(200)))
     };
-    world.until("a req served by each", PATIENCE, served).await
+    world.until("a request served by each", PATIENCE, served).await
 }
 
 /// Judges what was played by the checks that hold for every trial, and by the trial's own.
@@ -218,15 +218,15 @@
 /// The most breaches of one rule that are told in full.
 const MOST_TOLD: usize = 20;
 
-/// What became of the reqs, in a line.
+/// What became of the requests, in a line.
 fn answers(facts: &Facts) -> String {
-    let count = |f: &dyn Fn(End) -> bool| facts.reqs.iter().filter(|r| f(r.end)).count();
+    let count = |f: &dyn Fn(End) -> bool| facts.requests.iter().filter(|r| f(r.end)).count();
     let served = count(&|e| e == End::Answer(200));
     let other = count(&|e| matches!(e, End::Answer(s) if s != 200));
     let (broken, unsent) = (count(&|e| e == End::Broken), count(&|e| e == End::Unsent));
     let silent = count(&|e| e == End::Silence);
     format!(
-        "{} reqs: {served} served, {other} otherwise answered, {broken} broken, {unsent} unsent, {silent} silent",
-        facts.reqs.len()
+        "{} requests: {served} served, {other} otherwise answered, {broken} broken, {unsent} unsent, {silent} silent",
+        facts.requests.len()
     )
 }
