--- a/crates/core/src/scheduler/admission.rs
+++ b/crates/core/src/scheduler/admission.rs
@@ -4,7 +4,7 @@
 //! must never choose a worker or change the concurrency limit.
 
 use super::load_estimate::LEARNING_RATE;
-use super::worker_selection::DRAWS;
+use super::worker_selection::MAX_DRAWS;
 use crate::interface::{Action, Earlier, Effect, Job, RequestId, Scope};
 use crate::scheduler::Scheduler;
 use crate::state::{QueuedRequest, Request, Tier};
@@ -14,7 +14,7 @@
 const RESERVED_SLACK: f64 = 0.5;
 
 /// What became of a queued job that was to be dispatched.
-enum Release {
+enum DispatchOutcome {
     Sent,
     /// Its worker is being probed: it stays queued, and its slots are reserved.
     Probing,
@@ -40,9 +40,10 @@
             request.tier = self.queues.beyond_share(request.tier);
         }
         // What may have run for a predecessor, and may not run again, has its answer at once.
-        let is_over = !request.attempts.is_empty() && !self.may_retry(&request);
+        let cannot_retry = !request.attempts.is_empty() && !self.may_retry(&request);
         let is_basic = self.queues.is_lowest(request.tier);
-        let is_rejected = is_over || is_basic && self.queues_are_full(request.dispatch_deadline);
+        let is_rejected =
+            cannot_retry || is_basic && self.queues_are_full(request.dispatch_deadline);
         self.requests.insert(id, request);
         self.enqueue(id);
         if is_rejected {
@@ -98,8 +99,8 @@
     fn queues_are_full(&self, dispatch_deadline: Instant) -> bool {
         let total = self.queues.len() as f64;
         let premium = self.queues.len_above_lowest() as f64;
-        let span = dispatch_deadline.saturating_since(self.now).as_micros_f64();
-        let j = (self.rates.departures.last * span).max(4.0);
+        let time_left = dispatch_deadline.saturating_since(self.now).as_micros_f64();
+        let j = (self.rates.departures.last * time_left).max(4.0);
         total >= j || (self.queues.has_premium_tier() && premium >= (j / 4.0).max(4.0))
     }
 
@@ -139,32 +140,32 @@
     }
 
     /// Dispatches queued jobs strictly top tier first while own slots in flight stay under the limit.
-    pub(super) fn release(&mut self) {
+    pub(super) fn dispatch_queued(&mut self) {
         let allowed = self.allowed_slots();
         let mut probing_slots = 0.0;
         for tier in self.queues.tiers() {
-            if !self.release_tier(tier, allowed, &mut probing_slots) {
+            if !self.dispatch_tier(tier, allowed, &mut probing_slots) {
                 break;
             }
         }
     }
 
     /// Dispatches what it can of a tier; whether the next tier may follow.
-    fn release_tier(&mut self, tier: Tier, allowed: f64, probing_slots: &mut f64) -> bool {
+    fn dispatch_tier(&mut self, tier: Tier, allowed: f64, probing_slots: &mut f64) -> bool {
         let mut next = QueuedRequest::FIRST;
-        let mut passed_over = 0;
+        let mut skipped = 0;
         let mut is_blocked = false;
-        while self.in_flight.counted() + *probing_slots < allowed && passed_over <= DRAWS {
+        while self.in_flight.counted() + *probing_slots < allowed && skipped <= MAX_DRAWS {
             let Some(queued) = self.queues.first_from(tier, next) else {
                 break;
             };
             next = queued.next();
             let id = queued.id;
-            match self.release_one(id) {
-                Release::Sent => {}
-                Release::Probing => *probing_slots += self.requests[&id].slots,
-                Release::NoWorker => {
-                    passed_over += 1;
+            match self.dispatch_one(id) {
+                DispatchOutcome::Sent => {}
+                DispatchOutcome::Probing => *probing_slots += self.requests[&id].slots,
+                DispatchOutcome::NoWorker => {
+                    skipped += 1;
                     is_blocked |= self.fits_most_workers(id);
                 }
             }
@@ -173,18 +174,18 @@
     }
 
     /// Sends a queued job, or has its worker probed first.
-    fn release_one(&mut self, id: RequestId) -> Release {
+    fn dispatch_one(&mut self, id: RequestId) -> DispatchOutcome {
         if self.awaits_probe(id) {
-            return Release::Probing;
+            return DispatchOutcome::Probing;
         }
-        let Some(w) = self.pick(id) else {
-            return Release::NoWorker;
+        let Some(w) = self.select_worker(id) else {
+            return DispatchOutcome::NoWorker;
         };
-        if self.probe_first(id, w) {
-            return Release::Probing;
+        if self.probe_if_needed(id, w) {
+            return DispatchOutcome::Probing;
         }
         self.send(id, w);
-        Release::Sent
+        DispatchOutcome::Sent
     }
 
     /// Whether a job that found no worker shows that all are full: one that can go to some workers only, or
--- a/crates/core/src/scheduler/attempts.rs
+++ b/crates/core/src/scheduler/attempts.rs
@@ -2,18 +2,18 @@
 //!
 //! It owns what follows from each ending. It must never say whether a request may be sent again.
 
-use super::failure_detection::ERRORS;
-use super::load_estimate::QUEUED_START;
+use super::failure_detection::ERROR_THRESHOLD;
+use super::load_estimate::QUEUED_START_SHARE;
 use crate::interface::{Action, Ending, Report, RequestId};
 use crate::scheduler::Scheduler;
 use crate::state::{AttemptId, EndedAttempt, WorkDone, WorkerIndex};
 use crate::time::Instant;
 
 /// Share of a class's slack: what is handed back this late had been taken.
-const LATE_HANDBACK: f64 = 0.35;
+const LATE_DECLINE_SHARE: f64 = 0.35;
 /// Share of a class's slack: a start this late counts as not accepted, as the job hardly ends in time any
 /// more.
-pub(super) const TOO_LATE_START: f64 = 0.75;
+pub(super) const LATE_START_SHARE: f64 = 0.75;
 
 impl Scheduler {
     /// Sends a request to a worker, at the cost of its slow-start budget.
@@ -35,7 +35,7 @@
             write_deadline: write_deadline.map(Instant::as_micros),
         });
         if is_trial {
-            self.back_off_from(w);
+            self.back_off_worker(w);
         }
     }
 
@@ -49,13 +49,13 @@
         self.observe_worker(w);
         self.observe_wait(w, started.waited);
         let slack = self.slack(started.class);
-        if started.waited > QUEUED_START * slack {
+        if started.waited > QUEUED_START_SHARE * slack {
             self.mark_full(w);
         }
-        if started.waited <= TOO_LATE_START * slack {
-            self.accepted(started.slots);
+        if started.waited <= LATE_START_SHARE * slack {
+            self.increase_limit(started.slots);
         } else if self.mark_late(attempt) {
-            self.not_accepted(started.slots);
+            self.decrease_limit(started.slots);
         }
     }
 
@@ -70,25 +70,25 @@
     pub(super) fn on_settled(
         &mut self,
         attempt: AttemptId,
-        how: Ending,
+        ending: Ending,
         is_finished: bool,
         report: Option<Report>,
     ) {
-        let Some(ended) = self.close_attempt(attempt, how) else {
+        let Some(ended) = self.close_attempt(attempt, ending) else {
             return;
         };
         if let Some(report) = report {
             self.on_report(ended.worker, report);
         }
-        match how {
+        match ending {
             Ending::Delivered => self.on_delivered(&ended),
             Ending::Error => self.on_error(ended.worker),
             Ending::Declined => self.on_declined(&ended),
             Ending::DialFailed | Ending::Dropped | Ending::Expired => self.on_unanswered(&ended),
-            Ending::LocalFault => self.take_back(attempt),
+            Ending::LocalFault => self.undo_send(attempt),
             Ending::Revoked | Ending::Unused => {}
         }
-        self.finish_or_retry(attempt.request, how, is_finished);
+        self.finish_or_retry(attempt.request, ending, is_finished);
     }
 
     /// The worker has served the job.
@@ -108,7 +108,7 @@
         self.rates
             .count_work(self.now, self.mean_run, &work, warmth);
         if !self.settings.reports_start {
-            self.accepted(ended.slots);
+            self.increase_limit(ended.slots);
         }
     }
 
@@ -116,8 +116,8 @@
     fn on_error(&mut self, w: WorkerIndex) {
         self.workers[w].health.errors += 1;
         self.observe_worker(w);
-        if self.workers[w].health.errors >= ERRORS {
-            self.back_off_from(w);
+        if self.workers[w].health.errors >= ERROR_THRESHOLD {
+            self.back_off_worker(w);
         }
     }
 
@@ -125,20 +125,20 @@
     fn on_declined(&mut self, ended: &EndedAttempt) {
         let w = ended.worker;
         // Handed back by a worker that drains, which the list may not show yet.
-        let is_late = self.since(ended.sent) > LATE_HANDBACK * self.slack(ended.class);
+        let is_late = self.since(ended.sent) > LATE_DECLINE_SHARE * self.slack(ended.class);
         if !self.workers[w].listing.is_active || is_late {
-            return self.back_off_from(w);
+            return self.back_off_worker(w);
         }
         // Full, once; again when it is tried after that, it drains unknown to the list, or is of no use for
         // now: the others have no part in it.
         self.workers[w].health.declined += 1;
         if self.workers[w].health.declined > 1 {
-            return self.back_off_from(w);
+            return self.back_off_worker(w);
         }
         self.observe_worker(w);
         self.observe_wait(w, self.slack(ended.class));
         self.mark_full(w);
-        self.not_accepted(ended.slots);
+        self.decrease_limit(ended.slots);
     }
 
     /// The attempt ended without an answer of the worker. It says nothing of the others' load: a dead zone
@@ -148,6 +148,6 @@
             // However soon: a refused dial is no prompt start.
             self.observe_wait(ended.worker, self.slack(ended.class));
         }
-        self.back_off_from(ended.worker);
+        self.back_off_worker(ended.worker);
     }
 }
--- a/crates/core/src/scheduler/concurrency_limit.rs
+++ b/crates/core/src/scheduler/concurrency_limit.rs
@@ -12,18 +12,18 @@
 pub(super) const INITIAL_SLOTS_PER_WORKER: f64 = 8.0;
 /// The initial limit is for so many times a scheduler's part of the fleet, as some get several times the
 /// mean.
-const INITIAL_UNEVENNESS: f64 = 16.0;
+const INITIAL_SKEW: f64 = 16.0;
 /// What a prompt start adds to the limit, per slot: it rests at a quarter late.
-const ADDITIVE_INCREASE: f64 = 0.1;
+const INCREASE_STEP: f64 = 0.1;
 /// What a late start or an overload rejection takes from the limit, per slot.
 const DECREASE_STEP: f64 = 0.3;
 /// The part of the limit that the decrease of a round leaves at the least.
-const MULTIPLICATIVE_DECREASE: f64 = 0.5;
+const DECREASE_FACTOR: f64 = 0.5;
 /// Slots by which the limit may lie over twice what is in flight: few jobs come in bursts of several times a
 /// mean.
-const HEADROOM: f64 = 4.0;
+const HEADROOM_SLOTS: f64 = 4.0;
 /// The least limit in slots, where little arrives; where more does, one. Keeps feedback coming on any size.
-const LEAST_LIMIT: f64 = 0.25;
+const MIN_LIMIT_SLOTS: f64 = 0.25;
 
 /// The own demand of late, on which the least limit rests.
 struct Demand {
@@ -36,15 +36,15 @@
 impl Demand {
     /// The utilisation and its chance, if so much arrives, whatever was learned. No part of the arrivals
     /// alone: they may be more than all workers can do, repeats included, and queues outlive a burst.
-    fn least_limit(&self) -> f64 {
-        let with_chance = self.utilisation + self.utilisation.sqrt();
+    fn min_limit(&self) -> f64 {
+        let with_deviation = self.utilisation + self.utilisation.sqrt();
         self.utilisation
-            .max(with_chance.min(self.arrivals))
-            .max(self.arrivals.clamp(LEAST_LIMIT, 1.0))
+            .max(with_deviation.min(self.arrivals))
+            .max(self.arrivals.clamp(MIN_LIMIT_SLOTS, 1.0))
     }
 
     /// What the decrease of a round comes down to: the utilisation and twice its chance.
-    fn decreased_limit(&self) -> f64 {
+    fn decrease_floor(&self) -> f64 {
         self.utilisation + 2.0 * self.utilisation.sqrt() + 1.0
     }
 }
@@ -66,14 +66,14 @@
     /// Sets the initial limit for so many active workers, shared by so many schedulers, unless there is one.
     pub(super) fn initialize(&mut self, workers: usize, schedulers: u32) {
         if self.limit == 0.0 && workers > 0 {
-            let part = (INITIAL_UNEVENNESS / f64::from(schedulers)).min(1.0);
-            self.limit = (INITIAL_SLOTS_PER_WORKER * part * workers as f64).max(HEADROOM);
+            let share = (INITIAL_SKEW / f64::from(schedulers)).min(1.0);
+            self.limit = (INITIAL_SLOTS_PER_WORKER * share * workers as f64).max(HEADROOM_SLOTS);
         }
     }
 
     /// The whole slots that may be in flight now.
     fn allowed_slots(&self, demand: &Demand) -> f64 {
-        (self.limit.max(demand.least_limit()) + self.rounding).floor()
+        (self.limit.max(demand.min_limit()) + self.rounding).floor()
     }
 
     /// Draws the rounding anew once a round, as nothing is in flight: a limit below one job is rounded at
@@ -88,8 +88,8 @@
     /// Additive increase, where the limit is in use: a job of so many slots has started in time.
     fn increase(&mut self, slots: f64, in_flight: f64, rng: &mut fastrand::Rng) {
         self.late_share -= FAST_LEARNING_RATE * self.late_share;
-        if 2.0 * (in_flight + slots) + HEADROOM > self.limit {
-            self.limit += ADDITIVE_INCREASE * slots * (0.5 + rng.f64());
+        if 2.0 * (in_flight + slots) + HEADROOM_SLOTS > self.limit {
+            self.limit += INCREASE_STEP * slots * (0.5 + rng.f64());
         }
     }
 
@@ -105,14 +105,14 @@
         rng: &mut fastrand::Rng,
     ) {
         self.late_share += FAST_LEARNING_RATE * (1.0 - self.late_share);
-        let resting_share = ADDITIVE_INCREASE / (ADDITIVE_INCREASE + DECREASE_STEP);
-        if now >= self.round_until && self.late_share > resting_share {
+        let equilibrium_share = INCREASE_STEP / (INCREASE_STEP + DECREASE_STEP);
+        if now >= self.round_until && self.late_share > equilibrium_share {
             self.round_until = now + Span::from_micros_f64(round * (0.75 + 0.5 * rng.f64()));
-            let halved = self.limit * MULTIPLICATIVE_DECREASE;
-            self.limit = self.limit.min(demand.decreased_limit().max(halved));
+            let halved = self.limit * DECREASE_FACTOR;
+            self.limit = self.limit.min(demand.decrease_floor().max(halved));
             self.rounding = rng.f64();
         }
-        self.limit = (self.limit - DECREASE_STEP * slots).max(demand.least_limit());
+        self.limit = (self.limit - DECREASE_STEP * slots).max(demand.min_limit());
     }
 }
 
@@ -128,13 +128,13 @@
     }
 
     /// A job of so many slots has started in time.
-    pub(super) fn accepted(&mut self, slots: f64) {
+    pub(super) fn increase_limit(&mut self, slots: f64) {
         self.concurrency_limit
             .increase(slots, self.in_flight.slots, &mut self.rng);
     }
 
     /// A job of so many slots was declined, or starts too late.
-    pub(super) fn not_accepted(&mut self, slots: f64) {
+    pub(super) fn decrease_limit(&mut self, slots: f64) {
         let demand = self.demand();
         self.concurrency_limit
             .decrease(slots, &demand, self.now, self.mean_run, &mut self.rng);
--- a/crates/core/src/scheduler/discovery_polling.rs
+++ b/crates/core/src/scheduler/discovery_polling.rs
@@ -11,18 +11,18 @@
 /// What a start without a list needs of discovery.
 const POLL_SPACING: Span = Span::from_millis(25);
 /// The longest such jitter: a start is ready within 10 s, the turn and the answer included.
-const LONGEST_START: Span = Span::from_millis(7_000);
+const MAX_STARTUP_JITTER: Span = Span::from_millis(7_000);
 /// How often the poll jitter's quarter fits into the longest gap after discovery was overloaded. With the
 /// wait for a turn before it, which ends after some 2 s, this is what `NOTIFICATION_DEADLINE` leaves.
 const OVERLOAD_QUARTERS: u64 = 2;
 /// How many times the usual gap polls keep after discovery was overloaded.
 const OVERLOAD_FACTOR: f64 = 2.0;
 /// The share of such a gap that is waited in any case: discovery first works off calls that have timed out.
-const OVERLOAD_LEAST_SHARE: f64 = 0.5;
+const OVERLOAD_MIN_WAIT_SHARE: f64 = 0.5;
 /// The share of another gap that is waited in any case.
-const LEAST_SHARE: f64 = 0.25;
+const MIN_WAIT_SHARE: f64 = 0.25;
 /// The least gap between two polls, in microseconds, whatever the settings say.
-const LEAST_POLL_GAP: f64 = 20_000.0;
+const MIN_POLL_GAP_MICROS: f64 = 20_000.0;
 /// The first backoff after a failure is the poll jitter's quarter shifted right by so many bits.
 const FIRST_BACKOFF_SHIFT: u32 = 4;
 /// The backoff doubles this often at most.
@@ -79,9 +79,9 @@
     }
 
     /// A poll has failed: the next one follows after the gap, of which the least share is always waited.
-    fn on_failure(&mut self, now: Instant, gap: f64, least_share: f64, rng: &mut fastrand::Rng) {
-        let jitter = least_share + (1.0 - least_share) * rng.f64();
-        let jittered = gap.max(LEAST_POLL_GAP) * jitter;
+    fn on_failure(&mut self, now: Instant, gap: f64, min_share: f64, rng: &mut fastrand::Rng) {
+        let jitter = min_share + (1.0 - min_share) * rng.f64();
+        let jittered = gap.max(MIN_POLL_GAP_MICROS) * jitter;
         self.due_at = now + Span::from_micros_f64(jittered);
         self.failures = self.failures.saturating_add(1);
     }
@@ -133,7 +133,7 @@
             0.0
         };
         self.discovery_polling
-            .on_failure(self.now, gap, LEAST_SHARE, &mut self.rng);
+            .on_failure(self.now, gap, MIN_WAIT_SHARE, &mut self.rng);
     }
 
     /// Backs off for longer: calls that have timed out take their turns all the same, so that a fleet which
@@ -142,13 +142,13 @@
         if !self.settings.list_on_request {
             return self.on_poll_failure();
         }
-        let longest = (self.settings.poll_quarter() * OVERLOAD_QUARTERS).as_micros_f64();
+        let max_gap = (self.settings.poll_quarter() * OVERLOAD_QUARTERS).as_micros_f64();
         let backoff = self.discovery_polling.backoff(&self.settings);
-        let gap = (OVERLOAD_FACTOR * self.unbounded_spread())
-            .min(longest)
+        let gap = (OVERLOAD_FACTOR * self.uncapped_jitter())
+            .min(max_gap)
             .max(backoff);
         self.discovery_polling
-            .on_failure(self.now, gap, OVERLOAD_LEAST_SHARE, &mut self.rng);
+            .on_failure(self.now, gap, OVERLOAD_MIN_WAIT_SHARE, &mut self.rng);
     }
 
     /// The poll jitter, in microseconds. Prevents many that start, or lose discovery, at one moment from
@@ -156,16 +156,16 @@
     /// turn all the same. Watches cost it nothing.
     pub(crate) fn poll_jitter(&self) -> f64 {
         let settings = &self.settings;
-        let most = if self.members().listed == 0 {
-            LONGEST_START
+        let max_jitter = if self.members().listed == 0 {
+            MAX_STARTUP_JITTER
         } else {
             settings.poll_quarter()
         };
-        self.unbounded_spread().min(most.as_micros_f64())
+        self.uncapped_jitter().min(max_jitter.as_micros_f64())
     }
 
     /// `POLL_SPACING` for each scheduler of the fleet, in microseconds.
-    fn unbounded_spread(&self) -> f64 {
+    fn uncapped_jitter(&self) -> f64 {
         let schedulers = self.settings.schedulers;
         let beyond = schedulers.saturating_sub(UNSPACED_SCHEDULERS);
         (POLL_SPACING * u64::from(beyond)).as_micros_f64()
--- a/crates/core/src/scheduler/failure_detection.rs
+++ b/crates/core/src/scheduler/failure_detection.rs
@@ -5,24 +5,24 @@
 
 use std::collections::VecDeque;
 
-use super::attempts::TOO_LATE_START;
+use super::attempts::LATE_START_SHARE;
 use crate::interface::WorkerId;
 use crate::scheduler::Scheduler;
 use crate::state::{Moves, WorkerIndex};
 use crate::time::{Instant, Span};
 
 /// Mean running times without an observation until a worker with jobs to start is unresponsive.
-pub(super) const PATIENCE: f64 = 1.5;
+pub(super) const RESPONSE_TIMEOUT_RUNS: f64 = 1.5;
 /// The same for a worker whose jobs have all started: they may run for some time.
-const PATIENCE_RUNNING: f64 = 4.0;
+const RUNNING_RESPONSE_TIMEOUT_RUNS: f64 = 4.0;
 /// The backoff from an unresponsive or failing worker doubles this often at most.
 const MAX_DOUBLINGS: u32 = 4;
 /// The least factor of the jitter of a backoff, whose mean is 1.
-const LEAST_JITTER: f64 = 0.75;
+const MIN_JITTER_FACTOR: f64 = 0.75;
 /// How much the factor may be above the least.
-const JITTER_SPREAD: f64 = 0.5;
+const JITTER_RANGE: f64 = 0.5;
 /// Errors in a row from which on a worker is backed off from as a failing one.
-pub(super) const ERRORS: u32 = 2;
+pub(super) const ERROR_THRESHOLD: u32 = 2;
 
 /// The backoff from one worker: until when nothing is sent there, doubling with each trial in vain.
 #[derive(Clone, Copy, Debug, Default)]
@@ -72,7 +72,7 @@
 
     /// Begins a backoff of a span, jittered and doubled for each one before.
     pub(crate) fn begin(&mut self, now: Instant, span: f64, rng: &mut fastrand::Rng) {
-        let jittered = span * (LEAST_JITTER + JITTER_SPREAD * rng.f64());
+        let jittered = span * (MIN_JITTER_FACTOR + JITTER_RANGE * rng.f64());
         let doublings = self.trials.min(MAX_DOUBLINGS);
         let doubled = jittered * f64::from(1u32 << doublings);
         self.until = now + Span::from_micros_f64(doubled);
@@ -84,7 +84,7 @@
 struct Watched {
     worker: WorkerIndex,
     /// When it was last looked at.
-    looked_at: Instant,
+    checked_at: Instant,
 }
 
 /// The workers with own attempts, in the order in which they were last looked at.
@@ -94,14 +94,14 @@
 }
 
 impl WatchQueue {
-    fn push(&mut self, worker: WorkerIndex, looked_at: Instant) {
-        self.queue.push_back(Watched { worker, looked_at });
+    fn push(&mut self, worker: WorkerIndex, checked_at: Instant) {
+        self.queue.push_back(Watched { worker, checked_at });
     }
 
     /// Takes out the first worker, unless it was looked at within a span, in microseconds.
     fn pop_due(&mut self, now: Instant, span: f64) -> Option<WorkerIndex> {
         let first = self.queue.front()?;
-        let elapsed = now.saturating_since(first.looked_at).as_micros_f64();
+        let elapsed = now.saturating_since(first.checked_at).as_micros_f64();
         if elapsed < span.max(1.0) {
             return None;
         }
@@ -125,7 +125,7 @@
     }
 
     /// The next worker with own attempts that was not looked at for a span, in microseconds.
-    fn next_to_watch(&mut self, span: f64) -> Option<WorkerIndex> {
+    fn next_due_for_check(&mut self, span: f64) -> Option<WorkerIndex> {
         while let Some(w) = self.watch_queue.pop_due(self.now, span) {
             if self.workers[w].in_flight.open > 0 {
                 self.watch_queue.push(w, self.now);
@@ -142,7 +142,7 @@
         let worker = &mut self.workers[w];
         let health = &mut worker.health;
         health.unobserved_since = self.now;
-        if health.errors < ERRORS {
+        if health.errors < ERROR_THRESHOLD {
             health.backoff.clear();
         }
         worker.load.rounding = self.rng.f64();
@@ -152,14 +152,14 @@
     /// before a deadline, then sparing trials. Not in the selection: with the limit full of such jobs nobody
     /// is drawn.
     pub(super) fn detect_unresponsive(&mut self) {
-        while let Some(w) = self.next_to_watch(self.mean_run / 2.0) {
+        while let Some(w) = self.next_due_for_check(self.mean_run / 2.0) {
             self.lose_without_progress(w);
-            self.count_overdue(w);
+            self.count_overdue_starts(w);
             if self.is_unresponsive(w) {
                 // Its jobs would occupy the limit's slots until their deadlines.
                 self.exclude_from_in_flight(w);
                 if !self.workers[w].health.backoff.is_on_trial() {
-                    self.back_off_from(w);
+                    self.back_off_worker(w);
                 }
             }
         }
@@ -168,17 +168,17 @@
     /// Whether a worker with own attempts was not observed for too long.
     fn is_unresponsive(&self, w: WorkerIndex) -> bool {
         let worker = &self.workers[w];
-        let patience = if worker.in_flight.unstarted > 0 {
-            PATIENCE
+        let timeout = if worker.in_flight.unstarted > 0 {
+            RESPONSE_TIMEOUT_RUNS
         } else {
-            PATIENCE_RUNNING
+            RUNNING_RESPONSE_TIMEOUT_RUNS
         };
-        self.since(worker.health.unobserved_since) > patience * self.mean_run
+        self.since(worker.health.unobserved_since) > timeout * self.mean_run
     }
 
     /// Prevents observing a queue only once its end is reached: what should have started counts as
     /// a late start at once.
-    fn count_overdue(&mut self, w: WorkerIndex) {
+    fn count_overdue_starts(&mut self, w: WorkerIndex) {
         for attempt in self.workers[w].in_flight.attempts.clone() {
             let Some(request) = self.requests.get(&attempt.request) else {
                 continue;
@@ -190,19 +190,19 @@
             let record = &request.attempts[attempt.number];
             let waited = self.since(record.sent);
             let is_overdue = record.started.is_none()
-                && waited > TOO_LATE_START * self.slack(request.class)
+                && waited > LATE_START_SHARE * self.slack(request.class)
                 && self.mark_late(attempt);
             if is_overdue {
                 self.observe_wait(w, waited);
                 self.mark_full(w);
-                self.not_accepted(slots);
+                self.decrease_limit(slots);
             }
         }
     }
 
     /// Begins a backoff from an unresponsive, failing or draining worker.
-    pub(super) fn back_off_from(&mut self, w: WorkerIndex) {
-        let span = PATIENCE * self.mean_run;
+    pub(super) fn back_off_worker(&mut self, w: WorkerIndex) {
+        let span = RESPONSE_TIMEOUT_RUNS * self.mean_run;
         let backoff = &mut self.workers[w].health.backoff;
         backoff.begin(self.now, span, &mut self.rng);
     }
--- a/crates/core/src/scheduler/load_estimate.rs
+++ b/crates/core/src/scheduler/load_estimate.rs
@@ -16,7 +16,7 @@
 /// Free slots a worker is taken to have where no reports come: with more, a full one is tried too soon.
 pub(super) const UNREPORTED_FREE_SLOTS: f64 = 4.0;
 /// Share of a class's slack: a start this late shows that the worker had a queue.
-pub(super) const QUEUED_START: f64 = 0.12;
+pub(super) const QUEUED_START_SHARE: f64 = 0.12;
 
 /// What the reports of all workers have shown together.
 #[derive(Default)]
@@ -53,34 +53,35 @@
 }
 
 /// How long a machine kind runs a job against the mean of the job's class.
-struct KindPace {
+struct KindSlowdown {
     /// Over 1 where the kind is slower.
-    pace: f64,
+    slowdown: f64,
     /// Of how many jobs that was learned, small ones counted in part.
     served: f64,
 }
 
 /// The paces of the machine kinds that have run jobs.
 #[derive(Default)]
-pub(super) struct KindPaces {
-    paces: FxHashMap<u32, KindPace>,
+pub(super) struct KindSlowdowns {
+    slowdowns: FxHashMap<u32, KindSlowdown>,
 }
 
-impl KindPaces {
+impl KindSlowdowns {
     /// A job of the kind has run for so many times the class's mean, and counts with a weight.
-    fn observe(&mut self, kind: u32, pace: f64, weight: f64) {
-        let known = self.paces.entry(kind).or_insert(KindPace {
-            pace: 1.0,
+    fn observe(&mut self, kind: u32, slowdown: f64, weight: f64) {
+        let known = self.slowdowns.entry(kind).or_insert(KindSlowdown {
+            slowdown: 1.0,
             served: 1.0 / LEARNING_RATE,
         });
         known.served += weight;
-        known.pace += weight * (1.0 / known.served).max(WORK_LEARNING_RATE) * (pace - known.pace);
+        known.slowdown +=
+            weight * (1.0 / known.served).max(WORK_LEARNING_RATE) * (slowdown - known.slowdown);
     }
 
     fn of(&self, kind: u32) -> f64 {
-        self.paces
+        self.slowdowns
             .get(&kind)
-            .map_or(1.0, |known| known.pace.max(LEARNING_RATE))
+            .map_or(1.0, |known| known.slowdown.max(LEARNING_RATE))
     }
 }
 
@@ -122,7 +123,7 @@
     pub(super) fn expected_free(&self, w: WorkerIndex) -> f64 {
         let worker = &self.workers[w];
         let own_mean = self.in_flight.slots / self.pools.live.len().max(1) as f64;
-        let size = self.size(w);
+        let size = self.relative_capacity(w);
         let unobserved = (size * self.reports.mean_free).max(1.0);
         let mean = unobserved + size * own_mean - worker.in_flight.slots;
         let fresh = self.freshness(w);
@@ -139,9 +140,9 @@
         estimate.work +=
             (unit - estimate.work) * weight * (1.0 / estimate.served).max(WORK_LEARNING_RATE);
         self.mean_run += LEARNING_RATE * (ran - self.mean_run);
-        let pace = unit / estimate.work;
+        let slowdown = unit / estimate.work;
         let kind = self.workers[w].listing.kind;
-        self.kind_paces.observe(kind, pace, weight);
+        self.kind_slowdowns.observe(kind, slowdown, weight);
     }
 
     /// What a worker can do: its weight in the list, by how fast its kind has run jobs.
@@ -152,11 +153,11 @@
         } else {
             listing.weight
         };
-        weight / self.kind_paces.of(listing.kind)
+        weight / self.kind_slowdowns.of(listing.kind)
     }
 
     /// The same against the mean of all.
-    pub(super) fn size(&self, w: WorkerIndex) -> f64 {
+    pub(super) fn relative_capacity(&self, w: WorkerIndex) -> f64 {
         self.raw_size(w) / self.pools.mean_size
     }
 }
--- a/crates/core/src/scheduler/local_faults.rs
+++ b/crates/core/src/scheduler/local_faults.rs
@@ -11,7 +11,7 @@
 use crate::time::{Instant, Span};
 
 /// The least backoff, before jitter.
-const LEAST_BACKOFF: Span = Span::from_millis(10);
+const MIN_BACKOFF: Span = Span::from_millis(10);
 /// The part of the time since the request's first such fault that it backs off for: what lasts is tried
 /// seldom.
 const ELAPSED_DIVISOR: u64 = 4;
@@ -19,7 +19,7 @@
 const SPACING: Span = Span::from_micros(200);
 /// What a worker counts busier, in slots, for the request whose last attempt there failed so: another
 /// address may still have ports.
-pub(super) const SAME_ADDRESS_SLOTS: f64 = 100.0;
+pub(super) const LOCAL_FAULT_PENALTY_SLOTS: f64 = 100.0;
 
 /// A request that backs off; the order of the fields is that in which the backoffs end.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -62,17 +62,17 @@
 
 impl Scheduler {
     /// Has a request wait for a short, jittered time before it is queued again.
-    pub(super) fn back_off(&mut self, id: RequestId) {
+    pub(super) fn back_off_request(&mut self, id: RequestId) {
         let jitter = 0.5 + self.rng.f64();
-        let crowd = SPACING * self.backoffs.len() as u64;
+        let min_span = SPACING * self.backoffs.len() as u64;
         let now = self.now;
         let Some(request) = self.requests.get_mut(&id) else {
             return;
         };
         let since = *request.first_local_fault.get_or_insert(now);
-        let span = LEAST_BACKOFF
+        let span = MIN_BACKOFF
             .max((now - since) / ELAPSED_DIVISOR)
-            .max(crowd);
+            .max(min_span);
         let until = now + Span::from_micros_f64(span.as_micros_f64() * jitter);
         // It is queued again by the time at which what is queued is rejected.
         let until = until.min(request.dispatch_deadline);
@@ -81,7 +81,7 @@
     }
 
     /// Queues the requests again whose backoff is over.
-    pub(super) fn end_backoffs(&mut self) {
+    pub(super) fn requeue_backed_off(&mut self) {
         while let Some(id) = self.backoffs.first_ended(self.now) {
             self.clear_backoff(id);
             self.enqueue(id);
@@ -99,7 +99,7 @@
     }
 
     /// Takes back what the sending of an attempt did to its worker: nothing has reached it.
-    pub(super) fn take_back(&mut self, attempt: AttemptId) {
+    pub(super) fn undo_send(&mut self, attempt: AttemptId) {
         let Some(request) = self.requests.get(&attempt.request) else {
             return;
         };
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -46,7 +46,7 @@
 use concurrency_limit::ConcurrencyLimit;
 use discovery_polling::DiscoveryPolling;
 use failure_detection::{Backoff, WatchQueue};
-use load_estimate::{KindPaces, ReportStatistics, LEARNING_RATE};
+use load_estimate::{KindSlowdowns, ReportStatistics, LEARNING_RATE};
 use local_faults::LocalFaultBackoffs;
 use retry::RetryPolicy;
 use waits::ZoneWaits;
@@ -90,7 +90,7 @@
     pub(crate) in_flight: InFlight,
     pub(crate) rates: Rates,
     pub(crate) reports: ReportStatistics,
-    kind_paces: KindPaces,
+    kind_slowdowns: KindSlowdowns,
     zone_waits: ZoneWaits,
     concurrency_limit: ConcurrencyLimit,
 
@@ -196,9 +196,9 @@
         self.now = Instant::from_micros(now);
         self.detect_unresponsive();
         self.reweigh_pools();
-        self.end_backoffs();
+        self.requeue_backed_off();
         self.reject_expired();
-        self.release();
+        self.dispatch_queued();
         self.poll_discovery();
         self.set_timer();
         actions.append(&mut self.actions);
@@ -208,10 +208,10 @@
     fn set_timer(&mut self) {
         let backoff_end = self.backoffs.next_end().unwrap_or(Instant::MAX);
         let mut next = self.discovery_polling.due_at().min(backoff_end);
-        if let Some(first) = self.queues.first_deadline() {
+        if let Some(deadline) = self.queues.first_deadline() {
             // Queued jobs are tried again as estimates age, and rejected before it is too late.
-            let again = self.now + Span::from_micros_f64(self.mean_run / 16.0);
-            next = next.min(first).min(again);
+            let retry_at = self.now + Span::from_micros_f64(self.mean_run / 16.0);
+            next = next.min(deadline).min(retry_at);
         }
         self.wake_by(next.max(self.now + self.settings.tick.max(CLOCK_RESOLUTION)));
     }
--- a/crates/core/src/scheduler/probing.rs
+++ b/crates/core/src/scheduler/probing.rs
@@ -2,8 +2,8 @@
 //!
 //! It owns when a probe is sent and for how long its answer is waited for. It must never send a job.
 
-use super::failure_detection::PATIENCE;
-use super::load_estimate::QUEUED_START;
+use super::failure_detection::RESPONSE_TIMEOUT_RUNS;
+use super::load_estimate::QUEUED_START_SHARE;
 use crate::interface::{Action, Ending, Report, RequestId, WorkerId};
 use crate::scheduler::Scheduler;
 use crate::state::{RequestProbe, WorkerIndex};
@@ -13,7 +13,7 @@
     /// not observed lately is probed first for how much waits there. If nothing does the job goes there, else
     /// to the better of it and another ("Adaptive load sharing", Eager, Lazowska, Zahorjan, 1986; one probe a
     /// job). Returns whether the worker is probed.
-    pub(super) fn probe_first(&mut self, id: RequestId, w: WorkerIndex) -> bool {
+    pub(super) fn probe_if_needed(&mut self, id: RequestId, w: WorkerIndex) -> bool {
         if !self.needs_probe(id, w) {
             return false;
         }
@@ -30,7 +30,8 @@
 
     fn needs_probe(&self, id: RequestId, w: WorkerIndex) -> bool {
         let request = &self.requests[&id];
-        let latest_answer = self.now.as_micros() as f64 + QUEUED_START * self.slack(request.class);
+        let latest_answer =
+            self.now.as_micros() as f64 + QUEUED_START_SHARE * self.slack(request.class);
         let is_late = latest_answer >= request.dispatch_deadline.as_micros() as f64;
         let is_known = self.since(self.workers[w].wait.observed_at) <= self.mean_run;
         self.settings.may_probe && request.probe.is_none() && !is_late && !is_known
@@ -44,7 +45,7 @@
             return false;
         };
         let is_answered = self.workers[probe.worker].health.probed_at >= probe.sent;
-        !is_answered && self.since(probe.sent) < QUEUED_START * self.slack(request.class)
+        !is_answered && self.since(probe.sent) < QUEUED_START_SHARE * self.slack(request.class)
     }
 
     /// Takes in the answer to a probe, or its failure.
@@ -58,7 +59,11 @@
         }
         let is_answered = ending == Ending::Delivered;
         let report = report.filter(|_| is_answered).unwrap_or_default();
-        let default_backlog = if is_answered { 0.0 } else { PATIENCE };
+        let default_backlog = if is_answered {
+            0.0
+        } else {
+            RESPONSE_TIMEOUT_RUNS
+        };
         let waiting = report.backlog.unwrap_or(default_backlog);
         let running = report
             .outstanding
--- a/crates/core/src/scheduler/retry.rs
+++ b/crates/core/src/scheduler/retry.rs
@@ -34,7 +34,8 @@
         }
         // It may be queued until its dispatch deadline, so that the window must reach past that.
         let write_deadline = self.write_deadline(request, settings);
-        let is_in_window = write_deadline.is_none_or(|by| request.dispatch_deadline < by);
+        let is_in_window =
+            write_deadline.is_none_or(|deadline| request.dispatch_deadline < deadline);
         let may_have_run = request.first_that_may_have_run().is_some();
         let is_unsafe = settings.class(request.class).effect == Effect::Unsafe;
         is_in_window && !(may_have_run && is_unsafe)
@@ -61,7 +62,7 @@
     }
 
     /// Ends a request, or queues it again where it may be sent again and nothing of it is in flight.
-    pub(super) fn finish_or_retry(&mut self, id: RequestId, how: Ending, is_finished: bool) {
+    pub(super) fn finish_or_retry(&mut self, id: RequestId, ending: Ending, is_finished: bool) {
         let Some(request) = self.requests.get(&id) else {
             return;
         };
@@ -71,8 +72,8 @@
             // Another attempt may still bring the answer.
         } else if !self.may_retry(request) || request.dispatch_deadline <= self.now {
             self.end(id);
-        } else if how == Ending::LocalFault {
-            self.back_off(id);
+        } else if ending == Ending::LocalFault {
+            self.back_off_request(id);
         } else {
             self.enqueue(id);
         }
--- a/crates/core/src/scheduler/waits.rs
+++ b/crates/core/src/scheduler/waits.rs
@@ -12,11 +12,11 @@
 pub(super) const FAST_LEARNING_RATE: f64 = 0.15;
 /// Mean running times for which a worker's wait counts: it passes, and is tried again. Where it is contacted
 /// less often than that, until it is contacted again, but no longer than faults last.
-const WAIT_LIFETIME: f64 = 8.0;
-const LONGEST_CONTACT_GAP: f64 = 8e6;
+const WAIT_LIFETIME_RUNS: f64 = 8.0;
+const MAX_CONTACT_GAP_MICROS: f64 = 8e6;
 /// Slots that a worker counts busier for each mean running time that own jobs waited there lately: a
 /// late start outweighs a crossing. The last few count.
-const WAIT_SLOTS: f64 = 12.0;
+const SLOTS_PER_WAIT: f64 = 12.0;
 const WAIT_LEARNING_RATE: f64 = 0.5;
 
 /// How long own jobs waited in each zone, lately.
@@ -33,38 +33,38 @@
 
 impl Scheduler {
     /// How far a wait that was learned then of one among so many still holds: 1 just learned, 0 long ago.
-    pub(super) fn wait_freshness(&self, observed_at: Instant, among: usize) -> f64 {
-        let contact_gap = (among as f64 / self.rates.arrivals.last).min(LONGEST_CONTACT_GAP);
-        (-self.since(observed_at) / (WAIT_LIFETIME * self.mean_run + contact_gap)).exp()
+    pub(super) fn wait_freshness(&self, observed_at: Instant, workers: usize) -> f64 {
+        let contact_gap = (workers as f64 / self.rates.arrivals.last).min(MAX_CONTACT_GAP_MICROS);
+        (-self.since(observed_at) / (WAIT_LIFETIME_RUNS * self.mean_run + contact_gap)).exp()
     }
 
     /// What own jobs waited there lately, in slots: at the worker, or where none was there, in its zone.
     /// Guards against staying in a zone that others fill, or that is lost: own counts show nothing of it.
-    pub(super) fn lateness(&self, w: WorkerIndex) -> f64 {
+    pub(super) fn wait_penalty(&self, w: WorkerIndex) -> f64 {
         let worker = &self.workers[w];
-        let known = self.wait_freshness(worker.wait.observed_at, self.pools.live.len());
-        WAIT_SLOTS * known * worker.wait.mean / self.mean_run
-            + (1.0 - known) * self.zone_lateness(worker.listing.zone)
+        let freshness = self.wait_freshness(worker.wait.observed_at, self.pools.live.len());
+        SLOTS_PER_WAIT * freshness * worker.wait.mean / self.mean_run
+            + (1.0 - freshness) * self.zone_wait_penalty(worker.listing.zone)
     }
 
-    pub(super) fn zone_lateness(&self, zone: Zone) -> f64 {
+    pub(super) fn zone_wait_penalty(&self, zone: Zone) -> f64 {
         let wait = self.zone_waits.of(zone);
         let mean = self.wait_freshness(wait.observed_at, 0) * wait.mean;
-        WAIT_SLOTS * mean / self.mean_run
+        SLOTS_PER_WAIT * mean / self.mean_run
     }
 
     pub(super) fn observe_wait(&mut self, w: WorkerIndex, waited: f64) {
         let wait = self.workers[w].wait;
-        let known = self.wait_freshness(wait.observed_at, self.pools.live.len()) * wait.mean;
+        let previous = self.wait_freshness(wait.observed_at, self.pools.live.len()) * wait.mean;
         self.workers[w].wait = Wait {
-            mean: known + WAIT_LEARNING_RATE * (waited - known),
+            mean: previous + WAIT_LEARNING_RATE * (waited - previous),
             observed_at: self.now,
         };
         let zone = self.workers[w].listing.zone;
         let wait = self.zone_waits.of(zone);
-        let known = self.wait_freshness(wait.observed_at, 0) * wait.mean;
+        let previous = self.wait_freshness(wait.observed_at, 0) * wait.mean;
         let wait = Wait {
-            mean: known + FAST_LEARNING_RATE * (waited - known),
+            mean: previous + FAST_LEARNING_RATE * (waited - previous),
             observed_at: self.now,
         };
         self.zone_waits.waits.insert(zone, wait);
--- a/crates/core/src/scheduler/worker_selection.rs
+++ b/crates/core/src/scheduler/worker_selection.rs
@@ -4,22 +4,22 @@
 //! never send, nor change what is believed of a worker but for its slow-start budget.
 
 use super::concurrency_limit::INITIAL_SLOTS_PER_WORKER;
-use super::load_estimate::QUEUED_START;
-use super::local_faults::SAME_ADDRESS_SLOTS;
+use super::load_estimate::QUEUED_START_SHARE;
+use super::local_faults::LOCAL_FAULT_PENALTY_SLOTS;
 use crate::interface::{RequestId, Scope};
 use crate::scheduler::Scheduler;
 use crate::state::{BoundGroup, Request, Worker, WorkerIndex};
 
 /// Random draws for a fitting pair, and queued jobs looked past that found none.
-pub(super) const DRAWS: usize = 8;
+pub(super) const MAX_DRAWS: usize = 8;
 /// Slots that a worker in another zone counts as busier, for a price of the whole result.
-const CROSS_SLOTS: f64 = 160.0;
+const CROSS_ZONE_SLOTS: f64 = 160.0;
 
 /// How many fitting workers are compared.
 const CHOICES: u32 = 2;
 
 /// Which workers may be drawn for a request, and how.
-struct Search {
+struct SelectionCriteria {
     /// The machine kind that its class needs.
     kind: Option<u32>,
     /// The group that a keyed request which may have run is bound to.
@@ -67,32 +67,32 @@
     /// The better of two random fitting workers, or none: then the job stays queued. Every other draw is
     /// from the own zone where crossings are charged, and all from a key's home on the ring, where what was
     /// fetched is used again; the group that a keyed job is bound to is gone through, from a random place.
-    pub(super) fn pick(&mut self, id: RequestId) -> Option<WorkerIndex> {
-        let search = self.begin_search(id)?;
+    pub(super) fn select_worker(&mut self, id: RequestId) -> Option<WorkerIndex> {
+        let criteria = self.selection_criteria(id)?;
         let mut choice = Choice::default();
         if let Some(w) = self.probed_worker(id) {
-            if self.fits(id, w, search.group) {
+            if self.fits(id, w, criteria.group) {
                 if self.workers[w].wait.mean == 0.0 {
                     return Some(w);
                 }
                 choice.compare(Candidate {
                     worker: w,
-                    load: self.load(w, search.zone_cost),
+                    load: self.load(w, criteria.zone_cost),
                 });
             }
         }
-        let draws = match search.group {
+        let draws = match criteria.group {
             Some(_) => self.pools.live.len(),
-            None => DRAWS,
+            None => MAX_DRAWS,
         };
         for draw in 0..draws {
-            let w = self.draw(&search, draw)?;
-            if choice.is_best(w) || !self.fits(id, w, search.group) {
+            let w = self.draw(&criteria, draw)?;
+            if choice.is_best(w) || !self.fits(id, w, criteria.group) {
                 continue;
             }
             choice.compare(Candidate {
                 worker: w,
-                load: self.load(w, search.zone_cost) + self.same_address_cost(id, w),
+                load: self.load(w, criteria.zone_cost) + self.local_fault_penalty(id, w),
             });
             if choice.compared == CHOICES {
                 break;
@@ -102,18 +102,18 @@
     }
 
     /// Draws what holds for all draws of a request.
-    fn begin_search(&mut self, id: RequestId) -> Option<Search> {
+    fn selection_criteria(&mut self, id: RequestId) -> Option<SelectionCriteria> {
         let request = self.requests.get(&id)?;
         let kind = self.settings.class(request.class).kind;
         let key = request.key;
         let group = self.group_of(request);
         let home = key.map(|key| self.home(key));
         // The price of a crossing is drawn anew for each job: else all would cross at the same moment.
-        let zone_cost = 2.0 * self.rng.f64() * CROSS_SLOTS * self.settings.cross_price;
+        let zone_cost = 2.0 * self.rng.f64() * CROSS_ZONE_SLOTS * self.settings.cross_price;
         let prefers_own_zone = self.settings.cross_price > 0.0
             && !self.pools.own_zone.is_empty()
-            && self.zone_lateness(self.settings.own_zone()) < zone_cost;
-        Some(Search {
+            && self.zone_wait_penalty(self.settings.own_zone()) < zone_cost;
+        Some(SelectionCriteria {
             kind,
             group: group.filter(|group| group.scope != Scope::All),
             home,
@@ -131,27 +131,27 @@
     }
 
     /// Draws a worker: the next of a group, the next on the ring, or one at random.
-    fn draw(&mut self, search: &Search, draw: usize) -> Option<WorkerIndex> {
-        if search.group.is_some() {
+    fn draw(&mut self, criteria: &SelectionCriteria, draw: usize) -> Option<WorkerIndex> {
+        if criteria.group.is_some() {
             let live = &self.pools.live;
-            let place = (search.start + draw) % live.len();
+            let place = (criteria.start + draw) % live.len();
             return Some(live.workers[place]);
         }
-        let pool = match search.kind {
+        let pool = match criteria.kind {
             Some(kind) => self.pools.by_kind.get(&kind)?,
-            None if search.prefers_own_zone && draw % 2 == 0 => &self.pools.own_zone,
+            None if criteria.prefers_own_zone && draw % 2 == 0 => &self.pools.own_zone,
             None => &self.pools.live,
         };
-        match search.home {
+        match criteria.home {
             Some(home) if !self.ring.is_empty() => Some(self.ring.worker_behind(home, draw)),
             _ => pool.draw(&mut self.rng),
         }
     }
 
     /// What a worker counts as busier, in slots, where the last attempt failed for a fault of this machine.
-    fn same_address_cost(&self, id: RequestId, w: WorkerIndex) -> f64 {
+    fn local_fault_penalty(&self, id: RequestId, w: WorkerIndex) -> f64 {
         if self.failed_locally_at(id, w) {
-            SAME_ADDRESS_SLOTS
+            LOCAL_FAULT_PENALTY_SLOTS
         } else {
             0.0
         }
@@ -161,7 +161,7 @@
     fn load(&self, w: WorkerIndex, zone_cost: f64) -> f64 {
         let is_other_zone = self.workers[w].listing.zone != self.settings.own_zone();
         let crossing = zone_cost * f64::from(u8::from(is_other_zone));
-        crossing + self.lateness(w) - self.expected_free(w)
+        crossing + self.wait_penalty(w) - self.expected_free(w)
     }
 
     /// Whether a request may be sent to a worker now, and there is capacity for it.
@@ -195,7 +195,7 @@
         let at_worker = &worker.in_flight;
         at_worker.unstarted > 0
             && at_worker.excluded_slots == 0.0
-            && self.since(at_worker.last_sent) > QUEUED_START * self.slack(request.class)
+            && self.since(at_worker.last_sent) > QUEUED_START_SHARE * self.slack(request.class)
     }
 }
 
