--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -1,23 +1,25 @@
-//! The scheduler: all decisions on requests and workers, a module for each concern.
+//! Decides where and when each request is sent, and when it is rejected.
 //!
-//! The mechanism is the acceptor of "Web Server Support for Tiered Services" (HPL-1999-160): jobs wait in
-//! per-tier queues, leave strictly top tier first while own slots in flight stay under a learned concurrency
-//! limit, and basic jobs are rejected first. docs/design.md has what was added.
+//! The mechanism follows the acceptor of "Web Server Support for Tiered Services" (HPL-1999-160).
+//! Jobs wait in one queue per tier and are dispatched in strict tier order while this scheduler's
+//! slots in flight are below a learned concurrency limit; basic jobs are the first to be rejected.
+//! docs/design.md describes the extensions.
 //!
 //! | module | concern |
 //! | --- | --- |
-//! | `admission` | tiers, the thresholds j and k, rejections, the order of dispatch |
-//! | `concurrency_limit` | how many own slots may be in flight |
-//! | `worker_selection` | the better of two random workers, zone cost, the consistent-hash ring |
-//! | `load_estimate`, `waits` | what reports, running times and waits teach of a worker |
-//! | `failure_detection` | unresponsive and failing workers, and the backoff from them |
-//! | `slow_start` | the budget of a worker that has just started |
-//! | `attempts`, `retry`, `local_faults` | sends, starts, ends; retries; faults of this machine |
-//! | `probing` | asking a worker for its queue before a send |
+//! | `admission` | tiers, queue thresholds j and k, rejections, order of dispatch |
+//! | `concurrency_limit` | how many slots this scheduler may have in flight |
+//! | `worker_selection` | better of two random workers, cross-zone cost, consistent-hash ring |
+//! | `load_estimate`, `waits` | worker estimates from reports, running times and waits |
+//! | `failure_detection` | unresponsive and failing workers, and their backoff |
+//! | `slow_start` | work budget of a worker that has just started |
+//! | `attempts`, `retry`, `local_faults` | starts and ends of attempts, retries, faults of this machine |
+//! | `probing` | probes of a worker's queue length before a send |
 //! | `discovery_polling` | when the endpoint list is requested, and what it changes |
 //!
-//! This module owns the [`Scheduler`], hands each event to its concern and sets the one timer. The interface
-//! is in `interface/`, the records of workers and requests in `state/`. It must never do I/O or read a clock.
+//! This module defines the [`Scheduler`], passes each event to the module concerned and sets the
+//! timer. The interface is in `interface/`, the records of workers and requests are in `state/`.
+//! The scheduler does no I/O and never reads a clock.
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -51,17 +53,17 @@
 use retry::RetryPolicy;
 use waits::ZoneWaits;
 
-/// The resolution of the clock: what must take some time takes this at least.
+/// The resolution of the clock, and the shortest duration of anything that must take time.
 const CLOCK_RESOLUTION: Span = Span::from_micros(1);
 
-/// The decisions of one scheduler.
+/// The decisions and the state of one scheduler.
 #[derive(Default)]
 pub struct Scheduler {
     pub(crate) settings: Settings,
     pub(crate) rng: fastrand::Rng,
     pub(crate) now: Instant,
     pub(crate) actions: Vec<Action>,
-    /// When the timer is set to go off; [`Instant::MAX`]: never.
+    /// When the timer fires; [`Instant::MAX`] if none is set.
     pub(crate) wake_at: Instant,
 
     // Requests
@@ -76,16 +78,17 @@
     pub(crate) workers: WorkerTable,
     pub(crate) pools: WorkerPools,
     pub(crate) ring: HashRing,
-    /// Translates the starts in the list to the clock of this process.
+    /// Translates start times in the endpoint list to the clock of this process.
     pub(crate) start_times: StartTimes,
-    /// Workers that operators have excluded. Apart from the list: nothing in it lifts an exclusion.
+    /// Workers that operators have excluded. Kept apart from the endpoint list, because no list
+    /// update lifts an exclusion.
     pub(crate) manual_exclusions: FxHashSet<WorkerId>,
     pub(crate) watch_queue: WatchQueue,
-    /// The backoffs of the predecessor from workers that are not listed here yet.
+    /// Backoffs taken over from the predecessor, for workers that are not listed here yet.
     pub(crate) resumed_backoffs: FxHashMap<WorkerId, Backoff>,
 
     // Load
-    /// The mean running time of jobs over the fleet, in microseconds.
+    /// The mean running time of jobs over all workers, in microseconds.
     pub(crate) mean_run: f64,
     pub(crate) in_flight: InFlight,
     pub(crate) rates: Rates,
@@ -94,21 +97,21 @@
     zone_waits: ZoneWaits,
     concurrency_limit: ConcurrencyLimit,
 
-    /// Processes of this scheduler that live beside this one.
+    /// Other live processes of this scheduler, as during a hot restart.
     pub(crate) sharing_processes: usize,
     discovery_polling: DiscoveryPolling,
 }
 
 impl Scheduler {
-    /// A scheduler that knows nothing yet; `seed` is its only source of randomness.
+    /// Creates a scheduler without any observations; `seed` is its only source of randomness.
     ///
     /// # Errors
     ///
-    /// Names the first setting that cannot be used.
+    /// Returns the first setting that cannot be used.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         let tiers = TierOrder::new(&settings.classes);
-        // Until jobs have been seen to run, the latency objective stands for the running time.
+        // The latency objective serves as the running time until jobs have run.
         let estimate = |class: &Class| {
             ClassEstimate::new(
                 tiers.of(class),
@@ -121,7 +124,7 @@
         };
         let classes = ClassTable::new(settings.classes.iter().map(estimate).collect());
         let mean_run = classes.mean_run();
-        // What is beyond a tenant's share is queued in a second set of tiers below the first.
+        // Requests beyond a tenant's share are queued in a second set of tiers below the first.
         let sets_of_tiers = if settings.tenants.is_empty() { 1 } else { 2 };
         Ok(Scheduler {
             rng: fastrand::Rng::with_seed(seed),
@@ -137,7 +140,7 @@
         })
     }
 
-    /// Takes in one event. What is unknown or already ended is ignored.
+    /// Handles one event. Events of unknown or ended requests, attempts and workers are ignored.
     pub fn on_event(&mut self, now: Micros, event: Event<'_>) {
         self.now = Instant::from_micros(now);
         match event {
@@ -162,7 +165,7 @@
         }
     }
 
-    /// Takes in what was observed of an attempt or a probe.
+    /// Handles an observation of an attempt or a probe.
     fn on_observation(&mut self, event: Event<'_>) {
         match event {
             Event::Started { id, attempt } => self.on_started(AttemptId::new(id, attempt)),
@@ -179,19 +182,19 @@
                 ending,
                 report,
             } => self.on_probed(worker, ending, report),
-            // The client owns a stream that has begun.
+            // Nothing is decided on a streaming response: the client owns the attempt.
             _ => {}
         }
     }
 
-    /// The timer has gone off, or an earlier one that was replaced.
+    /// Handles a timer event. The event may come from an earlier timer that has been replaced.
     fn on_timer(&mut self) {
         if self.wake_at <= self.now {
             self.wake_at = Instant::MAX;
         }
     }
 
-    /// Decides on everything queued, and hands over all actions since the last call.
+    /// Decides on all queued requests, and appends the actions since the last call to `actions`.
     pub fn dispatch(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.now = Instant::from_micros(now);
         self.detect_unresponsive();
@@ -204,12 +207,12 @@
         actions.append(&mut self.actions);
     }
 
-    /// One timer for whatever comes first; none where nothing waits.
+    /// Sets a single timer for the earliest due time, or none if nothing is pending.
     fn set_timer(&mut self) {
         let backoff_end = self.backoffs.next_end().unwrap_or(Instant::MAX);
         let mut next = self.discovery_polling.due_at().min(backoff_end);
         if let Some(deadline) = self.queues.first_deadline() {
-            // Queued jobs are tried again as estimates age, and rejected before it is too late.
+            // Queued jobs are reconsidered as estimates age, and rejected by their deadline.
             let retry_at = self.now + Span::from_micros_f64(self.mean_run / 16.0);
             next = next.min(deadline).min(retry_at);
         }
@@ -217,12 +220,13 @@
     }
 }
 
-/// The tiers of classes: by priority weight, then priority; equals share a tier. Tier 0 is the top.
+/// Assigns classes to tiers by priority weight, then by priority; classes equal in both share a
+/// tier. Tier 0 is the highest.
 struct TierOrder {
     ranks: Vec<Rank>,
 }
 
-/// What decides on a class's tier.
+/// The key by which classes are sorted into tiers.
 #[derive(Clone, Copy, PartialEq)]
 struct Rank {
     priority_weight: f64,
