--- a/crates/core/src/scheduler/admission.rs
+++ b/crates/core/src/scheduler/admission.rs
@@ -1,7 +1,7 @@
-//! Admission: which requests enter the queues, in which tier, and when they leave them or are rejected.
+//! Admits requests to the tier queues, and dispatches or rejects them from there.
 //!
-//! It owns the deadlines of queued requests, the thresholds j and k, and the order of dispatch by tier. It
-//! must never choose a worker or change the concurrency limit.
+//! Sets the deadlines of queued requests, applies the queue thresholds j and k, and orders dispatch
+//! by tier. The choice of a worker and changes of the concurrency limit are left to other modules.
 
 use super::load_estimate::LEARNING_RATE;
 use super::worker_selection::MAX_DRAWS;
@@ -10,20 +10,21 @@
 use crate::state::{QueuedRequest, Request, Tier};
 use crate::time::{Instant, Span};
 
-/// Share of the slack from a job's own work that queueing leaves unused: small jobs have less.
+/// Share of the slack that grows with the work of a job, `(stretch - 1) * work`, that is not spent
+/// in the queue. Small jobs have less of that slack.
 const RESERVED_SLACK: f64 = 0.5;
 
-/// What became of a queued job that was to be dispatched.
+/// The result of an attempt to dispatch a queued job.
 enum DispatchOutcome {
     Sent,
-    /// Its worker is being probed: it stays queued, and its slots are reserved.
+    /// The selected worker is being probed. The job stays queued, with its slots reserved.
     Probing,
-    /// No worker fits: it stays queued.
+    /// No worker fits. The job stays queued.
     NoWorker,
 }
 
 impl Scheduler {
-    /// A request has come in: it is queued in its tier, or rejected.
+    /// Queues a new request in its tier, or rejects it.
     pub(super) fn on_request(&mut self, id: RequestId, job: &Job, earlier: &[Earlier]) {
         let attempts = self.inherit(earlier);
         self.rates.count_arrival(self.now, self.mean_run);
@@ -36,10 +37,12 @@
         self.set_deadlines(&mut request, Span::from_micros(job.remaining));
         request.tier = self.classes[class].tier;
         if is_beyond_share {
-            // It has the least priority: it is queued below all tiers within shares.
+            // Requests beyond the share have the lowest priority, below all tiers of requests
+            // within.
             request.tier = self.queues.beyond_share(request.tier);
         }
-        // What may have run for a predecessor, and may not run again, has its answer at once.
+        // A request that may have run under a predecessor and must not run again is answered at
+        // once.
         let cannot_retry = !request.attempts.is_empty() && !self.may_retry(&request);
         let is_basic = self.queues.is_lowest(request.tier);
         let is_rejected =
@@ -51,7 +54,8 @@
         }
     }
 
-    /// Counts a tenant's request against this scheduler's part of its share; whether it is beyond.
+    /// Counts a request of a tenant against this scheduler's part of the tenant's share. Returns
+    /// whether the request exceeds it.
     fn is_beyond_share(&mut self, tenant: Option<u32>) -> bool {
         let Some(tenant) = tenant.map(|tenant| tenant as usize) else {
             return false;
@@ -63,17 +67,19 @@
         self.tenant_shares.is_exceeded(tenant, rate, self.now)
     }
 
-    /// Sets a request's deadline, its latency objective, the last moment for its dispatch, and its size.
+    /// Sets the deadline, latency objective, dispatch deadline and size of a request.
     fn set_deadlines(&mut self, request: &mut Request, remaining: Span) {
         let class = self.settings.class(request.class);
         let estimate = &mut self.classes[request.class];
         let remaining = remaining.min(class.deadline);
-        // A client's repeat has less time left than a first try: its objective began with the first.
+        // The latency objective runs from the first try. A try with less time left than the longest
+        // seen for its class counts as a repeat by the client that began correspondingly earlier.
         estimate.longest_remaining = estimate.longest_remaining.max(remaining);
         let elapsed = estimate.longest_remaining - remaining;
         let first_try = self.now.saturating_sub(elapsed);
         request.deadline = self.now + remaining;
-        // A hint is the job's own work, rough as it may be; else the class's mean stands for it.
+        // A hint, even an inaccurate one, is the job's own work; without one, the mean of the class
+        // is used.
         request.size = request
             .hint
             .map_or(1.0, |hint| estimate.size(hint, LEARNING_RATE));
@@ -82,8 +88,9 @@
         request.latency_objective = (first_try + class.latency_objective)
             .saturating_add(Span::from_micros_f64(class.stretch * work))
             .min(request.deadline);
-        // Two ticks early, so that the answer is out before the objective passes. When all is slow, jobs
-        // with little work can still be in time: they get a moment to find a worker.
+        // Two ticks are subtracted so that the answer leaves before the objective passes. While
+        // everything is slow, jobs with little work can still be in time, so each job has at least
+        // a quarter of the objective to find a worker.
         let reserved = run + RESERVED_SLACK * (class.stretch - 1.0).max(0.0) * work;
         let two_ticks = self.settings.tick * 2;
         let latest = request
@@ -94,8 +101,8 @@
             .min(request.deadline.saturating_sub(two_ticks));
     }
 
-    /// j and k: with j jobs queued in total, or k premium ones, a basic job would wait out its
-    /// slack. Both follow the rate at which jobs leave.
+    /// Whether a basic job would use up its slack in the queue: at j queued jobs in total, or at k
+    /// premium ones. Both thresholds scale with the rate of departures.
     fn queues_are_full(&self, dispatch_deadline: Instant) -> bool {
         let total = self.queues.len() as f64;
         let premium = self.queues.len_above_lowest() as f64;
@@ -104,7 +111,8 @@
         total >= j || (self.queues.has_premium_tier() && premium >= (j / 4.0).max(4.0))
     }
 
-    /// Rejects queued work that cannot meet its latency objective any more, unsent, before that passes.
+    /// Rejects queued requests that can no longer meet their latency objective, before it passes. A
+    /// request with an attempt in flight only leaves the queue.
     pub(super) fn reject_expired(&mut self) {
         for tier in self.queues.tiers() {
             while let Some(expired) = self.queues.first_expired(tier, self.now) {
@@ -117,7 +125,8 @@
         }
     }
 
-    /// The final answer of a request that was not served: rejected where that is harmless.
+    /// Sends the final answer to a request that was not served: a rejection if a repeat by the
+    /// client is harmless, otherwise a failure.
     pub(super) fn end(&mut self, id: RequestId) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -139,7 +148,8 @@
         self.finish(id);
     }
 
-    /// Dispatches queued jobs strictly top tier first while own slots in flight stay under the limit.
+    /// Dispatches queued jobs in strict tier order while this scheduler's slots in flight are below
+    /// the concurrency limit.
     pub(super) fn dispatch_queued(&mut self) {
         let allowed = self.allowed_slots();
         let mut probing_slots = 0.0;
@@ -150,7 +160,7 @@
         }
     }
 
-    /// Dispatches what it can of a tier; whether the next tier may follow.
+    /// Dispatches as many jobs of a tier as possible. Returns whether the next tier may follow.
     fn dispatch_tier(&mut self, tier: Tier, allowed: f64, probing_slots: &mut f64) -> bool {
         let mut next = QueuedRequest::FIRST;
         let mut skipped = 0;
@@ -173,7 +183,7 @@
         !is_blocked && self.queues.first_from(tier, next).is_none()
     }
 
-    /// Sends a queued job, or has its worker probed first.
+    /// Sends a queued job, or first probes the worker selected for it.
     fn dispatch_one(&mut self, id: RequestId) -> DispatchOutcome {
         if self.awaits_probe(id) {
             return DispatchOutcome::Probing;
@@ -188,8 +198,8 @@
         DispatchOutcome::Sent
     }
 
-    /// Whether a job that found no worker shows that all are full: one that can go to some workers only, or
-    /// is wide, holds up nobody who could be dispatched.
+    /// Whether a job that found no worker indicates that all workers are full. A job restricted to
+    /// some workers, or one that needs several slots, does not hold up other jobs.
     fn fits_most_workers(&self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         let needs_kind = self.settings.class(request.class).kind.is_some();
