--- a/crates/core/src/scheduler/attempts.rs
+++ b/crates/core/src/scheduler/attempts.rs
@@ -1,6 +1,7 @@
-//! Attempts: sending a request to a worker, and what its start and its end show of the worker and of all.
+//! Sends requests to workers, and evaluates the start and the end of each attempt.
 //!
-//! It owns what follows from each ending. It must never say whether a request may be sent again.
+//! Each kind of ending has its consequences here, for the worker and for the concurrency limit.
+//! Whether a request may be sent again is decided in `retry`.
 
 use super::failure_detection::ERROR_THRESHOLD;
 use super::load_estimate::QUEUED_START_SHARE;
@@ -9,14 +10,15 @@
 use crate::state::{AttemptId, EndedAttempt, WorkDone, WorkerIndex};
 use crate::time::Instant;
 
-/// Share of a class's slack: what is handed back this late had been taken.
+/// A job declined after more than this share of its class's slack had already been accepted by the
+/// worker.
 const LATE_DECLINE_SHARE: f64 = 0.35;
-/// Share of a class's slack: a start this late counts as not accepted, as the job hardly ends in time any
-/// more.
+/// A start after more than this share of its class's slack counts as late, because the job is
+/// unlikely to meet its latency objective.
 pub(super) const LATE_START_SHARE: f64 = 0.75;
 
 impl Scheduler {
-    /// Sends a request to a worker, at the cost of its slow-start budget.
+    /// Sends a request to a worker and charges its slow-start budget.
     pub(super) fn send(&mut self, id: RequestId, w: WorkerIndex) {
         self.dequeue(id);
         let Some(request) = self.requests.get(&id) else {
@@ -39,7 +41,8 @@
         }
     }
 
-    /// An attempt has started: how long it waited shows the load of its worker and of all.
+    /// Handles the start of an attempt. Its wait indicates the load of the worker and of all
+    /// workers.
     pub(super) fn on_started(&mut self, attempt: AttemptId) {
         let Some(started) = self.start_attempt(attempt) else {
             return;
@@ -59,14 +62,15 @@
         }
     }
 
-    /// An attempt that runs has made progress.
+    /// Handles a progress report of a running attempt.
     pub(super) fn on_progress(&mut self, attempt: AttemptId) {
         if let Some(w) = self.observe_attempt(attempt) {
             self.observe_worker(w);
         }
     }
 
-    /// An attempt has ended: its worker is classified by how, and its request is answered or sent again.
+    /// Handles the end of an attempt: updates the state of its worker, and answers the request or
+    /// sends it again.
     pub(super) fn on_settled(
         &mut self,
         attempt: AttemptId,
@@ -91,7 +95,7 @@
         self.finish_or_retry(attempt.request, ending, is_finished);
     }
 
-    /// The worker has served the job.
+    /// Records a job that was served.
     fn on_delivered(&mut self, ended: &EndedAttempt) {
         let health = &mut self.workers[ended.worker].health;
         health.errors = 0;
@@ -112,7 +116,7 @@
         }
     }
 
-    /// The worker has answered with an error; several in a row are a failing worker.
+    /// Counts an error answer. Several in a row mark the worker as failing.
     fn on_error(&mut self, w: WorkerIndex) {
         self.workers[w].health.errors += 1;
         self.observe_worker(w);
@@ -121,16 +125,17 @@
         }
     }
 
-    /// The worker has declined the job.
+    /// Handles a job that was declined.
     fn on_declined(&mut self, ended: &EndedAttempt) {
         let w = ended.worker;
-        // Handed back by a worker that drains, which the list may not show yet.
+        // The worker is draining, which the endpoint list may not show yet.
         let is_late = self.since(ended.sent) > LATE_DECLINE_SHARE * self.slack(ended.class);
         if !self.workers[w].listing.is_active || is_late {
             return self.back_off_worker(w);
         }
-        // Full, once; again when it is tried after that, it drains unknown to the list, or is of no use for
-        // now: the others have no part in it.
+        // The first decline in a row shows that the worker is full. If it declines the next job as
+        // well, it is draining or unusable for now, which says nothing about the load of other
+        // workers.
         self.workers[w].health.declined += 1;
         if self.workers[w].health.declined > 1 {
             return self.back_off_worker(w);
@@ -141,11 +146,12 @@
         self.decrease_limit(ended.slots);
     }
 
-    /// The attempt ended without an answer of the worker. It says nothing of the others' load: a dead zone
-    /// must not draw the limit down.
+    /// Handles an attempt that ended without an answer from the worker. This says nothing about the
+    /// load of other workers: an outage of a zone must not lower the limit.
     fn on_unanswered(&mut self, ended: &EndedAttempt) {
         if ended.started.is_none() {
-            // However soon: a refused dial is no prompt start.
+            // Even an immediate failure, such as a refused connection, must not count as a prompt
+            // start.
             self.observe_wait(ended.worker, self.slack(ended.class));
         }
         self.back_off_worker(ended.worker);
