--- a/crates/core/src/scheduler/concurrency_limit.rs
+++ b/crates/core/src/scheduler/concurrency_limit.rs
@@ -1,41 +1,45 @@
-//! The concurrency limit: how many own slots may be in flight at all workers together.
+//! Limits how many slots this scheduler may have in flight at all workers together.
 //!
-//! It owns the additive increase on prompt starts and the multiplicative decrease on late ones. It must never
-//! look at a single worker or request.
+//! The limit grows additively on prompt starts and shrinks on late ones. It depends only on totals,
+//! never on a single worker or request.
 
 use super::waits::FAST_LEARNING_RATE;
 use crate::scheduler::Scheduler;
 use crate::time::{Instant, Span};
 
-/// The initial limit: slots for each listed worker. Large on purpose; the first late starts bring it down by
-/// halves.
+/// Initial limit, in slots per listed worker. Deliberately large: the first late starts halve it
+/// repeatedly.
 pub(super) const INITIAL_SLOTS_PER_WORKER: f64 = 8.0;
-/// The initial limit is for so many times a scheduler's part of the fleet, as some get several times the
-/// mean.
+/// The initial limit allows for this multiple of a scheduler's even share of the workers, as some
+/// schedulers receive several times the mean load.
 const INITIAL_SKEW: f64 = 16.0;
-/// What a prompt start adds to the limit, per slot: it rests at a quarter late.
+/// Increase of the limit per slot of a prompt start. The limit is in equilibrium when a quarter of
+/// the starts are late.
 const INCREASE_STEP: f64 = 0.1;
-/// What a late start or an overload rejection takes from the limit, per slot.
+/// Decrease of the limit per slot of a late start or an overload rejection.
 const DECREASE_STEP: f64 = 0.3;
-/// The part of the limit that the decrease of a round leaves at the least.
+/// Lower bound of the factor that is applied to the limit once per feedback round.
 const DECREASE_FACTOR: f64 = 0.5;
-/// Slots by which the limit may lie over twice what is in flight: few jobs come in bursts of several times a
-/// mean.
+/// Slots by which the limit may exceed twice the slots in flight. At low rates, jobs arrive in
+/// bursts of several times the mean.
 const HEADROOM_SLOTS: f64 = 4.0;
-/// The least limit in slots, where little arrives; where more does, one. Keeps feedback coming on any size.
+/// Lower bound of the limit when little arrives, in slots; it rises to one slot with the arrivals.
+/// Keeps feedback coming at any scale.
 const MIN_LIMIT_SLOTS: f64 = 0.25;
 
-/// The own demand of late, on which the least limit rests.
+/// The recent demand on this scheduler, which determines the minimum limit.
 struct Demand {
-    /// Slots that were at work lately, without those that were waiting.
+    /// Slots that were running recently, without those waiting to start.
     utilisation: f64,
-    /// Slots that would be at work if all arrivals were served.
+    /// Slots that would be running if all arrivals were served.
     arrivals: f64,
 }
 
 impl Demand {
-    /// The utilisation and its chance, if so much arrives, whatever was learned. No part of the arrivals
-    /// alone: they may be more than all workers can do, repeats included, and queues outlive a burst.
+    /// The lower bound of the limit, whatever the feedback: the utilisation plus one standard
+    /// deviation of a Poisson process, if that much arrives. The arrivals alone cannot be the
+    /// bound, because with repeats they may exceed the capacity of all workers, and queues outlast
+    /// a burst.
     fn min_limit(&self) -> f64 {
         let with_deviation = self.utilisation + self.utilisation.sqrt();
         self.utilisation
@@ -43,27 +47,30 @@
             .max(self.arrivals.clamp(MIN_LIMIT_SLOTS, 1.0))
     }
 
-    /// What the decrease of a round comes down to: the utilisation and twice its chance.
+    /// The target of a round's decrease: the utilisation plus two standard deviations, and one
+    /// slot.
     fn decrease_floor(&self) -> f64 {
         self.utilisation + 2.0 * self.utilisation.sqrt() + 1.0
     }
 }
 
-/// The limit on own slots in flight, in additive increase and multiplicative decrease.
+/// The limit on slots in flight, adapted by additive increase and multiplicative decrease.
 #[derive(Default)]
 pub(super) struct ConcurrencyLimit {
-    /// In slots; 0 until the first list.
+    /// In slots; 0 until the first list arrives.
     limit: f64,
-    /// Added before the limit is rounded down: a limit below one job would otherwise never send.
+    /// A random fraction added before the limit is rounded down. Without it, a limit below one job
+    /// would never allow a send.
     rounding: f64,
-    /// The share of late starts among the last ones.
+    /// Moving average of the share of late starts.
     late_share: f64,
-    /// Until when a round of feedback lasts: the limit is halved at most once in each.
+    /// End of the current feedback round. The limit is halved at most once per round.
     round_until: Instant,
 }
 
 impl ConcurrencyLimit {
-    /// Sets the initial limit for so many active workers, shared by so many schedulers, unless there is one.
+    /// Sets the initial limit from the number of active workers and of schedulers that share them,
+    /// unless a limit is already set.
     pub(super) fn initialize(&mut self, workers: usize, schedulers: u32) {
         if self.limit == 0.0 && workers > 0 {
             let share = (INITIAL_SKEW / f64::from(schedulers)).min(1.0);
@@ -71,13 +78,13 @@
         }
     }
 
-    /// The whole slots that may be in flight now.
+    /// The whole number of slots that may be in flight.
     fn allowed_slots(&self, demand: &Demand) -> f64 {
         (self.limit.max(demand.min_limit()) + self.rounding).floor()
     }
 
-    /// Draws the rounding anew once a round, as nothing is in flight: a limit below one job is rounded at
-    /// random, or it might never send.
+    /// Draws a new rounding fraction once per round while nothing is in flight. Otherwise a limit
+    /// below one job might never allow a send.
     fn redraw_rounding(&mut self, now: Instant, round: f64, rng: &mut fastrand::Rng) {
         if now >= self.round_until {
             self.rounding = rng.f64();
@@ -85,7 +92,7 @@
         }
     }
 
-    /// Additive increase, where the limit is in use: a job of so many slots has started in time.
+    /// Raises the limit for a prompt start, if the limit is being used.
     fn increase(&mut self, slots: f64, in_flight: f64, rng: &mut fastrand::Rng) {
         self.late_share -= FAST_LEARNING_RATE * self.late_share;
         if 2.0 * (in_flight + slots) + HEADROOM_SLOTS > self.limit {
@@ -93,9 +100,10 @@
         }
     }
 
-    /// Decrease by a step for each late start. Where many are late, a limit above the utilisation, and its
-    /// chance, comes down there by half, once in a round of feedback of jittered length: what is in flight
-    /// would count queues as well.
+    /// Lowers the limit by one step for each late start. If late starts are more frequent than in
+    /// equilibrium, it also moves the limit towards the recent utilisation, at most by half and
+    /// once per feedback round of jittered length. The slots in flight are not the target because
+    /// they include queued jobs.
     fn decrease(
         &mut self,
         slots: f64,
@@ -117,30 +125,30 @@
 }
 
 impl Scheduler {
-    /// The limit as learned, in slots.
+    /// The current limit, in slots.
     pub(crate) fn concurrency_limit(&self) -> f64 {
         self.concurrency_limit.limit
     }
 
-    /// Takes over a limit that another process has learned.
+    /// Takes over a limit learned by another process.
     pub(crate) fn resume_concurrency_limit(&mut self, limit: f64) {
         self.concurrency_limit.limit = limit;
     }
 
-    /// A job of so many slots has started in time.
+    /// Records that a job with this many slots started in time.
     pub(super) fn increase_limit(&mut self, slots: f64) {
         self.concurrency_limit
             .increase(slots, self.in_flight.slots, &mut self.rng);
     }
 
-    /// A job of so many slots was declined, or starts too late.
+    /// Records that a job with this many slots was declined or starts too late.
     pub(super) fn decrease_limit(&mut self, slots: f64) {
         let demand = self.demand();
         self.concurrency_limit
             .decrease(slots, &demand, self.now, self.mean_run, &mut self.rng);
     }
 
-    /// The whole slots that may be in flight now, those at unresponsive workers left out.
+    /// The whole number of slots that may be in flight, not counting those at unresponsive workers.
     pub(super) fn allowed_slots(&mut self) -> f64 {
         if self.in_flight.slots == 0.0 {
             self.concurrency_limit
