--- a/crates/core/src/scheduler/discovery_polling.rs
+++ b/crates/core/src/scheduler/discovery_polling.rs
@@ -1,45 +1,49 @@
-//! Discovery polling: when the endpoint list is requested, and what a list or its failure changes.
+//! Requests the endpoint list from discovery, and applies the lists that arrive.
 //!
-//! It owns the jitter and the backoff of polls. It must never drop a worker of which the list has nothing.
+//! Polls are jittered and back off after failures. Workers missing from a full
+//! list become inactive, but their records are kept.
 
 use crate::interface::{Action, ListKind, Row, Settings};
 use crate::scheduler::Scheduler;
 use crate::time::{Instant, Span};
 
-/// Where more schedulers than this share discovery, each leaves it `POLL_SPACING` for every one beyond.
+/// Up to this many schedulers poll discovery without jitter; each scheduler beyond them adds
+/// `POLL_SPACING` to it.
 const UNSPACED_SCHEDULERS: u32 = 4;
-/// What a start without a list needs of discovery.
+/// Time that discovery needs to serve a scheduler that starts without a list.
 const POLL_SPACING: Span = Span::from_millis(25);
-/// The longest such jitter: a start is ready within 10 s, the turn and the answer included.
+/// Longest jitter of a scheduler without a list. It must be ready within 10 s of its start,
+/// including the wait for its turn at discovery and the answer.
 const MAX_STARTUP_JITTER: Span = Span::from_millis(7_000);
-/// How often the poll jitter's quarter fits into the longest gap after discovery was overloaded. With the
-/// wait for a turn before it, which ends after some 2 s, this is what `NOTIFICATION_DEADLINE` leaves.
+/// Longest gap after an overload of discovery, in units of `Settings::poll_quarter`. It follows a
+/// wait for a turn, which ends after about 2 s, and is what remains of `NOTIFICATION_DEADLINE`.
 const OVERLOAD_QUARTERS: u64 = 2;
-/// How many times the usual gap polls keep after discovery was overloaded.
+/// Factor by which the gap between polls grows after an overload of discovery.
 const OVERLOAD_FACTOR: f64 = 2.0;
-/// The share of such a gap that is waited in any case: discovery first works off calls that have timed out.
+/// Share of the gap after an overload that is always waited, as discovery first processes calls
+/// that have timed out.
 const OVERLOAD_MIN_WAIT_SHARE: f64 = 0.5;
-/// The share of another gap that is waited in any case.
+/// Share of the gap after any other failure that is always waited.
 const MIN_WAIT_SHARE: f64 = 0.25;
-/// The least gap between two polls, in microseconds, whatever the settings say.
+/// Shortest gap between two polls before jitter, in microseconds, for any settings.
 const MIN_POLL_GAP_MICROS: f64 = 20_000.0;
-/// The first backoff after a failure is the poll jitter's quarter shifted right by so many bits.
+/// The first backoff after a failure is `Settings::poll_quarter` shifted right by this many bits.
 const FIRST_BACKOFF_SHIFT: u32 = 4;
-/// The backoff doubles this often at most.
+/// Upper bound on the number of doublings of the backoff.
 const MAX_DOUBLINGS: u32 = 4;
 
-/// When the endpoint list is requested next.
+/// The schedule of requests for the endpoint list.
 #[derive(Default)]
 pub(super) struct DiscoveryPolling {
-    /// When the next poll is due; [`Instant::ZERO`]: as soon as its jitter is drawn; [`Instant::MAX`]: none
-    /// is due.
+    /// When the next poll is due. [`Instant::ZERO`]: once its jitter is drawn; [`Instant::MAX`]: no
+    /// poll is due.
     due_at: Instant,
-    /// Polls that have failed in a row.
+    /// Consecutive failed polls.
     failures: u32,
 }
 
 impl DiscoveryPolling {
-    /// Polling that begins at once where the list comes on request, and else never.
+    /// Polls begin immediately if the list comes on request, and never otherwise.
     pub(super) fn new(settings: &Settings) -> Self {
         let due_at = if settings.list_on_request {
             Instant::ZERO
@@ -52,17 +56,18 @@
         }
     }
 
-    /// When the next poll is due; [`Instant::MAX`]: none is.
+    /// When the next poll is due; [`Instant::MAX`] if none is.
     pub(super) fn due_at(&self) -> Instant {
         self.due_at
     }
 
-    /// Whether the first poll still needs its jitter.
+    /// Whether the jitter of the first poll has not been drawn yet.
     fn needs_jitter(&self) -> bool {
         self.due_at == Instant::ZERO
     }
 
-    /// Whether a poll is due, which is then under way: its answer, or its failure, sets the next one.
+    /// Whether a poll is due. If so, it counts as in flight, and its answer or failure sets the
+    /// next one.
     fn take_due(&mut self, now: Instant) -> bool {
         let is_due = now >= self.due_at;
         if is_due {
@@ -71,14 +76,15 @@
         is_due
     }
 
-    /// The doubling gap after the failures so far, before jitter, within the quarter of the polling interval
-    /// that `poll_quarter` leaves for it while there is a list to serve from.
+    /// The exponential backoff after the failures so far, in microseconds before jitter. It stays
+    /// within `Settings::poll_quarter`, which allows that much while there is a list to serve from.
     fn backoff(&self, settings: &Settings) -> f64 {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         (settings.poll_quarter().as_micros() >> FIRST_BACKOFF_SHIFT << doublings) as f64
     }
 
-    /// A poll has failed: the next one follows after the gap, of which the least share is always waited.
+    /// Schedules the next poll after a failure. The share `min_share` of the gap is always waited,
+    /// the rest is jittered.
     fn on_failure(&mut self, now: Instant, gap: f64, min_share: f64, rng: &mut fastrand::Rng) {
         let jitter = min_share + (1.0 - min_share) * rng.f64();
         let jittered = gap.max(MIN_POLL_GAP_MICROS) * jitter;
@@ -86,14 +92,14 @@
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// A list has come.
+    /// Resets the backoff, as a list has arrived.
     fn on_success(&mut self) {
         self.failures = 0;
     }
 }
 
 impl Scheduler {
-    /// Requests the list where a poll is due.
+    /// Requests the list if a poll is due.
     pub(super) fn poll_discovery(&mut self) {
         if self.discovery_polling.needs_jitter() {
             let jitter = self.poll_jitter() * self.rng.f64();
@@ -104,7 +110,7 @@
         }
     }
 
-    /// Takes in a list, or the failure of a poll.
+    /// Handles a list or a failed poll.
     pub(super) fn on_list(&mut self, kind: ListKind, rows: &[Row]) {
         match kind {
             ListKind::Failed => return self.on_poll_failure(),
@@ -124,7 +130,8 @@
             .initialize(self.pools.live.len(), self.settings.schedulers);
     }
 
-    /// Backs off. Where the list is pushed, what comes counts as requested at once: nothing is spread.
+    /// Backs off after a failed poll. A pushed list counts as requested immediately, so nothing is
+    /// spread there.
     fn on_poll_failure(&mut self) {
         let gap = if self.settings.list_on_request {
             let backoff = self.discovery_polling.backoff(&self.settings);
@@ -136,8 +143,8 @@
             .on_failure(self.now, gap, MIN_WAIT_SHARE, &mut self.rng);
     }
 
-    /// Backs off for longer: calls that have timed out take their turns all the same, so that a fleet which
-    /// repeats them too soon keeps discovery busy with nothing else.
+    /// Backs off for longer than after other failures. Discovery still processes calls that have
+    /// timed out, so that schedulers that repeat them too early would keep it fully occupied.
     fn on_discovery_overloaded(&mut self) {
         if !self.settings.list_on_request {
             return self.on_poll_failure();
@@ -151,9 +158,9 @@
             .on_failure(self.now, gap, OVERLOAD_MIN_WAIT_SHARE, &mut self.rng);
     }
 
-    /// The poll jitter, in microseconds. Prevents many that start, or lose discovery, at one moment from
-    /// failing together: it serves calls in turn, and one that comes while too many wait fails, but takes its
-    /// turn all the same. Watches cost it nothing.
+    /// The poll jitter, in microseconds. It prevents schedulers that start, or lose discovery, at
+    /// the same time from failing together: discovery serves calls in turn, and a call that arrives
+    /// while too many are waiting fails but still takes its turn. Watches put no load on discovery.
     pub(crate) fn poll_jitter(&self) -> f64 {
         let settings = &self.settings;
         let max_jitter = if self.members().listed == 0 {
@@ -164,7 +171,7 @@
         self.uncapped_jitter().min(max_jitter.as_micros_f64())
     }
 
-    /// `POLL_SPACING` for each scheduler of the fleet, in microseconds.
+    /// `POLL_SPACING` for each scheduler beyond `UNSPACED_SCHEDULERS`, in microseconds.
     fn uncapped_jitter(&self) -> f64 {
         let schedulers = self.settings.schedulers;
         let beyond = schedulers.saturating_sub(UNSPACED_SCHEDULERS);
