--- a/crates/core/src/scheduler/failure_detection.rs
+++ b/crates/core/src/scheduler/failure_detection.rs
@@ -1,7 +1,7 @@
-//! Failure detection: workers that are unresponsive or failing, and the backoff from them.
+//! Detects unresponsive and failing workers, and backs off from them.
 //!
-//! It owns the patience with a worker, the doubling backoff, and what a manual exclusion changes. It must
-//! never end a request: its attempts there are left to their deadlines.
+//! The module defines the response timeouts, the exponential backoff and the effect of a manual
+//! exclusion. It ends no request: attempts at such a worker run until their deadlines.
 
 use std::collections::VecDeque;
 
@@ -11,66 +11,67 @@
 use crate::state::{Moves, WorkerIndex};
 use crate::time::{Instant, Span};
 
-/// Mean running times without an observation until a worker with jobs to start is unresponsive.
+/// Time without an observation after which a worker with unstarted jobs is unresponsive, in mean
+/// running times. Also the base of the backoff.
 pub(super) const RESPONSE_TIMEOUT_RUNS: f64 = 1.5;
-/// The same for a worker whose jobs have all started: they may run for some time.
+/// The timeout for a worker whose jobs have all started, which may run for some time.
 const RUNNING_RESPONSE_TIMEOUT_RUNS: f64 = 4.0;
-/// The backoff from an unresponsive or failing worker doubles this often at most.
+/// Upper bound on the number of doublings of the backoff.
 const MAX_DOUBLINGS: u32 = 4;
-/// The least factor of the jitter of a backoff, whose mean is 1.
+/// Lower end of the jitter factor of a backoff, whose mean is 1.
 const MIN_JITTER_FACTOR: f64 = 0.75;
-/// How much the factor may be above the least.
+/// Width of the range of the jitter factor.
 const JITTER_RANGE: f64 = 0.5;
-/// Errors in a row from which on a worker is backed off from as a failing one.
+/// Consecutive errors after which a worker is failing and is backed off from.
 pub(super) const ERROR_THRESHOLD: u32 = 2;
 
-/// The backoff from one worker: until when nothing is sent there, doubling with each trial in vain.
+/// The backoff from one worker. Each failed trial doubles it.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Backoff {
-    /// Nothing is sent there before; [`Instant::ZERO`]: it may get jobs at any time.
+    /// No job is sent to the worker before this time; [`Instant::ZERO`] if there is no backoff.
     until: Instant,
-    /// Backoffs since the worker last answered: what is sent there after one is a trial.
+    /// Backoffs since the worker last answered. A job sent after one of them is a trial.
     trials: u32,
 }
 
 impl Backoff {
-    /// A backoff that another process has begun.
+    /// A backoff that began in another process.
     pub(crate) fn new(until: Instant, trials: u32) -> Self {
         Backoff { until, trials }
     }
 
-    /// Until when nothing is sent there.
+    /// The end of the backoff.
     pub(crate) fn until(&self) -> Instant {
         self.until
     }
 
-    /// How many backoffs there were since the worker last answered.
+    /// The number of backoffs since the worker last answered.
     pub(crate) fn trials(&self) -> u32 {
         self.trials
     }
 
-    /// Whether something may be sent there, be it as a trial.
+    /// Whether jobs may be sent to the worker, even if only as a trial.
     pub(crate) fn is_over(&self, now: Instant) -> bool {
         now >= self.until
     }
 
-    /// Whether what is sent there is a trial.
+    /// Whether the next job sent to the worker is a trial.
     pub(crate) fn is_on_trial(&self) -> bool {
         self.trials > 0
     }
 
-    /// Ends it: the worker has answered, has started anew or is taken back by hand.
+    /// Ends the backoff, when the worker answers, restarts or is included again by an operator.
     pub(crate) fn clear(&mut self) {
         *self = Backoff::default();
     }
 
-    /// Takes a trial back that has not reached the worker: the next one may be sent at once.
+    /// Revokes a trial that did not reach the worker; the next one may be sent immediately.
     pub(crate) fn take_back_trial(&mut self, now: Instant) {
         self.trials = self.trials.saturating_sub(1);
         self.until = now;
     }
 
-    /// Begins a backoff of a span, jittered and doubled for each one before.
+    /// Begins a backoff of `span` microseconds, jittered, and doubled for each preceding one.
     pub(crate) fn begin(&mut self, now: Instant, span: f64, rng: &mut fastrand::Rng) {
         let jittered = span * (MIN_JITTER_FACTOR + JITTER_RANGE * rng.f64());
         let doublings = self.trials.min(MAX_DOUBLINGS);
@@ -80,14 +81,14 @@
     }
 }
 
-/// A worker in the watch queue.
+/// An entry of the watch queue.
 struct Watched {
     worker: WorkerIndex,
-    /// When it was last looked at.
+    /// When the worker was last checked.
     checked_at: Instant,
 }
 
-/// The workers with own attempts, in the order in which they were last looked at.
+/// The workers with attempts of this scheduler, in the order of their last checks.
 #[derive(Default)]
 pub(crate) struct WatchQueue {
     queue: VecDeque<Watched>,
@@ -98,7 +99,7 @@
         self.queue.push_back(Watched { worker, checked_at });
     }
 
-    /// Takes out the first worker, unless it was looked at within a span, in microseconds.
+    /// Removes the first worker if its last check is at least `span` microseconds ago.
     fn pop_due(&mut self, now: Instant, span: f64) -> Option<WorkerIndex> {
         let first = self.queue.front()?;
         let elapsed = now.saturating_since(first.checked_at).as_micros_f64();
@@ -108,7 +109,7 @@
         self.queue.pop_front().map(|watched| watched.worker)
     }
 
-    /// Forgets the workers that are not known any more.
+    /// Removes workers that are no longer known and updates the indices of the others.
     pub(crate) fn retain(&mut self, moves: &Moves) {
         self.queue
             .retain_mut(|watched| moves.apply(&mut watched.worker));
@@ -116,7 +117,7 @@
 }
 
 impl Scheduler {
-    /// Has a worker with own attempts looked at from now on.
+    /// Adds a worker to the watch queue unless it is already there.
     pub(crate) fn watch(&mut self, w: WorkerIndex) {
         let health = &mut self.workers[w].health;
         if !std::mem::replace(&mut health.is_watched, true) {
@@ -124,7 +125,8 @@
         }
     }
 
-    /// The next worker with own attempts that was not looked at for a span, in microseconds.
+    /// The next worker with attempts in flight whose last check is at least `span` microseconds
+    /// ago.
     fn next_due_for_check(&mut self, span: f64) -> Option<WorkerIndex> {
         while let Some(w) = self.watch_queue.pop_due(self.now, span) {
             if self.workers[w].in_flight.open > 0 {
@@ -136,7 +138,7 @@
         None
     }
 
-    /// A worker has shown that it is alive: its backoff is over, unless it fails.
+    /// Records a sign of life from a worker, which ends its backoff unless it is failing.
     pub(super) fn observe_worker(&mut self, w: WorkerIndex) {
         self.include_in_flight(w);
         let worker = &mut self.workers[w];
@@ -148,15 +150,16 @@
         worker.load.rounding = self.rng.f64();
     }
 
-    /// Prevents waiting for workers that take jobs and answer none (vanished, hung, cut off): no sends long
-    /// before a deadline, then sparing trials. Not in the selection: with the limit full of such jobs nobody
-    /// is drawn.
+    /// Backs off from workers that accept jobs without answering them (crashed, hung or
+    /// partitioned) long before the deadlines of those jobs; afterwards only occasional trials are
+    /// sent. This cannot be left to worker selection, which does not run while such jobs use up the
+    /// limit.
     pub(super) fn detect_unresponsive(&mut self) {
         while let Some(w) = self.next_due_for_check(self.mean_run / 2.0) {
             self.lose_without_progress(w);
             self.count_overdue_starts(w);
             if self.is_unresponsive(w) {
-                // Its jobs would occupy the limit's slots until their deadlines.
+                // Its jobs would otherwise hold slots of the limit until their deadlines.
                 self.exclude_from_in_flight(w);
                 if !self.workers[w].health.backoff.is_on_trial() {
                     self.back_off_worker(w);
@@ -165,7 +168,7 @@
         }
     }
 
-    /// Whether a worker with own attempts was not observed for too long.
+    /// Whether a worker with attempts in flight has exceeded its response timeout.
     fn is_unresponsive(&self, w: WorkerIndex) -> bool {
         let worker = &self.workers[w];
         let timeout = if worker.in_flight.unstarted > 0 {
@@ -176,8 +179,8 @@
         self.since(worker.health.unobserved_since) > timeout * self.mean_run
     }
 
-    /// Prevents observing a queue only once its end is reached: what should have started counts as
-    /// a late start at once.
+    /// Counts attempts that should have started by now as late starts. Otherwise a queue would be
+    /// noticed only when the jobs at its end start.
     fn count_overdue_starts(&mut self, w: WorkerIndex) {
         for attempt in self.workers[w].in_flight.attempts.clone() {
             let Some(request) = self.requests.get(&attempt.request) else {
@@ -207,8 +210,8 @@
         backoff.begin(self.now, span, &mut self.rng);
     }
 
-    /// Operators exclude a worker, or include it again. What was bad of a worker before is void once it is
-    /// used again; what waits at it now is left to finish.
+    /// Handles a manual exclusion or its end. A worker that is included again loses its backoff and
+    /// load estimate. Jobs at an excluded worker are left to finish.
     pub(super) fn on_exclusion(&mut self, worker: WorkerId, is_excluded: bool) {
         let has_changed = if is_excluded {
             self.manual_exclusions.insert(worker)
