--- a/crates/core/src/scheduler/load_estimate.rs
+++ b/crates/core/src/scheduler/load_estimate.rs
@@ -1,6 +1,7 @@
-//! Load estimates: how many slots a worker has free, and how fast it runs jobs.
+//! Estimates the free slots of each worker and how fast it runs jobs.
 //!
-//! It owns what reports and running times teach. It must never choose a worker or back off from one.
+//! The estimates come from load reports and running times. They only inform worker selection and
+//! failure detection, which decide elsewhere.
 
 use rustc_hash::FxHashMap;
 
@@ -9,23 +10,24 @@
 use crate::state::{ClassIndex, WorkerIndex};
 use crate::time::Span;
 
-/// Weight of a new observation in learned means: the last twenty count.
+/// Weight of a new observation in moving averages, which thus cover about twenty observations.
 pub(super) const LEARNING_RATE: f64 = 0.05;
-/// The same for a job's work, which must not follow a fleet that slows down for a while.
+/// The same for a job's own work, which must not follow a temporary slowdown of all workers.
 const WORK_LEARNING_RATE: f64 = 0.004;
-/// Free slots a worker is taken to have where no reports come: with more, a full one is tried too soon.
+/// Free slots assumed of a worker without load reports. With more, a full worker is tried again too
+/// soon.
 pub(super) const UNREPORTED_FREE_SLOTS: f64 = 4.0;
-/// Share of a class's slack: a start this late shows that the worker had a queue.
+/// A start after more than this share of its class's slack shows that the worker had a queue.
 pub(super) const QUEUED_START_SHARE: f64 = 0.12;
 
-/// What the reports of all workers have shown together.
+/// Statistics over the load reports of all workers.
 #[derive(Default)]
 pub(crate) struct ReportStatistics {
-    /// The mean of the free slots reported.
+    /// Mean of the free slots reported.
     mean_free: f64,
-    /// The mean time between two reports of a worker, in microseconds.
+    /// Mean time between two reports of a worker, in microseconds.
     pub mean_gap: f64,
-    /// The share of the reports that differ from the worker's one before.
+    /// Share of the reports that differ from the same worker's previous one.
     pub change_share: f64,
 }
 
@@ -42,8 +44,8 @@
         }
     }
 
-    /// How old a report in an answer is when it comes: learned from how often the same worker's
-    /// report has changed between two answers. Probe results are fresh.
+    /// The age of a report in an answer when it arrives, in microseconds, estimated from how often
+    /// a worker's report changes between two answers. Probe results are current.
     fn lag(&self, source: Reports) -> f64 {
         match source {
             Reports::Answers => self.mean_gap / self.change_share.max(0.01),
@@ -52,22 +54,22 @@
     }
 }
 
-/// How long a machine kind runs a job against the mean of the job's class.
+/// The running time of jobs on a machine kind relative to the means of the jobs' classes.
 struct KindSlowdown {
-    /// Over 1 where the kind is slower.
+    /// Above 1 if the kind is slower than the mean.
     slowdown: f64,
-    /// Of how many jobs that was learned, small ones counted in part.
+    /// Number of jobs the estimate is based on, small ones counted in part.
     served: f64,
 }
 
-/// The paces of the machine kinds that have run jobs.
+/// The slowdowns of the machine kinds that have run jobs.
 #[derive(Default)]
 pub(super) struct KindSlowdowns {
     slowdowns: FxHashMap<u32, KindSlowdown>,
 }
 
 impl KindSlowdowns {
-    /// A job of the kind has run for so many times the class's mean, and counts with a weight.
+    /// Records a job that ran `slowdown` times its class's mean on a machine kind.
     fn observe(&mut self, kind: u32, slowdown: f64, weight: f64) {
         let known = self.slowdowns.entry(kind).or_insert(KindSlowdown {
             slowdown: 1.0,
@@ -86,13 +88,13 @@
 }
 
 impl Scheduler {
-    /// Takes in a worker's report.
+    /// Handles a worker's load report.
     pub(super) fn on_report(&mut self, w: WorkerIndex, report: Report) {
         let Some(free) = report.free_slots.filter(|x| x.is_finite()) else {
             return;
         };
         if self.is_repeated_report(w, &report) && self.settings.reports == Reports::Answers {
-            return; // the same old sample again
+            return; // no new sample
         }
         let lag = self.reports.lag(self.settings.reports);
         let load = &mut self.workers[w].load;
@@ -102,7 +104,8 @@
         self.reports.mean_free += LEARNING_RATE * (free - self.reports.mean_free);
     }
 
-    /// A worker that declined a job or let it queue has no slot now, whatever it reported.
+    /// Marks a worker without free slots, whatever it reported, because it declined a job or let
+    /// one queue.
     pub(super) fn mark_full(&mut self, w: WorkerIndex) {
         let load = &mut self.workers[w].load;
         load.free_slots = load.free_slots.min(0.0);
@@ -110,7 +113,7 @@
         load.rounding = self.rng.f64();
     }
 
-    /// How far the last observation of a worker still holds: 1 fresh, 0 stale or never observed.
+    /// How far the last observation of a worker is still valid: 1 if new, 0 if outdated or missing.
     pub(super) fn freshness(&self, w: WorkerIndex) -> f64 {
         self.workers[w]
             .load
@@ -118,8 +121,10 @@
             .map_or(0.0, |at| (-self.since(at) / self.mean_run).exp())
     }
 
-    /// Free slots as last observed, discounted by age towards the fleet's mean, or one, which stands for the
-    /// unobserved (with less, nothing would be sent or observed); one with more own jobs has fewer free.
+    /// The expected free slots of a worker: those last observed, discounted with age towards the
+    /// mean of all workers. An unobserved worker counts as having at least one, as with less
+    /// nothing would be sent there or observed. A worker with more of this scheduler's jobs than
+    /// the mean has fewer free.
     pub(super) fn expected_free(&self, w: WorkerIndex) -> f64 {
         let worker = &self.workers[w];
         let own_mean = self.in_flight.slots / self.pools.live.len().max(1) as f64;
@@ -130,7 +135,8 @@
         fresh * worker.load.free_slots + (1.0 - fresh) * mean
     }
 
-    /// Small jobs count for less: what a run costs whatever its size would else make all look far longer.
+    /// Records the running time of a job. Small jobs have less weight: the fixed cost of a run,
+    /// scaled up by their size, would make all jobs appear much longer.
     pub(super) fn observe_run(&mut self, class: ClassIndex, w: WorkerIndex, ran: f64, size: f64) {
         let unit = ran / size;
         let weight = size.min(1.0);
@@ -145,7 +151,8 @@
         self.kind_slowdowns.observe(kind, slowdown, weight);
     }
 
-    /// What a worker can do: its weight in the list, by how fast its kind has run jobs.
+    /// The capacity of a worker: its weight in the endpoint list divided by the slowdown of its
+    /// kind.
     pub(crate) fn raw_size(&self, w: WorkerIndex) -> f64 {
         let listing = &self.workers[w].listing;
         let weight = if self.settings.weights == Weights::None {
@@ -156,7 +163,7 @@
         weight / self.kind_slowdowns.of(listing.kind)
     }
 
-    /// The same against the mean of all.
+    /// The capacity of a worker relative to the mean of the live workers.
     pub(super) fn relative_capacity(&self, w: WorkerIndex) -> f64 {
         self.raw_size(w) / self.pools.mean_size
     }
