--- a/crates/core/src/scheduler/local_faults.rs
+++ b/crates/core/src/scheduler/local_faults.rs
@@ -1,7 +1,8 @@
-//! Attempts that fail for a fault of this machine: no descriptor, port or memory for their connection.
+//! Delays the retry of a request whose attempt failed with a local fault: this machine lacked a
+//! descriptor, port or memory for the connection.
 //!
-//! It owns for how long their requests back off, and what such an attempt leaves behind. It must never
-//! count it against the worker or as one of the request's attempts, or end a request that has time left.
+//! Such an attempt counts neither against the worker nor against the attempts allowed for the
+//! request, and a request that has time left is not ended because of it.
 
 use std::collections::BTreeSet;
 
@@ -10,37 +11,38 @@
 use crate::state::{AttemptId, WorkerIndex};
 use crate::time::{Instant, Span};
 
-/// The least backoff, before jitter.
+/// Shortest backoff, before jitter.
 const MIN_BACKOFF: Span = Span::from_millis(10);
-/// The part of the time since the request's first such fault that it backs off for: what lasts is tried
-/// seldom.
+/// A request backs off for the time since its first local fault divided by this, so that retries
+/// become rarer while the fault lasts.
 const ELAPSED_DIVISOR: u64 = 4;
-/// What each request that backs off adds to the backoff of the next: bounds the tries of all together.
+/// Each request that is backing off adds this to the minimum backoff of the next one, which limits
+/// the rate of all retries together.
 const SPACING: Span = Span::from_micros(200);
-/// What a worker counts busier, in slots, for the request whose last attempt there failed so: another
-/// address may still have ports.
+/// Penalty, in slots, of the worker at which the request's last attempt failed with a local fault.
+/// Ports may still be available for another address.
 pub(super) const LOCAL_FAULT_PENALTY_SLOTS: f64 = 100.0;
 
-/// A request that backs off; the order of the fields is that in which the backoffs end.
+/// A request that is backing off. The field order gives the order in which backoffs end.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct BackingOff {
     until: Instant,
     id: RequestId,
 }
 
-/// The requests that back off for a fault of this machine.
+/// The requests that are backing off after a local fault.
 #[derive(Default)]
 pub(crate) struct LocalFaultBackoffs {
     requests: BTreeSet<BackingOff>,
 }
 
 impl LocalFaultBackoffs {
-    /// How many requests back off.
+    /// The number of requests that are backing off.
     pub(crate) fn len(&self) -> usize {
         self.requests.len()
     }
 
-    /// When the next backoff is over.
+    /// When the next backoff ends.
     pub(super) fn next_end(&self) -> Option<Instant> {
         self.requests.first().map(|first| first.until)
     }
@@ -53,7 +55,7 @@
         self.requests.remove(&BackingOff { until, id });
     }
 
-    /// A request whose backoff is over.
+    /// A request whose backoff has ended.
     fn first_ended(&self, now: Instant) -> Option<RequestId> {
         let first = self.requests.first()?;
         (first.until <= now).then_some(first.id)
@@ -61,7 +63,7 @@
 }
 
 impl Scheduler {
-    /// Has a request wait for a short, jittered time before it is queued again.
+    /// Makes a request wait for a short, jittered time before it is queued again.
     pub(super) fn back_off_request(&mut self, id: RequestId) {
         let jitter = 0.5 + self.rng.f64();
         let min_span = SPACING * self.backoffs.len() as u64;
@@ -74,13 +76,13 @@
             .max((now - since) / ELAPSED_DIVISOR)
             .max(min_span);
         let until = now + Span::from_micros_f64(span.as_micros_f64() * jitter);
-        // It is queued again by the time at which what is queued is rejected.
+        // It must be back in the queue by its dispatch deadline, when queued requests are rejected.
         let until = until.min(request.dispatch_deadline);
         request.backs_off_until = Some(until);
         self.backoffs.insert(id, until);
     }
 
-    /// Queues the requests again whose backoff is over.
+    /// Queues the requests whose backoff has ended.
     pub(super) fn requeue_backed_off(&mut self) {
         while let Some(id) = self.backoffs.first_ended(self.now) {
             self.clear_backoff(id);
@@ -88,7 +90,7 @@
         }
     }
 
-    /// Ends a request's backoff, if it has one.
+    /// Cancels the backoff of a request, if there is one.
     pub(crate) fn clear_backoff(&mut self, id: RequestId) {
         let Some(request) = self.requests.get_mut(&id) else {
             return;
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Takes back what the sending of an attempt did to its worker: nothing has reached it.
+    /// Reverts the effects of a send on its worker, which the attempt did not reach.
     pub(super) fn undo_send(&mut self, attempt: AttemptId) {
         let Some(request) = self.requests.get(&attempt.request) else {
             return;
@@ -111,7 +113,7 @@
         }
     }
 
-    /// Whether the request's last attempt failed so at this worker.
+    /// Whether the request's last attempt was at this worker and failed with a local fault.
     pub(super) fn failed_locally_at(&self, id: RequestId, w: WorkerIndex) -> bool {
         let last = self
             .requests
