--- a/crates/core/src/scheduler/probing.rs
+++ b/crates/core/src/scheduler/probing.rs
@@ -1,6 +1,6 @@
-//! Probing: requesting the queue length of a chosen worker before a job is sent there.
+//! Probes the queue length of a selected worker before a job is sent there.
 //!
-//! It owns when a probe is sent and for how long its answer is waited for. It must never send a job.
+//! A probe is sent at most once per request, and its answer is awaited for a limited time.
 
 use super::failure_detection::RESPONSE_TIMEOUT_RUNS;
 use super::load_estimate::QUEUED_START_SHARE;
@@ -9,10 +9,10 @@
 use crate::state::{RequestProbe, WorkerIndex};
 
 impl Scheduler {
-    /// Prevents knowing too little where many schedulers contact each worker seldom: one that was chosen and
-    /// not observed lately is probed first for how much waits there. If nothing does the job goes there, else
-    /// to the better of it and another ("Adaptive load sharing", Eager, Lazowska, Zahorjan, 1986; one probe a
-    /// job). Returns whether the worker is probed.
+    /// Probes a selected worker that has no recent observation, as is common where many schedulers
+    /// each contact a worker rarely. If nothing is queued there, the job goes to that worker,
+    /// otherwise to the better of it and another one ("Adaptive load sharing", Eager, Lazowska,
+    /// Zahorjan, 1986; one probe per job). Returns whether a probe is sent.
     pub(super) fn probe_if_needed(&mut self, id: RequestId, w: WorkerIndex) -> bool {
         if !self.needs_probe(id, w) {
             return false;
@@ -37,8 +37,8 @@
         self.settings.may_probe && request.probe.is_none() && !is_late && !is_known
     }
 
-    /// Whether a job's probe is in flight, and may yet be answered in time: who takes longer has a queue, or
-    /// hangs.
+    /// Whether a request's probe is in flight and its answer is not overdue. A worker that takes
+    /// longer to answer has a queue or hangs.
     pub(super) fn awaits_probe(&self, id: RequestId) -> bool {
         let request = &self.requests[&id];
         let Some(probe) = request.probe else {
@@ -48,14 +48,14 @@
         !is_answered && self.since(probe.sent) < QUEUED_START_SHARE * self.slack(request.class)
     }
 
-    /// Takes in the answer to a probe, or its failure.
+    /// Handles the answer to a probe, or its failure.
     pub(super) fn on_probed(&mut self, worker: WorkerId, ending: Ending, report: Option<Report>) {
         let Some(w) = self.workers.find(worker) else {
             return;
         };
         self.workers[w].health.probed_at = self.now;
         if ending == Ending::LocalFault {
-            return; // it was not sent
+            return; // the probe was not sent
         }
         let is_answered = ending == Ending::Delivered;
         let report = report.filter(|_| is_answered).unwrap_or_default();
