--- a/crates/core/src/scheduler/retry.rs
+++ b/crates/core/src/scheduler/retry.rs
@@ -1,19 +1,19 @@
-//! Retries: whether a request is sent again after an attempt, and by when that must have been written.
+//! Decides whether a request is sent again after an attempt, and until when that attempt may be
+//! written.
 //!
-//! It owns the rules of a retry. It must never allow one of what may have run where that may not be
-//! repeated.
+//! A request that may have run is never sent again if its class does not allow a repeat.
 
 use crate::interface::{Effect, Ending, RequestId, Settings, LONGEST_STALL};
 use crate::scheduler::Scheduler;
 use crate::state::Request;
 use crate::time::{Instant, Span};
 
-/// Which requests may be sent again.
+/// The rules for sending a request again.
 #[derive(Default)]
 pub(super) struct RetryPolicy {
-    /// Attempts that a request may have, those that failed for a fault of this machine not counted.
+    /// Attempts allowed per request, not counting those that failed with a local fault.
     max_attempts: usize,
-    /// The least time between two dispatches.
+    /// Shortest time between two dispatches.
     tick: Span,
 }
 
@@ -25,14 +25,15 @@
         }
     }
 
-    /// Whether a request may be sent again: attempts and time are left, and what may have run may be
-    /// repeated.
+    /// Whether a request may be sent again: it has attempts and time left, and it cannot have run
+    /// or may be repeated.
     pub(super) fn allows(&self, request: &Request, settings: &Settings, now: Instant) -> bool {
         let attempts = request.attempts.iter().filter(|a| !a.is_local_fault);
         if attempts.count() >= self.max_attempts || now >= request.deadline {
             return false;
         }
-        // It may be queued until its dispatch deadline, so that the window must reach past that.
+        // The request may stay queued until its dispatch deadline, so the write deadline must be
+        // later.
         let write_deadline = self.write_deadline(request, settings);
         let is_in_window =
             write_deadline.is_none_or(|deadline| request.dispatch_deadline < deadline);
@@ -41,9 +42,10 @@
         is_in_window && !(may_have_run && is_unsafe)
     }
 
-    /// Until when a repeat of a keyed request that may have run must have been written in full: its group
-    /// knows the first one for the window from its sending, for which the decision on it stands, as the
-    /// earliest. The process may be stalled between the last look at the time and the write.
+    /// The time by which a repeat of a keyed request that may have run must be written in full;
+    /// `None` if there is no such limit. The group recognises repeats within a window from the
+    /// first send, whose earliest possible time is the decision to send. The process may stall
+    /// between its last reading of the clock and the write.
     pub(super) fn write_deadline(&self, request: &Request, settings: &Settings) -> Option<Instant> {
         let class = settings.class(request.class);
         if class.effect != Effect::Keyed {
@@ -56,12 +58,12 @@
 }
 
 impl Scheduler {
-    /// Whether a request may be sent again.
     pub(super) fn may_retry(&self, request: &Request) -> bool {
         self.retry_policy.allows(request, &self.settings, self.now)
     }
 
-    /// Ends a request, or queues it again where it may be sent again and nothing of it is in flight.
+    /// Ends a request after an attempt, or queues it again if that is allowed and no other attempt
+    /// is in flight.
     pub(super) fn finish_or_retry(&mut self, id: RequestId, ending: Ending, is_finished: bool) {
         let Some(request) = self.requests.get(&id) else {
             return;
@@ -69,7 +71,7 @@
         if is_finished || request.is_answered {
             self.finish(id);
         } else if request.open > 0 {
-            // Another attempt may still bring the answer.
+            // Another attempt may still yield the answer.
         } else if !self.may_retry(request) || request.dispatch_deadline <= self.now {
             self.end(id);
         } else if ending == Ending::LocalFault {
