--- a/crates/core/src/scheduler/waits.rs
+++ b/crates/core/src/scheduler/waits.rs
@@ -1,6 +1,7 @@
-//! How long own jobs waited at workers and in zones, lately: what the pick is to make of it.
+//! Tracks how long this scheduler's jobs recently waited to start at each worker and in each zone.
 //!
-//! It owns what is learned of waits, and for how long that counts. It must never pick.
+//! Worker selection reads the result as a penalty in slots. A wait loses weight with time, so that
+//! a worker avoided for its queue is tried again.
 
 use rustc_hash::FxHashMap;
 
@@ -8,18 +9,21 @@
 use crate::state::{Wait, WorkerIndex, Zone};
 use crate::time::Instant;
 
-/// Weight of a start in the share of late ones, and in its zone's wait.
+/// Weight of a new observation in the share of late starts and in the wait of a zone.
 pub(super) const FAST_LEARNING_RATE: f64 = 0.15;
-/// Mean running times for which a worker's wait counts: it passes, and is tried again. Where it is contacted
-/// less often than that, until it is contacted again, but no longer than faults last.
+/// Mean running times for which the wait of a worker remains valid, as queues drain and the worker
+/// must be tried again. Where contacts are rarer than that, the mean time between two contacts is
+/// added.
 const WAIT_LIFETIME_RUNS: f64 = 8.0;
+/// Upper bound of that addition, in microseconds: about as long as faults last.
 const MAX_CONTACT_GAP_MICROS: f64 = 8e6;
-/// Slots that a worker counts busier for each mean running time that own jobs waited there lately: a
-/// late start outweighs a crossing. The last few count.
+/// Penalty, in slots, per mean running time that jobs recently waited at a worker. It makes a late
+/// start outweigh the cost of another zone.
 const SLOTS_PER_WAIT: f64 = 12.0;
+/// Weight of a new observation in the wait of a worker, which reflects the last few.
 const WAIT_LEARNING_RATE: f64 = 0.5;
 
-/// How long own jobs waited in each zone, lately.
+/// The recent waits of this scheduler's jobs in each zone.
 #[derive(Default)]
 pub(super) struct ZoneWaits {
     waits: FxHashMap<Zone, Wait>,
@@ -32,14 +36,17 @@
 }
 
 impl Scheduler {
-    /// How far a wait that was learned then of one among so many still holds: 1 just learned, 0 long ago.
+    /// The validity of a wait observed at some time: 1 if new, 0 if long ago. `workers` is the
+    /// number of workers that this scheduler's jobs are spread over.
     pub(super) fn wait_freshness(&self, observed_at: Instant, workers: usize) -> f64 {
         let contact_gap = (workers as f64 / self.rates.arrivals.last).min(MAX_CONTACT_GAP_MICROS);
         (-self.since(observed_at) / (WAIT_LIFETIME_RUNS * self.mean_run + contact_gap)).exp()
     }
 
-    /// What own jobs waited there lately, in slots: at the worker, or where none was there, in its zone.
-    /// Guards against staying in a zone that others fill, or that is lost: own counts show nothing of it.
+    /// The penalty of a worker for recent waits, in slots. The wait in its zone is used to the
+    /// extent that none was observed at the worker itself. Prevents jobs from staying in a zone
+    /// that other schedulers fill or that is cut off, which the slots in flight of this scheduler
+    /// do not show.
     pub(super) fn wait_penalty(&self, w: WorkerIndex) -> f64 {
         let worker = &self.workers[w];
         let freshness = self.wait_freshness(worker.wait.observed_at, self.pools.live.len());
@@ -47,12 +54,14 @@
             + (1.0 - freshness) * self.zone_wait_penalty(worker.listing.zone)
     }
 
+    /// The penalty of a zone for recent waits, in slots.
     pub(super) fn zone_wait_penalty(&self, zone: Zone) -> f64 {
         let wait = self.zone_waits.of(zone);
         let mean = self.wait_freshness(wait.observed_at, 0) * wait.mean;
         SLOTS_PER_WAIT * mean / self.mean_run
     }
 
+    /// Records how long a job waited, in microseconds, for the worker and its zone.
     pub(super) fn observe_wait(&mut self, w: WorkerIndex, waited: f64) {
         let wait = self.workers[w].wait;
         let previous = self.wait_freshness(wait.observed_at, self.pools.live.len()) * wait.mean;
