--- a/crates/core/src/scheduler/worker_selection.rs
+++ b/crates/core/src/scheduler/worker_selection.rs
@@ -1,7 +1,7 @@
-//! Worker selection: the better of two random workers that fit a request.
+//! Selects the better of two random workers that fit a request.
 //!
-//! It owns the random draws, the cost of another zone and the walk over the consistent-hash ring. It must
-//! never send, nor change what is believed of a worker but for its slow-start budget.
+//! The draws take the machine kind, the zone and, for a job with a key, the consistent-hash ring
+//! into account. Selection sends nothing, and updates nothing but slow-start budgets.
 
 use super::concurrency_limit::INITIAL_SLOTS_PER_WORKER;
 use super::load_estimate::QUEUED_START_SHARE;
@@ -10,42 +10,43 @@
 use crate::scheduler::Scheduler;
 use crate::state::{BoundGroup, Request, Worker, WorkerIndex};
 
-/// Random draws for a fitting pair, and queued jobs looked past that found none.
+/// Upper bound on the random draws for two fitting workers, and on the queued jobs without a
+/// fitting worker that are skipped in a tier.
 pub(super) const MAX_DRAWS: usize = 8;
-/// Slots that a worker in another zone counts as busier, for a price of the whole result.
+/// Mean penalty of a worker in another zone, in slots, at a `cross_price` of 1 (the value of the
+/// whole result).
 const CROSS_ZONE_SLOTS: f64 = 160.0;
-
-/// How many fitting workers are compared.
+/// The number of fitting workers that are compared.
 const CHOICES: u32 = 2;
 
-/// Which workers may be drawn for a request, and how.
+/// What all draws for one request have in common.
 struct SelectionCriteria {
-    /// The machine kind that its class needs.
+    /// The machine kind required by the class.
     kind: Option<u32>,
-    /// The group that a keyed request which may have run is bound to.
+    /// The group to which a keyed request that may have run is bound.
     group: Option<BoundGroup>,
-    /// Where on the ring the workers of its key begin.
+    /// The position of the request's key on the ring.
     home: Option<usize>,
-    /// What a worker in another zone counts as busier, in slots.
+    /// The penalty of a worker in another zone, in slots.
     zone_cost: f64,
-    /// Every other draw is from the own zone.
+    /// Whether every other draw is from the own zone.
     prefers_own_zone: bool,
-    /// Where the walk through a group begins.
+    /// Where iteration over the workers of a group begins.
     start: usize,
 }
 
-/// A worker that fits.
+/// A worker that fits the request.
 struct Candidate {
     worker: WorkerIndex,
-    /// In slots.
+    /// Penalties less expected free slots.
     load: f64,
 }
 
-/// The best worker so far.
+/// The best candidate so far.
 #[derive(Default)]
 struct Choice {
     best: Option<Candidate>,
-    /// How many workers were compared.
+    /// The number of candidates compared.
     compared: u32,
 }
 
@@ -64,9 +65,10 @@
 }
 
 impl Scheduler {
-    /// The better of two random fitting workers, or none: then the job stays queued. Every other draw is
-    /// from the own zone where crossings are charged, and all from a key's home on the ring, where what was
-    /// fetched is used again; the group that a keyed job is bound to is gone through, from a random place.
+    /// Selects the better of two random fitting workers. If there is none, the job stays queued.
+    /// Every other draw is from the own zone if crossing zones has a price. The draws for a key
+    /// follow the ring from its position, so that data fetched there is reused. For a keyed job
+    /// bound to a group, the live workers are searched from a random position.
     pub(super) fn select_worker(&mut self, id: RequestId) -> Option<WorkerIndex> {
         let criteria = self.selection_criteria(id)?;
         let mut choice = Choice::default();
@@ -101,14 +103,15 @@
         choice.best.map(|best| best.worker)
     }
 
-    /// Draws what holds for all draws of a request.
+    /// Determines what the draws for a request have in common, including its random price of
+    /// crossing zones.
     fn selection_criteria(&mut self, id: RequestId) -> Option<SelectionCriteria> {
         let request = self.requests.get(&id)?;
         let kind = self.settings.class(request.class).kind;
         let key = request.key;
         let group = self.group_of(request);
         let home = key.map(|key| self.home(key));
-        // The price of a crossing is drawn anew for each job: else all would cross at the same moment.
+        // A random price per job prevents all jobs from crossing at the same moment.
         let zone_cost = 2.0 * self.rng.f64() * CROSS_ZONE_SLOTS * self.settings.cross_price;
         let prefers_own_zone = self.settings.cross_price > 0.0
             && !self.pools.own_zone.is_empty()
@@ -123,14 +126,15 @@
         })
     }
 
-    /// The worker whose answer to a probe this request has waited for.
+    /// The worker that answered this request's probe, unless the last attempt failed there with a
+    /// local fault.
     fn probed_worker(&self, id: RequestId) -> Option<WorkerIndex> {
         let probe = self.requests.get(&id)?.probe?;
         let has_answered = self.workers[probe.worker].health.probed_at >= probe.sent;
         (has_answered && !self.failed_locally_at(id, probe.worker)).then_some(probe.worker)
     }
 
-    /// Draws a worker: the next of a group, the next on the ring, or one at random.
+    /// Draws a worker: the next one for a group, the next one on the ring, or a random one.
     fn draw(&mut self, criteria: &SelectionCriteria, draw: usize) -> Option<WorkerIndex> {
         if criteria.group.is_some() {
             let live = &self.pools.live;
@@ -148,7 +152,7 @@
         }
     }
 
-    /// What a worker counts as busier, in slots, where the last attempt failed for a fault of this machine.
+    /// The penalty of the worker at which the last attempt failed with a local fault, in slots.
     fn local_fault_penalty(&self, id: RequestId, w: WorkerIndex) -> f64 {
         if self.failed_locally_at(id, w) {
             LOCAL_FAULT_PENALTY_SLOTS
@@ -157,14 +161,15 @@
         }
     }
 
-    /// What the selection compares, in slots: expected free ones and what a send costs extra.
+    /// The load by which workers are compared, in slots: the penalties less the expected free
+    /// slots.
     fn load(&self, w: WorkerIndex, zone_cost: f64) -> f64 {
         let is_other_zone = self.workers[w].listing.zone != self.settings.own_zone();
         let crossing = zone_cost * f64::from(u8::from(is_other_zone));
         crossing + self.wait_penalty(w) - self.expected_free(w)
     }
 
-    /// Whether a request may be sent to a worker now, and there is capacity for it.
+    /// Whether a request may be sent to a worker now and the worker has capacity for it.
     fn fits(&mut self, id: RequestId, w: WorkerIndex, group: Option<BoundGroup>) -> bool {
         let request = &self.requests[&id];
         let may_go_there = self.is_available(w)
@@ -174,13 +179,13 @@
         may_go_there && self.has_capacity_for(request, w) && self.slow_start_allows(w)
     }
 
-    /// Whether a worker is of the kind that a request's class needs.
+    /// Whether a worker is of the machine kind required by the request's class.
     fn has_kind_for(&self, request: &Request, w: WorkerIndex) -> bool {
         let kind = self.settings.class(request.class).kind;
         kind.is_none_or(|kind| kind == self.workers[w].listing.kind)
     }
 
-    /// Whether a worker is expected to have the slots and the memory that a request takes, and no queue.
+    /// Whether a worker is expected to have enough slots and memory for a request, and no queue.
     fn has_capacity_for(&self, request: &Request, w: WorkerIndex) -> bool {
         let worker = &self.workers[w];
         let free_memory = worker.load.free_memory;
@@ -190,7 +195,7 @@
         has_memory && !self.has_queue(worker, request) && has_slots
     }
 
-    /// Whether an own job waits at a worker that should have started.
+    /// Whether a job of this scheduler is waiting at a worker and should have started by now.
     fn has_queue(&self, worker: &Worker, request: &Request) -> bool {
         let at_worker = &worker.in_flight;
         at_worker.unstarted > 0
@@ -199,7 +204,7 @@
     }
 }
 
-/// Whether a request had an attempt at a worker that was not for a fault of this machine.
+/// Whether a request had an attempt at a worker, other than one that failed with a local fault.
 fn was_tried_at(request: &Request, w: WorkerIndex) -> bool {
     let mut attempts = request.attempts.iter();
     attempts.any(|attempt| attempt.worker == w && !attempt.is_local_fault)
