--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,13 +1,13 @@
-//! Points in time and durations, as types that cannot be mixed up.
+//! Distinct types for points in time and durations, in whole microseconds.
 //!
-//! Both count whole microseconds. An [`Instant`] is on the clock of this process, which may start anywhere and
-//! never runs backwards; a [`Span`] is the distance of two of them. A mean of durations that is learned stays an
-//! `f64` in microseconds, as it needs the fractions. Nothing here may read a clock.
+//! An [`Instant`] is on the clock of this process, which may start at any value and is monotonic; a
+//! [`Span`] is the difference of two instants. Moving averages of durations are `f64` microseconds
+//! instead, because they need the fraction. Nothing in this module reads a clock.
 
 use std::ops::{Add, Div, Mul, Sub};
 use std::time::Duration;
 
-/// A point in time on the clock of this process, in whole microseconds.
+/// A point in time on the monotonic clock of this process, in whole microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Instant(u64);
 
@@ -16,36 +16,36 @@
 pub struct Span(u64);
 
 impl Instant {
-    /// Where the clock begins. Fields that may be without a time have this for "never yet".
+    /// The origin of the clock. Fields use it for "not yet".
     pub const ZERO: Instant = Instant(0);
-    /// Later than all others: where it is due, nothing is.
+    /// The latest instant. As a due time it means "never".
     pub const MAX: Instant = Instant(u64::MAX);
 
-    /// The point in time at which the clock shows so many microseconds.
+    /// Creates an instant from a clock reading in microseconds.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Instant(micros)
     }
 
-    /// What the clock shows then, in microseconds.
+    /// Returns the clock reading in microseconds.
     #[must_use]
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The time since an earlier point; none where that is in fact later.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is later.
     #[must_use]
     pub const fn saturating_since(self, earlier: Instant) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
 
-    /// The point a span later, at most [`Instant::MAX`].
+    /// Returns the instant `span` later, saturating at [`Instant::MAX`].
     #[must_use]
     pub const fn saturating_add(self, span: Span) -> Self {
         Instant(self.0.saturating_add(span.0))
     }
 
-    /// The point a span earlier, at least [`Instant::ZERO`].
+    /// Returns the instant `span` earlier, saturating at [`Instant::ZERO`].
     #[must_use]
     pub const fn saturating_sub(self, span: Span) -> Self {
         Instant(self.0.saturating_sub(span.0))
@@ -53,41 +53,41 @@
 }
 
 impl Span {
-    /// No time at all.
+    /// A span of zero length.
     pub const ZERO: Span = Span(0);
 
-    /// A span of so many microseconds.
+    /// Creates a span from a number of microseconds.
     #[must_use]
     pub const fn from_micros(micros: u64) -> Self {
         Span(micros)
     }
 
-    /// A span of so many milliseconds.
+    /// Creates a span from a number of milliseconds.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Span(millis * 1_000)
     }
 
-    /// A span of so many microseconds, the fraction cut off. What is below 0 or no number gives 0, what is too
-    /// large the longest span.
+    /// Creates a span from a number of microseconds, truncating the fraction. Negative values and
+    /// NaN give zero, values out of range the longest span.
     #[must_use]
     pub const fn from_micros_f64(micros: f64) -> Self {
         Span(micros as u64)
     }
 
-    /// Its length in microseconds.
+    /// Returns the length in microseconds.
     #[must_use]
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The same length as the standard library has it.
+    /// Converts to the duration type of the standard library.
     #[must_use]
     pub const fn as_duration(self) -> Duration {
         Duration::from_micros(self.0)
     }
 
-    /// Its length in microseconds, for sums with learned means.
+    /// Returns the length in microseconds, for arithmetic with moving averages.
     #[must_use]
     pub const fn as_micros_f64(self) -> f64 {
         self.0 as f64
