--- a/crates/core/src/figures.rs
+++ b/crates/core/src/figures.rs
@@ -1,22 +1,22 @@
-//! The ledger of what became of requests, and the figures that operators read of it.
+//! Counts requests by class and outcome, and renders the counts for operators.
 //!
-//! It owns one count for each request and one for its end, and the lines' form. It must never count an end
-//! twice: who has taken a request in holds an [`Entry`], and gives it up with the end.
+//! A request that has been taken in holds an [`Entry`]. Consuming or dropping the entry counts the
+//! end of the request, so that no end is counted twice or missed.
 
 use std::cell::RefCell;
 use std::fmt::Write as _;
 use std::rc::Rc;
 
-/// How a request ended, as its client sees it.
+/// How a request ended, as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
     /// Served with a worker's result.
     Completed,
-    /// Rejected: trying again is harmless.
+    /// Rejected; the client may safely try again.
     Rejected,
-    /// Failed, whatever the cause.
+    /// Failed for any reason.
     Failed,
-    /// Its client disconnected first.
+    /// The client disconnected before the end.
     Abandoned,
 }
 
@@ -26,41 +26,48 @@
     ended: [u64; 4],
 }
 
-/// What operators read besides: of the list, and of attempts.
+/// The numbers of workers that operators see beside the request counts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Members {
-    /// Workers in the list.
+    /// Workers in the endpoint list.
     pub listed: usize,
-    /// Of these, those that get nothing now: by the list, by hand or by choice.
+    /// Listed workers to which nothing is sent now: not active in the list, excluded by an
+    /// operator, or in backoff.
     pub unavailable: usize,
 }
 
 #[derive(Debug, Default)]
 struct Inner {
-    /// By class; the last are requests of classes that nobody knows.
+    /// By class index; the last element counts requests of unknown classes.
     classes: Vec<Counts>,
     pending: u64,
 }
 
 impl Inner {
-    /// Taken = ended + pending: what breaks this has counted a request twice, or not at all.
-    fn check(&self) {
+    /// Asserts, in debug builds, that the requests taken are those ended and those pending;
+    /// otherwise one was counted twice or not at all. [`Entry`] already ensures this, so the check
+    /// guards against later changes.
+    fn assert_consistent(&self) {
         if !cfg!(debug_assertions) {
-            return; // each request's entry gives itself up once: the sum is for what a later change may break
+            return;
         }
         let (taken, ended) = self.classes.iter().fold((0, 0), |(taken, ended), c| {
             (taken + c.taken, ended + c.ended.iter().sum::<u64>())
         });
-        debug_assert_eq!(taken, ended + self.pending, "each request ends once");
+        debug_assert_eq!(
+            taken,
+            ended + self.pending,
+            "requests taken must equal requests ended plus pending"
+        );
     }
 }
 
-/// Counts requests by class and end.
+/// Counts requests by class and outcome. Clones share the counts.
 #[derive(Clone, Debug)]
 pub struct Ledger(Rc<RefCell<Inner>>);
 
 impl Ledger {
-    /// A ledger for so many classes.
+    /// Creates the counts for a number of classes.
     #[must_use]
     pub fn new(classes: usize) -> Ledger {
         Ledger(Rc::new(RefCell::new(Inner {
@@ -69,12 +76,14 @@
         })))
     }
 
-    /// A request has come; `None` where its class is none that is known.
+    /// Counts a request that has arrived; `None` if its class is unknown.
     #[must_use]
     pub fn take(&self, class: Option<usize>) -> Entry {
         let mut inner = self.0.borrow_mut();
-        let unknown = inner.classes.len() - 1;
-        let class = class.filter(|c| *c < unknown).unwrap_or(unknown);
+        let unknown_class = inner.classes.len() - 1;
+        let class = class
+            .filter(|c| *c < unknown_class)
+            .unwrap_or(unknown_class);
         inner.classes[class].taken += 1;
         inner.pending += 1;
         Entry {
@@ -84,13 +93,14 @@
         }
     }
 
-    /// Requests that were taken and have not ended.
+    /// Returns the number of requests that were taken and have not ended.
     #[must_use]
     pub fn pending(&self) -> u64 {
         self.0.borrow().pending
     }
 
-    /// How many requests of a class ended so; with `None`, of the classes that nobody knows.
+    /// Returns how many requests of a class ended with an outcome; `None` stands for the unknown
+    /// classes.
     #[must_use]
     pub fn ended(&self, class: Option<usize>, end: End) -> u64 {
         let inner = self.0.borrow();
@@ -98,19 +108,19 @@
         counts.map_or(0, |c| c.ended[end as usize])
     }
 
-    /// The figures in the operators' form, a line each.
+    /// Renders the counts in the format for operators, one per line.
     #[must_use]
     pub fn render(&self, names: &[String], upstream: u64, members: Members) -> String {
         let inner = self.0.borrow();
-        inner.check();
+        inner.assert_consistent();
         let mut text = String::new();
         let mut line = |name: std::fmt::Arguments<'_>, value: u64, kind: char| {
             _ = writeln!(text, "edge_router.{name}:{value}|{kind}");
         };
         for (name, counts) in names.iter().zip(&inner.classes) {
-            for (end, word) in ["completed", "rejected", "failed"].into_iter().enumerate() {
+            for (end, suffix) in ["completed", "rejected", "failed"].into_iter().enumerate() {
                 line(
-                    format_args!("downstream_requests.{name}.{word}"),
+                    format_args!("downstream_requests.{name}.{suffix}"),
                     counts.ended[end],
                     'c',
                 );
@@ -128,7 +138,8 @@
     }
 }
 
-/// A request that was taken and has not ended. Dropped without an end, its client has disconnected.
+/// A request that was taken and has not ended. If it is dropped without an outcome, the request
+/// counts as [`End::Abandoned`].
 #[derive(Debug)]
 pub struct Entry {
     ledger: Ledger,
@@ -137,7 +148,7 @@
 }
 
 impl Entry {
-    /// The request has ended so.
+    /// Records the outcome of the request.
     pub fn end(mut self, end: End) {
         self.end = end;
     }
@@ -148,6 +159,6 @@
         let mut inner = self.ledger.0.borrow_mut();
         inner.classes[self.class].ended[self.end as usize] += 1;
         inner.pending -= 1;
-        inner.check();
+        inner.assert_consistent();
     }
 }
