--- a/crates/core/src/tests/backoff.rs
+++ b/crates/core/src/tests/backoff.rs
@@ -1,4 +1,4 @@
-//! The doubling backoff from a worker.
+//! Exponential backoff from a worker.
 
 use crate::scheduler::failure_detection::Backoff;
 use crate::time::Instant;
@@ -9,7 +9,7 @@
     Instant::from_micros(micros)
 }
 
-/// For how long a worker is backed off from at each of so many failures in a row.
+/// The spans of consecutive backoffs without an answer in between, in microseconds.
 fn spans(failures: usize) -> Vec<u64> {
     let mut backoff = Backoff::default();
     let mut rng = fastrand::Rng::with_seed(3);
@@ -24,16 +24,16 @@
 fn backoff_doubles_four_times_with_jitter() {
     for (n, span) in spans(8).into_iter().enumerate() {
         let mean = SPAN * f64::from(1 << n.min(4));
-        let relative = span as f64 / mean;
+        let factor = span as f64 / mean;
         assert!(
-            (0.74..=1.25).contains(&relative),
-            "{relative} at failure {n}"
+            (0.74..=1.25).contains(&factor),
+            "backoff {n} has a jitter factor of {factor}"
         );
     }
 }
 
 #[test]
-fn answer_ends_a_backoff_and_its_doubling() {
+fn clearing_ends_the_backoff_and_resets_its_doubling() {
     let mut backoff = Backoff::new(at(5_000), 3);
     assert!(backoff.is_on_trial() && !backoff.is_over(at(4_999)) && backoff.is_over(at(5_000)));
     backoff.clear();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn trial_that_was_not_sent_counts_for_nothing() {
+fn unsent_trial_is_not_counted() {
     let mut backoff = Backoff::new(at(5_000), 3);
     backoff.take_back_trial(at(1_000));
     assert_eq!((backoff.until(), backoff.trials()), (at(1_000), 2));
