--- a/crates/core/src/scheduler/failure_detection.rs
+++ b/crates/core/src/scheduler/failure_detection.rs
@@ -66,7 +66,7 @@
     }
 
     /// Revokes a trial that did not reach the worker; the next one may be sent immediately.
-    pub(crate) fn take_back_trial(&mut self, now: Instant) {
+    pub(crate) fn revoke_trial(&mut self, now: Instant) {
         self.trials = self.trials.saturating_sub(1);
         self.until = now;
     }
--- a/crates/core/src/scheduler/local_faults.rs
+++ b/crates/core/src/scheduler/local_faults.rs
@@ -107,9 +107,9 @@
         };
         let attempt = &request.attempts[attempt.number];
         let worker = &mut self.workers[attempt.worker];
-        worker.slow_start.give_back(attempt.cost);
+        worker.slow_start.refund(attempt.cost);
         if attempt.is_trial {
-            worker.health.backoff.take_back_trial(self.now);
+            worker.health.backoff.revoke_trial(self.now);
         }
     }
 
--- a/crates/core/src/scheduler/slow_start.rs
+++ b/crates/core/src/scheduler/slow_start.rs
@@ -42,7 +42,7 @@
     }
 
     /// Refunds the cost of an attempt that did not reach the worker.
-    pub(crate) fn give_back(&mut self, cost: f64) {
+    pub(crate) fn refund(&mut self, cost: f64) {
         self.balance += cost;
     }
 
--- a/crates/core/src/tests/backoff.rs
+++ b/crates/core/src/tests/backoff.rs
@@ -43,6 +43,6 @@
 #[test]
 fn unsent_trial_is_not_counted() {
     let mut backoff = Backoff::new(at(5_000), 3);
-    backoff.take_back_trial(at(1_000));
+    backoff.revoke_trial(at(1_000));
     assert_eq!((backoff.until(), backoff.trials()), (at(1_000), 2));
 }
