--- a/crates/core/src/state/rates.rs
+++ b/crates/core/src/state/rates.rs
@@ -1,121 +1,127 @@
-//! Rates: how much comes in, leaves and is done in a time.
-//!
-//! It owns the fading counts. It must never look at a single worker's load.
+//! Exponentially decaying rates of arrivals, departures and completed work, over all workers.
 
 use crate::time::Instant;
 
-/// Mean running times over which the rate of what leaves is counted.
-const DEPARTURE_SPAN: f64 = 4.0;
-/// Mean running times over which the rates of what comes in and is done are counted: some dozens of jobs,
-/// also in a large fleet.
-const ARRIVAL_SPAN: f64 = 16.0;
-/// The share of such a span that a rate is taken to stand for at the least.
-const LEAST_SEEN: f64 = 0.2;
+/// Time constant of the departure rate, in mean running times.
+const DEPARTURE_WINDOW_RUNS: f64 = 4.0;
+/// Time constant of the rates of arrivals and completed work, in mean running times. It spans some dozens of
+/// jobs, even in a large fleet.
+const ARRIVAL_WINDOW_RUNS: f64 = 16.0;
+/// Lower bound of the observed share of a window, by which counts are divided.
+const MIN_OBSERVED_SHARE: f64 = 0.2;
 
-/// A count that has faded since it was made.
-struct Faded {
-    counted: f64,
-    /// The share of the span that was seen.
-    seen: f64,
+/// A rate's count and observed share, decayed to a point in time.
+struct Decayed {
+    count: f64,
+    observed_share: f64,
 }
 
-/// How much comes in a microsecond, lately: what was counted fades over a span. Of a younger one the time
-/// since its first count stands for the span. Prevents a fresh scheduler from believing for seconds
-/// that hardly anything comes in or is done: all together then send cold workers, where most have
-/// restarted, next to nothing.
+/// The recent amount per microsecond, as an exponentially decaying count.
+///
+/// Until the window has passed since the first count, the count is divided by the share of the window that
+/// was observed. Otherwise a scheduler that has just started would see next to no arrivals and completed work
+/// for seconds, and where most schedulers have restarted, all of them together would send next to nothing to
+/// cold workers.
 #[derive(Default)]
 pub(crate) struct Rate {
-    /// As of the last count.
+    /// The rate at the last count.
     pub last: f64,
-    counted: f64,
-    /// The share of the span that was seen.
-    seen: f64,
+    /// The decaying amount divided by the window, as of `counted_at`.
+    count: f64,
+    /// The share of the window that was observed, approaching 1.
+    observed_share: f64,
     counted_at: Instant,
 }
 
 impl Rate {
-    fn faded(&self, now: Instant, span: f64) -> Faded {
-        let left = (-(now.saturating_since(self.counted_at).as_micros_f64()) / span).exp();
-        let seen = if self.counted_at == Instant::ZERO {
+    fn decayed(&self, now: Instant, window: f64) -> Decayed {
+        let left = (-(now.saturating_since(self.counted_at).as_micros_f64()) / window).exp();
+        let observed_share = if self.counted_at == Instant::ZERO {
             0.0
         } else {
-            1.0 - (1.0 - self.seen) * left
+            1.0 - (1.0 - self.observed_share) * left
         };
-        Faded {
-            counted: self.counted * left,
-            seen,
+        Decayed {
+            count: self.count * left,
+            observed_share,
         }
     }
 
-    fn count(&mut self, now: Instant, amount: f64, span: f64) {
-        let faded = self.faded(now, span);
-        let counted = faded.counted + amount / span;
+    fn add(&mut self, now: Instant, amount: f64, window: f64) {
+        let decayed = self.decayed(now, window);
+        let count = decayed.count + amount / window;
         *self = Rate {
-            last: counted / faded.seen.max(LEAST_SEEN),
-            counted,
-            seen: faded.seen,
+            last: count / decayed.observed_share.max(MIN_OBSERVED_SHARE),
+            count,
+            observed_share: decayed.observed_share,
             counted_at: now,
         };
     }
 
-    fn now(&self, now: Instant, span: f64, least_seen: f64) -> f64 {
-        let faded = self.faded(now, span);
-        faded.counted / faded.seen.max(least_seen)
+    fn at(&self, now: Instant, window: f64, min_observed_share: f64) -> f64 {
+        let decayed = self.decayed(now, window);
+        decayed.count / decayed.observed_share.max(min_observed_share)
     }
 }
 
-/// Work that was done, in slot-microseconds.
+/// Completed work, in slot-microseconds.
 pub(crate) struct WorkDone {
-    /// As it was measured.
+    /// From the measured running time.
     pub measured: f64,
-    /// As it was estimated when it was sent. A slow-start budget is in the same measure, so that it holds
-    /// as many jobs whatever is believed of how long they run.
+    /// From the estimated running time of the job's class. Costs charged to slow-start budgets are estimated
+    /// in the same way, so that the number of jobs in a budget does not depend on how accurate the estimate
+    /// is.
     pub estimated: f64,
 }
 
-/// The rates of one scheduler. Spans are given as the mean running time, in microseconds.
+/// The rates of a scheduler. The windows scale with the mean running time, which callers pass in
+/// microseconds.
 #[derive(Default)]
 pub(crate) struct Rates {
-    /// Of requests that come in.
+    /// Requests that arrive.
     pub arrivals: Rate,
-    /// Of attempts that are sent.
+    /// Attempts that are sent.
     pub departures: Rate,
-    /// Of work done, in slots: what waits is left out.
+    /// Completed work, in slots. Time that jobs spent waiting is not included.
     work: Rate,
-    /// The same for each warm worker of its time.
+    /// Completed work per warm worker at the time of its completion.
     work_per_warm_worker: Rate,
 }
 
 impl Rates {
-    /// Counts a request that comes in.
+    /// Counts a request that arrives.
     pub(crate) fn count_arrival(&mut self, now: Instant, mean_run: f64) {
-        self.arrivals.count(now, 1.0, ARRIVAL_SPAN * mean_run);
+        self.arrivals.add(now, 1.0, ARRIVAL_WINDOW_RUNS * mean_run);
     }
 
     /// Counts an attempt that is sent.
     pub(crate) fn count_departure(&mut self, now: Instant, mean_run: f64) {
-        self.departures.count(now, 1.0, DEPARTURE_SPAN * mean_run);
+        self.departures
+            .add(now, 1.0, DEPARTURE_WINDOW_RUNS * mean_run);
     }
 
-    /// Counts work that was done. It is counted by the warmth of its time, in warm workers, as a fleet half
-    /// replaced does not do more by the rest.
+    /// Counts completed work. `warmth` is the capacity of the live workers in units of a warm worker. The
+    /// work is divided by it on completion and not when the rate is read: when half of a fleet is replaced,
+    /// the remaining workers do no more than before.
     pub(crate) fn count_work(&mut self, now: Instant, mean_run: f64, work: &WorkDone, warmth: f64) {
-        let span = ARRIVAL_SPAN * mean_run;
-        self.work.count(now, work.measured, span);
+        let window = ARRIVAL_WINDOW_RUNS * mean_run;
+        self.work.add(now, work.measured, window);
         let per_worker = work.estimated / warmth.max(1.0);
-        self.work_per_warm_worker.count(now, per_worker, span);
+        self.work_per_warm_worker.add(now, per_worker, window);
     }
 
-    /// Slots that were at work for this scheduler lately at a warm worker.
+    /// Slots that a warm worker has recently kept busy for this scheduler, on average.
     pub(crate) fn throughput_per_worker(&self, now: Instant, mean_run: f64) -> f64 {
-        let span = ARRIVAL_SPAN * mean_run;
-        self.work_per_warm_worker.now(now, span, LEAST_SEEN)
+        let window = ARRIVAL_WINDOW_RUNS * mean_run;
+        self.work_per_warm_worker
+            .at(now, window, MIN_OBSERVED_SHARE)
     }
 
-    /// Slots that were at work for this scheduler lately. Of a fresh one a mean running time stands for
-    /// the span at the least: the limit, which rests on it, would come down to a part of what is at work.
+    /// Slots that have recently been busy for this scheduler. After a start the observed time counts as at
+    /// least one mean running time; with the larger minimum of the other rates, the concurrency limit, which
+    /// has this as its lower bound, would fall to a fraction of the busy slots.
     pub(crate) fn utilisation(&self, now: Instant, mean_run: f64) -> f64 {
-        let span = ARRIVAL_SPAN * mean_run;
-        self.work.now(now, span, 1.0 / ARRIVAL_SPAN)
+        let window = ARRIVAL_WINDOW_RUNS * mean_run;
+        self.work.at(now, window, 1.0 / ARRIVAL_WINDOW_RUNS)
     }
 }
--- a/crates/core/src/tests/rates.rs
+++ b/crates/core/src/tests/rates.rs
@@ -1,4 +1,4 @@
-//! Rates of what comes in and of work done.
+//! Tests of the rates of arrivals and completed work.
 
 use crate::state::{Rates, WorkDone};
 use crate::time::Instant;
@@ -11,30 +11,36 @@
 }
 
 #[test]
-fn steady_arrivals_show_their_rate() {
+fn steady_arrivals_give_their_rate() {
     let mut rates = Rates::default();
     let gap = 10_000;
     for n in 1..=1_000 {
         rates.count_arrival(at(n * gap), MEAN_RUN);
     }
     let relative = rates.arrivals.last * gap as f64;
-    assert!((0.95..1.05).contains(&relative), "{relative} of the rate");
+    assert!(
+        (0.95..1.05).contains(&relative),
+        "measured {relative} times the rate"
+    );
 }
 
-/// Prevents a fresh scheduler from believing that next to nothing comes in.
+/// A scheduler that has just started must not underestimate arrivals because its window is not full yet.
 #[test]
-fn young_rate_counts_for_the_time_that_was_seen() {
+fn rate_after_a_start_is_relative_to_the_observed_time() {
     let mut rates = Rates::default();
     let gap = 10_000;
     for n in 1..=100 {
         rates.count_arrival(at(n * gap), MEAN_RUN);
     }
     let relative = rates.arrivals.last * gap as f64;
-    assert!((0.9..1.15).contains(&relative), "{relative} of the rate");
+    assert!(
+        (0.9..1.15).contains(&relative),
+        "measured {relative} times the rate"
+    );
 }
 
 #[test]
-fn utilisation_fades_where_nothing_is_done() {
+fn utilisation_decays_when_no_work_is_completed() {
     let mut rates = Rates::default();
     let work = WorkDone {
         measured: MEAN_RUN,
@@ -45,9 +51,18 @@
     }
     let now = 100 * 50_000;
     let busy = rates.utilisation(at(now), MEAN_RUN);
-    assert!((1.8..2.2).contains(&busy), "two slots at work, not {busy}");
+    assert!(
+        (1.8..2.2).contains(&busy),
+        "expected two busy slots, got {busy}"
+    );
     let per_worker = rates.throughput_per_worker(at(now), MEAN_RUN);
-    assert!((0.45..0.55).contains(&per_worker), "of four: {per_worker}");
+    assert!(
+        (0.45..0.55).contains(&per_worker),
+        "expected half a slot on each of four workers, got {per_worker}"
+    );
     let later = rates.utilisation(at(now + 8_000_000), MEAN_RUN);
-    assert!(later < 0.02, "{later} after five spans");
+    assert!(
+        later < 0.02,
+        "{later} busy slots after five windows without work"
+    );
 }
