--- a/crates/core/src/state/ring.rs
+++ b/crates/core/src/state/ring.rs
@@ -1,63 +1,65 @@
-//! The consistent-hash ring: where a key's workers begin.
+//! The consistent-hash ring, which maps a request's key to a sequence of workers.
 //!
-//! It owns the places of the active workers on the ring and keeps them in step with the list, at the cost of
-//! what has changed in it. It must never say who may be picked.
+//! The ring holds the live workers. It is updated incrementally, so that the cost of a small change of the
+//! list depends on the number of workers that have changed.
 
 use super::{Scheduler, WorkerIndex};
 
-/// Places on the ring for each worker: with one each, some would be home to five times their share.
-const RING_PLACES: u64 = 32;
-/// The ring is made anew where more than one worker in so many has changed.
+/// Points on the ring per worker. With a single point each, some workers would get five times their share of
+/// keys.
+const POINTS_PER_WORKER: u64 = 32;
+/// The ring is rebuilt instead of updated when the changes exceed the number of live workers divided by this.
 const REBUILD_DIVISOR: usize = 4;
 
-/// A place on the ring. The order of the fields is that of the ring.
+/// A point on the ring. The order of the fields determines the order on the ring.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Place {
+struct Point {
     position: u64,
     worker: WorkerIndex,
 }
 
-/// The live workers in the order of a mixture of their ids: a key's workers follow its own.
+/// The live workers at the hashes of their ids; the workers for a key are those that follow the key's hash.
 #[derive(Default)]
 pub(crate) struct HashRing {
-    /// The places in order.
-    places: Vec<Place>,
-    /// The workers that have places, in the order of their numbers.
+    /// All points in ascending order.
+    points: Vec<Point>,
+    /// The workers on the ring, in ascending order.
     workers: Vec<WorkerIndex>,
 }
 
 impl HashRing {
-    /// Whether nobody has a place.
+    /// Whether there are no workers on the ring.
     pub(crate) fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.points.is_empty()
     }
 
-    /// Where a key's workers begin; all schedulers with the same list agree.
+    /// The position on the ring at which the workers for a key begin. It leads to the same workers in all
+    /// schedulers with the same list.
     pub(crate) fn home(&self, key: u64) -> usize {
-        self.places
-            .partition_point(|place| place.position < mix(key))
+        self.points
+            .partition_point(|point| point.position < mix(key))
     }
 
-    /// The worker so many places behind a home.
-    pub(crate) fn worker_behind(&self, home: usize, places: usize) -> WorkerIndex {
-        self.places[(home + places) % self.places.len()].worker
+    /// The worker `offset` points after a home, wrapping around at the end of the ring.
+    pub(crate) fn worker_behind(&self, home: usize, offset: usize) -> WorkerIndex {
+        self.points[(home + offset) % self.points.len()].worker
     }
 
-    /// Forgets all places: workers have other numbers now.
+    /// Removes all workers, as their indices are no longer valid.
     pub(super) fn clear(&mut self) {
-        self.places.clear();
+        self.points.clear();
         self.workers.clear();
     }
 
-    /// Gives these workers places, and no others.
+    /// Changes the ring to hold exactly the workers in `live`, which must be in ascending order.
     pub(crate) fn update(&mut self, live: &[WorkerIndex], id: impl Fn(WorkerIndex) -> u64) {
         let removed = difference(&self.workers, live);
         let added = difference(live, &self.workers);
         if removed.len() + added.len() > live.len() / REBUILD_DIVISOR {
-            self.places = places(live, &id);
+            self.points = points_of(live, &id);
         } else {
-            remove(&mut self.places, &places(&removed, &id));
-            insert(&mut self.places, &places(&added, &id));
+            remove(&mut self.points, &points_of(&removed, &id));
+            insert(&mut self.points, &points_of(&added, &id));
         }
         self.workers.clear();
         self.workers.extend_from_slice(live);
@@ -65,8 +67,8 @@
 }
 
 impl Scheduler {
-    /// Where on the ring a key's workers begin. The ring is brought up to date when first asked for after a
-    /// change of the list.
+    /// The position on the ring at which the workers for a key begin. The ring is updated on the first call
+    /// after the live workers have changed.
     pub(crate) fn home(&mut self, key: u64) -> usize {
         let live = &self.pools.live.workers;
         if self.ring.workers != *live {
@@ -77,35 +79,36 @@
     }
 }
 
-/// The places of some workers, in order.
-fn places(workers: &[WorkerIndex], id: impl Fn(WorkerIndex) -> u64) -> Vec<Place> {
-    let places_of = |&worker: &WorkerIndex| {
+/// All points of some workers, in ascending order.
+fn points_of(workers: &[WorkerIndex], id: impl Fn(WorkerIndex) -> u64) -> Vec<Point> {
+    let points = |&worker: &WorkerIndex| {
         let id = id(worker);
-        (0..RING_PLACES).map(move |n| Place {
+        (0..POINTS_PER_WORKER).map(move |n| Point {
             position: mix(id.wrapping_add(mix(n))),
             worker,
         })
     };
-    let mut all: Vec<Place> = workers.iter().flat_map(places_of).collect();
+    let mut all: Vec<Point> = workers.iter().flat_map(points).collect();
     all.sort_unstable();
     all
 }
 
-/// What is in the first of two ascending lists and not in the second.
+/// The workers in `of` that are not in `without`; both must be in ascending order.
 fn difference(of: &[WorkerIndex], without: &[WorkerIndex]) -> Vec<WorkerIndex> {
     let mut without = without.iter().copied().peekable();
-    let is_new = |w: &WorkerIndex| {
+    let is_missing = |w: &WorkerIndex| {
         while without.next_if(|other| other < w).is_some() {}
         without.peek() != Some(w)
     };
-    of.iter().copied().filter(is_new).collect()
+    of.iter().copied().filter(is_missing).collect()
 }
 
-/// Takes ordered places out; each run between two of them moves at once.
-fn remove(ring: &mut Vec<Place>, places: &[Place]) {
-    let found = places
+/// Removes points, which must be in ascending order. The points between two removed ones are moved in one
+/// piece.
+fn remove(ring: &mut Vec<Point>, removed: &[Point]) {
+    let found = removed
         .iter()
-        .filter_map(|place| ring.binary_search(place).ok());
+        .filter_map(|point| ring.binary_search(point).ok());
     let positions: Vec<usize> = found.collect();
     let Some(first) = positions.first() else {
         return;
@@ -120,22 +123,23 @@
     ring.truncate(to);
 }
 
-/// Puts ordered places among others, from the end; each run between two of them moves at once.
-fn insert(ring: &mut Vec<Place>, places: &[Place]) {
+/// Inserts points, which must be in ascending order, from the last to the first. The points between two
+/// inserted ones are moved in one piece.
+fn insert(ring: &mut Vec<Point>, added: &[Point]) {
     let mut end = ring.len();
-    ring.extend_from_slice(places);
+    ring.extend_from_slice(added);
     let mut to = ring.len();
-    for place in places.iter().rev() {
-        let position = ring[..end].partition_point(|other| other < place);
+    for point in added.iter().rev() {
+        let position = ring[..end].partition_point(|other| other < point);
         to -= end - position;
         ring.copy_within(position..end, to);
         to -= 1;
-        ring[to] = *place;
+        ring[to] = *point;
         end = position;
     }
 }
 
-/// Scatters a number; the same everywhere (the finaliser of MurmurHash3).
+/// Hashes a number with the finaliser of MurmurHash3, which gives the same result on every machine.
 fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 33)).wrapping_mul(0xff51_afd7_ed55_8ccd);
     x = (x ^ (x >> 33)).wrapping_mul(0xc4ce_b9fe_1a85_ec53);
--- a/crates/core/src/tests/ring.rs
+++ b/crates/core/src/tests/ring.rs
@@ -1,4 +1,4 @@
-//! The places of workers on the consistent-hash ring.
+//! Tests of the consistent-hash ring.
 
 use crate::interface::WorkerId;
 use crate::state::{HashRing, WorkerIndex, WorkerTable};
@@ -8,20 +8,20 @@
     (0..count).map(|n| table.find_or_add(WorkerId(n))).collect()
 }
 
-/// The first worker of each of a thousand keys.
+/// The first worker for each of a thousand keys.
 fn first_workers(ring: &HashRing) -> Vec<WorkerIndex> {
     let keys = 0..1_000;
     keys.map(|key| ring.worker_behind(ring.home(key), 0))
         .collect()
 }
 
-/// An id that is not a place, as ids are hashes.
+/// An id for a worker that differs from its index, as real ids are hashes.
 fn id(worker: WorkerIndex) -> u64 {
     format!("{worker:?}").bytes().map(u64::from).sum()
 }
 
 #[test]
-fn one_worker_less_moves_its_keys_only() {
+fn removing_a_worker_moves_only_its_keys() {
     let all = workers(20);
     let mut ring = HashRing::default();
     ring.update(&all, id);
@@ -29,13 +29,16 @@
     let without = [&all[..7], &all[8..]].concat();
     ring.update(&without, id);
     let after = first_workers(&ring);
-    for (was, is) in before.iter().zip(&after) {
-        assert!(was == is || *was == all[7], "{was:?} became {is:?}");
+    for (old, new) in before.iter().zip(&after) {
+        assert!(
+            old == new || *old == all[7],
+            "a key moved from {old:?} to {new:?}"
+        );
     }
 }
 
 #[test]
-fn ring_after_changes_is_the_one_of_the_same_workers_at_once() {
+fn incremental_update_gives_the_same_ring_as_a_rebuild() {
     let all = workers(20);
     let mut changed = HashRing::default();
     changed.update(&all[..18], id);
