--- a/crates/core/src/state/queues.rs
+++ b/crates/core/src/state/queues.rs
@@ -1,14 +1,13 @@
-//! The queues of requests, one for each tier.
+//! The queues of requests, one per tier, each ordered by dispatch deadline.
 //!
-//! It owns their order: by the last moment at which a request can still be dispatched in time. It must never
-//! say which request may be dispatched.
+//! Which request may be dispatched is decided in `scheduler`.
 
 use std::collections::BTreeSet;
 
 use crate::interface::RequestId;
 use crate::time::Instant;
 
-/// A place in a queue; the order of the fields is the order of dispatch.
+/// An entry of a queue. The order of the fields determines the order of dispatch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct QueuedRequest {
     pub dispatch_deadline: Instant,
@@ -16,13 +15,13 @@
 }
 
 impl QueuedRequest {
-    /// Before all others.
+    /// The least possible entry, from which a scan of a queue starts.
     pub(crate) const FIRST: QueuedRequest = QueuedRequest {
         dispatch_deadline: Instant::ZERO,
         id: RequestId(0),
     };
 
-    /// The place right behind this one.
+    /// The least entry that sorts after this one, from which a scan continues.
     pub(crate) fn next(self) -> Self {
         QueuedRequest {
             id: RequestId(self.id.0.saturating_add(1)),
@@ -31,18 +30,18 @@
     }
 }
 
-/// A tier; the smallest is the top.
+/// A tier, numbered from the top, which is 0.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Tier(usize);
 
 impl Tier {
-    /// The tier with so many above it.
+    /// The tier that has `tiers` tiers above it.
     pub(crate) fn below(tiers: usize) -> Self {
         Tier(tiers)
     }
 }
 
-/// The queues by tier.
+/// The queues of all tiers.
 #[derive(Default)]
 pub(crate) struct TierQueues {
     tiers: Vec<BTreeSet<QueuedRequest>>,
@@ -55,12 +54,12 @@
         }
     }
 
-    /// All tiers, from the top.
+    /// Iterates over all tiers from the top.
     pub(crate) fn tiers(&self) -> impl Iterator<Item = Tier> + use<> {
         (0..self.tiers.len()).map(Tier)
     }
 
-    /// Whether there is more than one tier.
+    /// Whether there is a tier above the lowest.
     pub(crate) fn has_premium_tier(&self) -> bool {
         self.tiers.len() > 1
     }
@@ -69,8 +68,8 @@
         tier.0 + 1 == self.tiers.len()
     }
 
-    /// The tier for what is beyond a tenant's share and would else be queued in this one: half of the tiers
-    /// are below all others for that.
+    /// The tier for requests that belong to `tier` but exceed their tenant's share. The lower half of all
+    /// tiers is reserved for such requests.
     pub(crate) fn beyond_share(&self, tier: Tier) -> Tier {
         Tier(tier.0 + self.tiers.len() / 2)
     }
@@ -83,29 +82,29 @@
         self.tiers[tier.0].remove(&queued);
     }
 
-    /// The first request of a tier at or behind a place.
-    pub(crate) fn first_from(&self, tier: Tier, place: QueuedRequest) -> Option<QueuedRequest> {
-        self.tiers[tier.0].range(place..).next().copied()
+    /// The first request of a tier that does not sort before `start`.
+    pub(crate) fn first_from(&self, tier: Tier, start: QueuedRequest) -> Option<QueuedRequest> {
+        self.tiers[tier.0].range(start..).next().copied()
     }
 
-    /// The first request of a tier that can no longer be dispatched in time.
+    /// The first request of a tier, if its dispatch deadline has been reached.
     pub(crate) fn first_expired(&self, tier: Tier, now: Instant) -> Option<QueuedRequest> {
         let first = self.tiers[tier.0].first().copied()?;
         (first.dispatch_deadline <= now).then_some(first)
     }
 
-    /// The earliest dispatch deadline in any tier.
+    /// The earliest dispatch deadline over all tiers.
     pub(crate) fn first_deadline(&self) -> Option<Instant> {
         let firsts = self.tiers.iter().filter_map(BTreeSet::first);
         firsts.map(|first| first.dispatch_deadline).min()
     }
 
-    /// How many requests are queued.
+    /// The number of queued requests.
     pub(crate) fn len(&self) -> usize {
         self.tiers.iter().map(BTreeSet::len).sum()
     }
 
-    /// How many requests are queued above the lowest tier.
+    /// The number of requests queued above the lowest tier.
     pub(crate) fn len_above_lowest(&self) -> usize {
         self.len() - self.tiers.last().map_or(0, BTreeSet::len)
     }
--- a/crates/core/src/tests/mod.rs
+++ b/crates/core/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the scheduler's parts, each by itself.
+//! Unit tests of individual types of the scheduler.
 
 mod backoff;
 mod queues;
--- a/crates/core/src/tests/queues.rs
+++ b/crates/core/src/tests/queues.rs
@@ -1,4 +1,4 @@
-//! The order of queued requests.
+//! Tests of the request queues and their tiers.
 
 use crate::interface::RequestId;
 use crate::state::{QueuedRequest, Tier, TierQueues};
@@ -19,14 +19,14 @@
 fn requests_of_a_tier_are_ordered_by_dispatch_deadline_then_id() {
     let top = Tier::below(0);
     let mut queues = TierQueues::new(1);
-    for place in [queued(20, 1), queued(10, 3), queued(10, 2)] {
-        queues.insert(top, place);
+    for entry in [queued(20, 1), queued(10, 3), queued(10, 2)] {
+        queues.insert(top, entry);
     }
     let mut order = Vec::new();
     let mut next = QueuedRequest::FIRST;
-    while let Some(place) = queues.first_from(top, next) {
-        order.push(place);
-        next = place.next();
+    while let Some(entry) = queues.first_from(top, next) {
+        order.push(entry);
+        next = entry.next();
     }
     assert_eq!(order, [queued(10, 2), queued(10, 3), queued(20, 1)]);
 }
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn requests_above_the_lowest_tier_are_counted_apart() {
+fn requests_above_the_lowest_tier_are_counted_separately() {
     let (top, lowest) = (Tier::below(0), Tier::below(1));
     let mut queues = TierQueues::new(2);
     queues.insert(top, queued(30, 1));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn tiers_beyond_shares_are_below_all_others() {
+fn tiers_for_requests_beyond_shares_are_below_all_others() {
     let queues = TierQueues::new(4);
     assert_eq!(queues.beyond_share(Tier::below(0)), Tier::below(2));
     assert_eq!(queues.beyond_share(Tier::below(1)), Tier::below(3));
