--- a/crates/core/src/state/tenant_shares.rs
+++ b/crates/core/src/state/tenant_shares.rs
@@ -1,39 +1,39 @@
-//! Tenants' shares: how many requests of each tenant count as within its share.
+//! Token buckets that decide whether a tenant's requests are within its share.
 //!
-//! It owns what is left of each share, as a token bucket. It must never reject a request.
+//! A request beyond the share is not rejected here; `scheduler` gives it the least priority.
 
 use rustc_hash::FxHashMap;
 
 use crate::time::Instant;
 
-/// Requests of a tenant that may come at once within its share: where a second brings less than one, two
-/// close together are chance.
-const LEAST_BURST: f64 = 4.0;
+/// Lower bound of the burst size, in requests. Where the rate is below one request per second, two close
+/// together are no sign of excess.
+const MIN_BURST: f64 = 4.0;
 
-/// What is left of one tenant's share, in requests.
+/// The token bucket of a tenant, with one token per request.
 struct TokenBucket {
     tokens: f64,
-    counted_at: Instant,
+    refilled_at: Instant,
 }
 
-/// What is left of each tenant's share here, by the tenant's index in the settings.
+/// The token buckets of all tenants, by the tenant's index in the settings.
 #[derive(Default)]
 pub(crate) struct TenantShares {
     buckets: FxHashMap<usize, TokenBucket>,
 }
 
 impl TenantShares {
-    /// Counts a request of a tenant with a share of so many requests a second, of which a second's part may
-    /// come at once. Returns whether the request is beyond the share.
+    /// Counts a request of a tenant whose share is `rate` requests per second. Bursts of up to one second's
+    /// requests are within the share. Returns whether the request exceeds it.
     pub(crate) fn is_exceeded(&mut self, tenant: usize, rate: f64, now: Instant) -> bool {
-        let burst = rate.max(LEAST_BURST);
+        let burst = rate.max(MIN_BURST);
         let bucket = self.buckets.entry(tenant).or_insert(TokenBucket {
             tokens: burst,
-            counted_at: now,
+            refilled_at: now,
         });
-        let elapsed = now.saturating_since(bucket.counted_at).as_micros_f64();
+        let elapsed = now.saturating_since(bucket.refilled_at).as_micros_f64();
         bucket.tokens = (bucket.tokens + rate * elapsed / 1e6).min(burst);
-        bucket.counted_at = now;
+        bucket.refilled_at = now;
         let is_exceeded = bucket.tokens < 1.0;
         if !is_exceeded {
             bucket.tokens -= 1.0;
