--- a/crates/core/src/state/worker_table.rs
+++ b/crates/core/src/state/worker_table.rs
@@ -1,6 +1,7 @@
-//! The table of all workers that are known, listed or not.
+//! The table of all known workers, whether or not they are still in the endpoint list.
 //!
-//! It owns the numbers by which everything else refers to a worker. It must never say whether one is of use.
+//! The rest of the scheduler refers to a worker by its [`WorkerIndex`]. When workers are removed, the indices
+//! of the others change, and every stored index must be updated with [`Moves`].
 
 use std::ops::{Index, IndexMut};
 
@@ -9,21 +10,21 @@
 use super::Worker;
 use crate::interface::WorkerId;
 
-/// A worker's place in the table. It changes only where workers are forgotten.
+/// The index of a worker in the table, valid until workers are next removed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct WorkerIndex(u32);
 
 impl WorkerIndex {
-    fn new(place: usize) -> Self {
-        WorkerIndex(place as u32)
+    fn new(index: usize) -> Self {
+        WorkerIndex(index as u32)
     }
 
-    fn place(self) -> usize {
+    fn as_usize(self) -> usize {
         self.0 as usize
     }
 }
 
-/// All workers ever listed, but for those that were forgotten.
+/// All known workers, by index and by id.
 #[derive(Default)]
 pub(crate) struct WorkerTable {
     workers: Vec<Worker>,
@@ -31,32 +32,32 @@
 }
 
 impl WorkerTable {
-    /// How many workers are known.
+    /// The number of known workers.
     pub(crate) fn len(&self) -> usize {
         self.workers.len()
     }
 
-    /// The places of all workers, in order.
+    /// The indices of all workers, in ascending order.
     pub(crate) fn indices(&self) -> impl Iterator<Item = WorkerIndex> + use<> {
         (0..self.workers.len()).map(WorkerIndex::new)
     }
 
-    /// All workers, in order.
+    /// Iterates over all workers in the order of their indices.
     pub(crate) fn iter(&self) -> std::slice::Iter<'_, Worker> {
         self.workers.iter()
     }
 
-    /// All workers, in order.
+    /// Iterates mutably over all workers in the order of their indices.
     pub(crate) fn iter_mut(&mut self) -> std::slice::IterMut<'_, Worker> {
         self.workers.iter_mut()
     }
 
-    /// A worker's place, if it is known.
+    /// The index of a worker, if it is known.
     pub(crate) fn find(&self, id: WorkerId) -> Option<WorkerIndex> {
         self.by_id.get(&id).copied()
     }
 
-    /// A worker's place; one that is not known gets a record.
+    /// The index of a worker, which is added if it is not known.
     pub(crate) fn find_or_add(&mut self, id: WorkerId) -> WorkerIndex {
         let next = WorkerIndex::new(self.workers.len());
         let index = *self.by_id.entry(id).or_insert(next);
@@ -66,15 +67,15 @@
         index
     }
 
-    /// Forgets the workers that are not to be retained, and moves the others up.
+    /// Removes the workers that are not in `retained` and closes the gaps. Returns the new indices.
     pub(crate) fn retain(&mut self, retained: &Retained) -> Moves {
         let mut moves = Moves {
-            new_places: vec![None; retained.flags.len()],
+            new_indices: vec![None; retained.flags.len()],
         };
         let workers = std::mem::take(&mut self.workers);
-        for (place, worker) in workers.into_iter().enumerate() {
-            if retained.flags[place] {
-                moves.new_places[place] = Some(WorkerIndex::new(self.workers.len()));
+        for (old_index, worker) in workers.into_iter().enumerate() {
+            if retained.flags[old_index] {
+                moves.new_indices[old_index] = Some(WorkerIndex::new(self.workers.len()));
                 self.workers.push(worker);
             }
         }
@@ -87,47 +88,47 @@
     type Output = Worker;
 
     fn index(&self, index: WorkerIndex) -> &Worker {
-        &self.workers[index.place()]
+        &self.workers[index.as_usize()]
     }
 }
 
 impl IndexMut<WorkerIndex> for WorkerTable {
     fn index_mut(&mut self, index: WorkerIndex) -> &mut Worker {
-        &mut self.workers[index.place()]
+        &mut self.workers[index.as_usize()]
     }
 }
 
-/// Which workers are not to be forgotten.
+/// The workers that [`WorkerTable::retain`] keeps.
 pub(crate) struct Retained {
     flags: Vec<bool>,
 }
 
 impl Retained {
-    /// The active ones.
+    /// Selects all active workers.
     pub(crate) fn active(workers: &WorkerTable) -> Self {
         Retained {
             flags: workers.iter().map(|w| w.listing.is_active).collect(),
         }
     }
 
-    /// This one as well.
+    /// Adds a worker to the selection.
     pub(crate) fn add(&mut self, index: WorkerIndex) {
-        self.flags[index.place()] = true;
+        self.flags[index.as_usize()] = true;
     }
 }
 
-/// Where the workers that were retained are now.
+/// Maps the indices from before a [`WorkerTable::retain`] to those after it.
 pub(crate) struct Moves {
-    new_places: Vec<Option<WorkerIndex>>,
+    new_indices: Vec<Option<WorkerIndex>>,
 }
 
 impl Moves {
-    /// Changes an index to the worker's new place. Returns whether the worker is still known.
+    /// Replaces an index by the worker's new one. Returns whether the worker is still known.
     pub(crate) fn apply(&self, index: &mut WorkerIndex) -> bool {
-        let new_place = self.new_places[index.place()];
-        if let Some(new_place) = new_place {
-            *index = new_place;
+        let new_index = self.new_indices[index.as_usize()];
+        if let Some(new_index) = new_index {
+            *index = new_index;
         }
-        new_place.is_some()
+        new_index.is_some()
     }
 }
--- a/crates/core/src/tests/worker_table.rs
+++ b/crates/core/src/tests/worker_table.rs
@@ -1,10 +1,10 @@
-//! The places of workers, also after some were forgotten.
+//! Tests of the worker table and of its indices after workers are removed.
 
 use crate::interface::WorkerId;
 use crate::state::{Retained, WorkerTable};
 
 #[test]
-fn worker_has_one_place() {
+fn worker_is_added_once() {
     let mut table = WorkerTable::default();
     let first = table.find_or_add(WorkerId(7));
     let second = table.find_or_add(WorkerId(8));
@@ -16,19 +16,21 @@
 }
 
 #[test]
-fn retained_workers_move_up_and_the_others_are_forgotten() {
+fn removal_keeps_retained_workers_and_updates_indices() {
     let mut table = WorkerTable::default();
-    let places: Vec<_> = (0..4).map(|n| table.find_or_add(WorkerId(n))).collect();
-    table[places[3]].listing.is_active = true;
+    let indices: Vec<_> = (0..4).map(|n| table.find_or_add(WorkerId(n))).collect();
+    table[indices[3]].listing.is_active = true;
     let mut retained = Retained::active(&table);
-    retained.add(places[1]);
+    retained.add(indices[1]);
     let moves = table.retain(&retained);
-    let mut of_one = places[1];
-    assert!(moves.apply(&mut of_one));
-    assert_eq!(table[of_one].id, WorkerId(1));
-    assert!(!moves.apply(&mut places[2].clone()));
+    let mut retained_index = indices[1];
+    assert!(moves.apply(&mut retained_index));
+    assert_eq!(table[retained_index].id, WorkerId(1));
+    assert!(!moves.apply(&mut indices[2].clone()));
     assert_eq!(table.len(), 2);
     assert_eq!(table.find(WorkerId(0)), None);
-    let of_three = table.find(WorkerId(3)).expect("it is active");
-    assert_eq!(table[of_three].id, WorkerId(3));
+    let active_index = table
+        .find(WorkerId(3))
+        .expect("active workers are retained");
+    assert_eq!(table[active_index].id, WorkerId(3));
 }
