--- a/crates/core/src/state/classes.rs
+++ b/crates/core/src/state/classes.rs
@@ -1,6 +1,4 @@
-//! The classes of requests, and what was observed of each.
-//!
-//! It owns the index of a class, its estimates and the mean of its hints. It must never look at a worker.
+//! The classes of requests, with estimates of running time, work and hints per class.
 
 use std::ops::{Index, IndexMut};
 
@@ -8,18 +6,18 @@
 use crate::interface::{Class, Settings};
 use crate::time::Span;
 
-/// A class's place in the settings.
+/// The index of a class in the settings.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ClassIndex(u32);
 
 impl Settings {
-    /// What the settings say of a class.
+    /// The settings of a class.
     pub(crate) fn class(&self, index: ClassIndex) -> &Class {
         &self.classes[index.0 as usize]
     }
 }
 
-/// What was observed of all classes, in the order of the settings.
+/// The estimates for all classes, in the order of the settings.
 #[derive(Default)]
 pub(crate) struct ClassTable {
     classes: Vec<ClassEstimate>,
@@ -30,12 +28,12 @@
         ClassTable { classes }
     }
 
-    /// The class with this place in the settings, if there is one.
-    pub(crate) fn find(&self, place: u32) -> Option<ClassIndex> {
-        ((place as usize) < self.classes.len()).then_some(ClassIndex(place))
+    /// Converts a number to the index of a class, if there is such a class.
+    pub(crate) fn find(&self, number: u32) -> Option<ClassIndex> {
+        ((number as usize) < self.classes.len()).then_some(ClassIndex(number))
     }
 
-    /// How many classes there are.
+    /// The number of classes.
     pub(super) fn len(&self) -> usize {
         self.classes.len()
     }
@@ -48,7 +46,7 @@
         self.classes.iter_mut()
     }
 
-    /// The mean of the classes' running times, in microseconds.
+    /// The unweighted mean of the running times of all classes, in microseconds.
     pub(crate) fn mean_run(&self) -> f64 {
         let count = self.classes.len() as f64;
         self.classes.iter().map(|class| class.run / count).sum()
@@ -69,24 +67,25 @@
     }
 }
 
-/// What was observed of a class.
+/// The estimates for a class.
 #[derive(Default)]
 pub(crate) struct ClassEstimate {
     pub tier: Tier,
-    /// Running time lately, in microseconds.
+    /// Moving average of the running time, in microseconds.
     pub run: f64,
-    /// Running time over the whole life, which stands for the job's own work.
+    /// Long-term mean of the running time, in microseconds, as an estimate of a job's own work.
     pub work: f64,
-    /// How many jobs were served, small ones counted in part.
+    /// The number of jobs in `work`, with small ones counted in part and the initial guess as several.
     pub served: f64,
-    /// Mean of the hints.
+    /// Moving average of the hints, in microseconds; 0 before the first.
     pub hinted: f64,
-    /// The longest time that any request had left when it came in.
+    /// The longest time that any request had left on arrival.
     pub longest_remaining: Span,
 }
 
 impl ClassEstimate {
-    /// A class of which only a guess is known, which counts as much as so many served jobs.
+    /// Creates the estimates for a class without observations from a guess of its running time. The guess
+    /// carries as much weight as `served` served jobs.
     pub(crate) fn new(tier: Tier, run: f64, served: f64) -> Self {
         ClassEstimate {
             tier,
@@ -97,7 +96,8 @@
         }
     }
 
-    /// How large a hint is against the mean of the hints, which it enters with a weight.
+    /// Adds a hint to the mean of the hints with a weight, and returns its ratio to that mean, from 0.1 to
+    /// 10.
     pub(crate) fn size(&mut self, hint: f64, weight: f64) -> f64 {
         self.hinted += (hint - self.hinted) * if self.hinted > 0.0 { weight } else { 1.0 };
         (hint / self.hinted.max(1.0)).clamp(0.1, 10.0)
