--- a/crates/core/src/state/in_flight.rs
+++ b/crates/core/src/state/in_flight.rs
@@ -1,13 +1,13 @@
-//! Slots in flight: what own attempts occupy at all workers together.
+//! Totals of the slots that this scheduler's attempts occupy at all workers.
 //!
-//! It owns the two sums. It must never say how many slots may be in flight.
+//! How many slots may be in flight is decided by the concurrency limit in `scheduler`.
 
-/// Own slots in flight at all workers together.
+/// This scheduler's slots in flight, summed over all workers.
 #[derive(Default)]
 pub(crate) struct InFlight {
-    /// All of them.
+    /// All slots in flight.
     pub slots: f64,
-    /// Of these, slots at unresponsive workers, which are not counted against the concurrency limit.
+    /// Of these, the slots at unresponsive workers, which do not count against the concurrency limit.
     pub excluded: f64,
 }
 
@@ -17,17 +17,17 @@
         self.slots - self.excluded
     }
 
-    /// So many slots more are in flight, or fewer where `by` is below 0.
+    /// Changes the slots in flight by `by`, which may be negative.
     pub(super) fn change(&mut self, by: f64) {
         self.slots = (self.slots + by).max(0.0);
     }
 
-    /// So many slots are excluded besides.
+    /// Excludes further slots from the count against the limit.
     pub(super) fn exclude(&mut self, slots: f64) {
         self.excluded += slots;
     }
 
-    /// So many slots are no longer excluded.
+    /// Counts excluded slots against the limit again.
     pub(super) fn include(&mut self, slots: f64) {
         self.excluded = (self.excluded - slots).max(0.0);
     }
