--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -1,6 +1,6 @@
-//! The records of a scheduler and the bookkeeping of them. Decisions are in `scheduler/`.
+//! State of a scheduler: workers, requests, attempts, queues and the timer.
 //!
-//! It owns the records of workers, requests and attempts, the queues and the timer. It must never decide.
+//! The modules here store and update the state but make no scheduling decisions; those are in `scheduler`.
 
 use crate::interface::{Accounts, Action, RequestId};
 use crate::scheduler::Scheduler;
@@ -12,7 +12,6 @@
 mod in_flight;
 mod list;
 mod pool;
-
 mod queues;
 mod rates;
 mod request;
@@ -40,21 +39,22 @@
 pub(crate) use zone::Zone;
 
 impl Scheduler {
-    /// Puts a request into its tier's queue.
+    /// Adds a request to the queue of its tier.
     pub(crate) fn enqueue(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get(&id) {
             self.queues.insert(request.tier, request.queue_entry(id));
         }
     }
 
-    /// Takes a request out of its tier's queue, if it is there.
+    /// Removes a request from the queue of its tier, if it is queued.
     pub(crate) fn dequeue(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get(&id) {
             self.queues.remove(request.tier, request.queue_entry(id));
         }
     }
 
-    /// Nothing is owed for a request any more; it stays known until its attempts have ended.
+    /// Marks a request as answered and cancels its open attempts where that is allowed. The record is kept
+    /// until the last attempt has ended.
     pub(crate) fn finish(&mut self, id: RequestId) {
         self.dequeue(id);
         self.clear_backoff(id);
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Asks for a timer, unless an earlier one is set.
+    /// Requests a timer for `at`, unless one is set for that time or earlier.
     pub(crate) fn wake_by(&mut self, at: Instant) {
         if at < self.wake_at {
             self.wake_at = at;
@@ -85,17 +85,18 @@
         }
     }
 
-    /// When it wants its timer; [`Instant::MAX`]: never.
+    /// When the timer is due, or [`Instant::MAX`] if none is set.
     pub(crate) fn wake_wanted(&self) -> Instant {
         self.wake_at
     }
 
-    /// How long ago that was.
+    /// The time elapsed since `at`, in microseconds; 0 if `at` is in the future.
     pub(crate) fn since(&self, at: Instant) -> f64 {
         self.now.saturating_since(at).as_micros_f64()
     }
 
-    /// What is queued or in flight now, for whoever wants to see that all of it is given back.
+    /// Counts what is queued or in flight now. All counts but the one of workers return to 0 once every
+    /// request is answered and every attempt has ended, so that callers can check for leaks.
     #[must_use]
     pub fn accounts(&self) -> Accounts {
         let (mut attempts, mut slots) = (0, self.in_flight.slots + self.in_flight.excluded);
