--- a/crates/core/src/state/start_times.rs
+++ b/crates/core/src/state/start_times.rs
@@ -1,8 +1,8 @@
-//! When workers started, on the clock of this process.
+//! Translates the start times of workers to the clock of this process.
 //!
-//! The endpoint list stamps a start with the wall clock of whoever wrote it. Wall clocks are wrong or
-//! stepped at times, and slow start must not depend on that: each start is translated once, when it is
-//! first seen, and from then on only the clock of this process counts.
+//! The endpoint list gives start times on the wall clock of its writer. Wall clocks can be wrong or be
+//! stepped, which must not disturb slow start: each start is translated once, when it is first seen, and from
+//! then on only the clock of this process is used.
 
 use rustc_hash::FxHashMap;
 
@@ -10,40 +10,41 @@
 use crate::interface::WorkerId;
 use crate::time::Instant;
 
-/// What is known of other clocks against that of this process.
+/// What is known of other clocks relative to the clock of this process.
 ///
-/// Offsets are "the other clock less the clock of this process", in microseconds.
+/// An offset is the reading of the other clock minus that of this process's clock, in microseconds.
 #[derive(Debug, Default)]
 pub(crate) struct StartTimes {
-    /// The lowest offset of the wall clock that was observed: by it a worker started last. `None`: starts are
-    /// given on the clock of this process.
+    /// The lowest observed offset of the wall clock, which gives the latest start of a worker. `None` if no
+    /// wall clock was observed and starts are given on the clock of this process.
     wall_offset: Option<i64>,
-    /// The highest offset of a listed start. No start lies in the future of the clock that stamped it, so
-    /// that clock's offset is at least this.
+    /// The highest offset of any listed start at the time it was listed. No start is in the future of the
+    /// clock that it was read from, so the offset of that clock is at least this.
     list_offset: Option<i64>,
-    /// When a list of this process's own life last arrived.
+    /// When a list last arrived that was not cached from before a restart.
     listed_at: Option<Instant>,
-    /// Starts that the predecessor has translated.
+    /// Starts already translated by the predecessor.
     resumed: FxHashMap<WorkerId, WorkerStart>,
 }
 
-/// A worker's start.
+/// The start time of a worker on two clocks.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WorkerStart {
-    /// As the list has it.
+    /// As given in the list.
     pub listed: Instant,
     /// On the clock of this process.
     pub since: Instant,
 }
 
 impl StartTimes {
-    /// The wall clock shows `wall`. After a step the reading by which workers are colder counts.
+    /// Records a reading of the wall clock. After the clock was stepped, the reading that makes workers
+    /// appear more recently started counts.
     pub(crate) fn observe_wall_clock(&mut self, now: Instant, wall: Instant) {
         let offset = offset(wall, now);
         self.wall_offset = Some(self.wall_offset.map_or(offset, |lowest| lowest.min(offset)));
     }
 
-    /// A list names this start.
+    /// Records a start that a list contains.
     pub(crate) fn observe_start(&mut self, now: Instant, start: Instant) {
         let offset = offset(start, now);
         self.list_offset = Some(
@@ -52,25 +53,25 @@
         );
     }
 
-    /// A list has arrived that is not cached from an earlier life.
+    /// Records the arrival of a list that was not cached from before a restart.
     pub(crate) fn observe_list(&mut self, now: Instant) {
         self.listed_at = Some(now);
     }
 
-    /// The predecessor has followed this start of a worker.
+    /// Takes over a start that the predecessor has translated.
     pub(crate) fn resume(&mut self, worker: WorkerId, start: WorkerStart) {
         if self.resumed.len() < RETAINED_WORKERS {
             self.resumed.insert(worker, start);
         }
     }
 
-    /// A worker's start that is seen for the first time now, on the clock of this process; [`Instant::ZERO`]:
-    /// long ago.
+    /// Translates a worker's start that is seen for the first time now. [`Instant::ZERO`] means long ago.
     ///
-    /// The first list is judged by the wall clock. A start that comes up later has happened since the list
-    /// before: the smaller of two ages counts, by the wall clock and by the newest start that any list has
-    /// named, and none where these do not fit in between. Either way a worker is taken to be cold for one
-    /// ramp from now at the most.
+    /// The starts in the first list are translated by the wall clock. A start that first appears later must
+    /// have happened since the list before. Of its translations by the wall clock and by the newest start in
+    /// any list, the later one counts; if that is before the previous list, the clocks are inconsistent and
+    /// the worker counts as started now. No result is in the future, so that a worker counts as cold for at
+    /// most one ramp from now.
     pub(crate) fn translate(&mut self, now: Instant, worker: WorkerId, start: Instant) -> Instant {
         if let Some(resumed) = self
             .resumed
