--- a/crates/core/src/state/hot_restart.rs
+++ b/crates/core/src/state/hot_restart.rs
@@ -3,7 +3,7 @@
 //! It owns the forms in which that leaves and comes in. It must never take in a figure that is none.
 
 use super::list::RETAINED_WORKERS;
-use super::settings::LONGEST;
+use super::settings::MAX_SPAN;
 use super::start_times::WorkerStart;
 use super::Scheduler;
 use crate::interface::{ClassEstimates, Estimates, WorkerId};
@@ -86,5 +86,5 @@
 
 /// Whether a figure can be one that a predecessor has learned.
 fn is_usable(figure: f64) -> bool {
-    (1e-3..LONGEST.as_micros_f64()).contains(&figure)
+    (1e-3..MAX_SPAN.as_micros_f64()).contains(&figure)
 }
--- a/crates/core/src/state/request.rs
+++ b/crates/core/src/state/request.rs
@@ -3,7 +3,7 @@
 //! It owns these records and what a request just come in is taken to need. It must never hold more of a
 //! request than a decision needs.
 
-use super::settings::LONGEST;
+use super::settings::MAX_SPAN;
 use super::{ClassIndex, QueuedRequest, Scheduler, Tier, WorkerIndex};
 use crate::interface::{Job, Micros, RequestId};
 use crate::time::{Instant, Span};
@@ -148,7 +148,7 @@
 
 /// A hint in microseconds, a year at most.
 fn usable_hint(hint: Micros) -> f64 {
-    Span::from_micros(hint).min(LONGEST).as_micros_f64()
+    Span::from_micros(hint).min(MAX_SPAN).as_micros_f64()
 }
 
 fn usable_or(size: Option<f64>, default: f64) -> f64 {
--- a/crates/core/src/state/settings.rs
+++ b/crates/core/src/state/settings.rs
@@ -1,17 +1,16 @@
-//! Whether settings can be used, and what they come to together.
-//!
-//! It owns the limits of each setting. It must never change one.
+//! Validation of the settings, and properties derived from several of them.
 
 use crate::interface::{Class, Reports, Settings, SettingsError};
 use crate::time::Span;
 
-/// The longest time that a setting may be, a year. Prevents sums of times that overflow.
-pub(super) const LONGEST: Span = Span::from_millis(366 * 24 * 3_600 * 1_000);
-/// The most that a setting that multiplies may be.
-const MOST_TIMES: f64 = 1e6;
+/// Upper bound of all times in the settings, a year. Keeps sums of times from overflowing.
+pub(super) const MAX_SPAN: Span = Span::from_millis(366 * 24 * 3_600 * 1_000);
+/// Upper bound of settings that are used as factors.
+const MAX_MULTIPLE: f64 = 1e6;
 
 impl Settings {
-    /// Whether load reports are used: those in answers, and probed ones where no start is reported.
+    /// Whether load reports are used. Those from probes are used only where workers do not report when jobs
+    /// start.
     pub(crate) fn uses_load_reports(&self) -> bool {
         match self.reports {
             Reports::Answers => true,
@@ -24,7 +23,7 @@
     ///
     /// # Errors
     ///
-    /// Names the first setting that cannot be used.
+    /// Returns an error that names the first unusable setting.
     pub fn check(&self) -> Result<(), SettingsError> {
         self.check_times()?;
         self.check_counts()?;
@@ -32,7 +31,7 @@
         self.check_shares()
     }
 
-    /// Checks that there are classes, and that no time is missing or too long.
+    /// Checks that there is a class, and that all times are within bounds.
     fn check_times(&self) -> Result<(), SettingsError> {
         require(
             !self.classes.is_empty(),
@@ -42,7 +41,8 @@
         require(
             self.classes.iter().all(has_usable_times),
             "classes",
-            "aim and deadline must be over 0, and no time over a year",
+            "the latency objective (aim-ms) and the deadline (give-up-ms) must be greater than 0, \
+             and no time may exceed a year",
         )?;
         let spans = [
             self.poll_interval,
@@ -55,14 +55,14 @@
             self.fall_span,
         ];
         require(
-            spans.iter().all(|span| *span <= LONGEST),
+            spans.iter().all(|span| *span <= MAX_SPAN),
             "times",
-            "none may be over a year",
+            "no time may exceed a year",
         )?;
         require(
             !self.list_on_request || self.poll_interval > Span::ZERO,
-            "ask_every", // as in the operators' key
-            "must be over 0 where the list is polled",
+            "ask_every", // after the operators' key `ask-every-ms`
+            "must be greater than 0 where the endpoint list is polled",
         )
     }
 
@@ -77,13 +77,14 @@
 
     fn check_classes(&self) -> Result<(), SettingsError> {
         require(
-            self.classes.iter().all(has_usable_figures),
+            self.classes.iter().all(has_usable_factors),
             "classes",
-            "worth and stretch must be 0 or more, and stretch no more than a million",
+            "the priority weight (importance) and the stretch must be 0 or more, \
+             and the stretch at most a million",
         )
     }
 
-    /// Checks the figures that are shares, multiples or prices.
+    /// Checks the settings that are shares, factors or prices.
     fn check_shares(&self) -> Result<(), SettingsError> {
         require(
             self.tenants.iter().all(|share| is_usable_amount(*share)),
@@ -108,9 +109,9 @@
     }
 }
 
-/// An error that names a setting, unless what must hold of it holds.
-fn require(holds: bool, name: &'static str, why: &'static str) -> Result<(), SettingsError> {
-    if holds {
+/// Returns an error that names a setting, unless the requirement is met.
+fn require(is_met: bool, name: &'static str, why: &'static str) -> Result<(), SettingsError> {
+    if is_met {
         Ok(())
     } else {
         Err(SettingsError { name, why })
@@ -123,18 +124,18 @@
         .latency_objective
         .max(class.deadline)
         .max(class.window);
-    shortest > Span::ZERO && longest <= LONGEST
+    shortest > Span::ZERO && longest <= MAX_SPAN
 }
 
-fn has_usable_figures(class: &Class) -> bool {
+fn has_usable_factors(class: &Class) -> bool {
     is_usable_amount(class.priority_weight) && is_usable_multiple(class.stretch)
 }
 
-/// Whether a figure is finite and 0 or more.
-fn is_usable_amount(figure: f64) -> bool {
-    figure.is_finite() && figure >= 0.0
+/// Whether a value is finite and 0 or more.
+fn is_usable_amount(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
 }
 
-fn is_usable_multiple(figure: f64) -> bool {
-    (0.0..=MOST_TIMES).contains(&figure)
+fn is_usable_multiple(value: f64) -> bool {
+    (0.0..=MAX_MULTIPLE).contains(&value)
 }
--- a/crates/wire/tests/edits/mod.rs
+++ b/crates/wire/tests/edits/mod.rs
@@ -48,7 +48,11 @@
         r#""give-up-ms":0.0001"#,
         "deadline",
     ),
-    (r#""importance":12.0"#, r#""importance":-12.0"#, "worth"),
+    (
+        r#""importance":12.0"#,
+        r#""importance":-12.0"#,
+        "priority weight (importance)",
+    ),
 ];
 
 /// Settings by class, and references between lists that are rejected.
