--- a/crates/core/src/state/request.rs
+++ b/crates/core/src/state/request.rs
@@ -1,41 +1,41 @@
-//! One request and its attempts, as they are recorded.
+//! Records of a request, its attempts and its probe.
 //!
-//! It owns these records and what a request just come in is taken to need. It must never hold more of a
-//! request than a decision needs.
+//! They hold only what scheduling decisions need: neither the payload nor the connection of a request is
+//! here.
 
 use super::settings::MAX_SPAN;
 use super::{ClassIndex, QueuedRequest, Scheduler, Tier, WorkerIndex};
 use crate::interface::{Job, Micros, RequestId};
 use crate::time::{Instant, Span};
 
-/// The most slots that a job is taken to need. Prevents a figure beside which sums of slots lose
-/// all others: they would not come back to what they were when the job ends.
-const MOST_SLOTS: f64 = 1_024.0;
+/// Upper bound of the slots that a job may need. A far larger number would swallow all others in the
+/// floating-point sums of slots, which would not return to their former values when the job ends.
+const MAX_SLOTS_PER_JOB: f64 = 1_024.0;
 
-/// One attempt of a request.
+/// An attempt of a request.
 pub(crate) struct Attempt {
     pub worker: WorkerIndex,
     pub sent: Instant,
     pub started: Option<Instant>,
     /// When it was last observed.
     pub observed_at: Instant,
-    /// It has not ended.
+    /// Whether it has not ended.
     pub is_open: bool,
-    /// Its connection is unresponsive, though its worker is not: it is not counted there.
+    /// Whether it is left out of its worker's counts, as its connection hangs while the worker is responsive.
     pub is_lost: bool,
-    /// It was counted as one that started too late.
+    /// Whether it was counted as starting too late.
     pub is_late: bool,
     pub may_have_run: bool,
-    /// It was not sent, for a fault of this machine.
+    /// Whether it was not sent because of a fault on this machine.
     pub is_local_fault: bool,
-    /// What it took of its worker's slow-start budget.
+    /// What it took from its worker's slow-start budget, in slot-microseconds.
     pub cost: f64,
-    /// It tries a worker that is backed off from.
+    /// Whether it was a trial of a worker after a backoff.
     pub is_trial: bool,
 }
 
 impl Attempt {
-    /// An attempt that is sent to a worker now.
+    /// Creates an open attempt that was sent to a worker at `sent`.
     pub(super) fn open(worker: WorkerIndex, sent: Instant) -> Self {
         Attempt {
             worker,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// An attempt of an earlier process that has ended and may have run.
+    /// Creates a closed attempt of a predecessor, which may have run.
     pub(super) fn inherited(worker: WorkerIndex, sent: Instant) -> Self {
         Attempt {
             is_open: false,
@@ -61,7 +61,7 @@
     }
 }
 
-/// What an attempt was that has started.
+/// Details of an attempt that has just started.
 pub(crate) struct StartedAttempt {
     pub worker: WorkerIndex,
     pub class: ClassIndex,
@@ -70,7 +70,7 @@
     pub waited: f64,
 }
 
-/// What an attempt was that has ended.
+/// Details of an attempt that has just ended.
 pub(crate) struct EndedAttempt {
     pub worker: WorkerIndex,
     pub class: ClassIndex,
@@ -80,14 +80,14 @@
     pub started: Option<Instant>,
 }
 
-/// A probe that a request has waited for, or waits for.
+/// The probe that a request waits for or has waited for.
 #[derive(Clone, Copy)]
 pub(crate) struct RequestProbe {
     pub worker: WorkerIndex,
     pub sent: Instant,
 }
 
-/// One request that is owed an answer, or has attempts without an outcome.
+/// A request that has not been answered, or has attempts without an outcome.
 #[derive(Default)]
 pub(crate) struct Request {
     pub class: ClassIndex,
@@ -95,44 +95,45 @@
     pub slots: f64,
     pub memory: f64,
     pub key: Option<u64>,
-    /// Work as hinted.
+    /// The client's estimate of the work, in microseconds.
     pub hint: Option<f64>,
-    /// The hint against the class's mean; 1 without a hint.
+    /// The hint relative to the mean hint of its class; 1 without a hint.
     pub size: f64,
     pub latency_objective: Instant,
-    /// The last moment at which an attempt can still meet the latency objective.
+    /// The latest time at which it can be dispatched and still meet the latency objective.
     pub dispatch_deadline: Instant,
     pub deadline: Instant,
     pub attempts: Vec<Attempt>,
     /// How many attempts have not ended.
     pub open: u32,
-    /// The probe before its first attempt.
+    /// The probe sent on its behalf, if any; there is at most one.
     pub probe: Option<RequestProbe>,
-    /// When its first attempt failed for a fault of this machine.
+    /// When an attempt first failed because of a fault on this machine.
     pub first_local_fault: Option<Instant>,
-    /// Until when it backs off for the last of these.
+    /// The end of its backoff after the latest such failure, while it lasts.
     pub backs_off_until: Option<Instant>,
-    /// It has its final answer.
+    /// Whether its final answer has been given.
     pub is_answered: bool,
 }
 
 impl Request {
-    /// A request just come in. Sizes that are no sizes count as absent. A job takes one slot at least:
-    /// prevents jobs of none, which no limit and no slow-start budget would count.
+    /// Creates the record of a new request. Negative, infinite and NaN sizes count as absent. A job takes at
+    /// least one slot, as neither the concurrency limit nor a slow-start budget would hold back jobs without
+    /// slots.
     pub(crate) fn new(job: &Job, class: ClassIndex, attempts: Vec<Attempt>) -> Self {
         Request {
             class,
             attempts,
-            slots: usable_or(job.slots, 1.0).clamp(1.0, MOST_SLOTS),
+            slots: usable_or(job.slots, 1.0).clamp(1.0, MAX_SLOTS_PER_JOB),
             memory: usable_or(job.memory, 0.0),
             key: job.key,
-            hint: job.hint.map(usable_hint),
+            hint: job.hint.map(bounded_hint),
             size: 1.0,
             ..Request::default()
         }
     }
 
-    /// Its place in its tier's queue.
+    /// Its entry in the queue of its tier.
     pub(super) fn queue_entry(&self, id: RequestId) -> QueuedRequest {
         QueuedRequest {
             dispatch_deadline: self.dispatch_deadline,
@@ -140,14 +141,14 @@
         }
     }
 
-    /// The first attempt that may have run.
+    /// The earliest attempt that may have run.
     pub(crate) fn first_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run)
     }
 }
 
-/// A hint in microseconds, a year at most.
-fn usable_hint(hint: Micros) -> f64 {
+/// A hint in microseconds, limited to [`MAX_SPAN`].
+fn bounded_hint(hint: Micros) -> f64 {
     Span::from_micros(hint).min(MAX_SPAN).as_micros_f64()
 }
 
@@ -157,7 +158,7 @@
 }
 
 impl Scheduler {
-    /// What a job of the class may lose to waiting and still meet its latency objective, in microseconds.
+    /// How long a job of the class may wait and still meet its latency objective, in microseconds.
     pub(crate) fn slack(&self, class: ClassIndex) -> f64 {
         let settings = self.settings.class(class);
         settings.latency_objective.as_micros_f64()
