--- a/crates/core/src/state/attempts.rs
+++ b/crates/core/src/state/attempts.rs
@@ -1,32 +1,34 @@
-//! The course of attempts: opened, started, observed, lost, ended.
+//! The life cycle of attempts: opened, started, observed, lost and closed.
 //!
-//! It owns which attempts count at a worker. It must never send, nor end a request.
+//! An attempt counts towards its worker's load while it is open and not lost. Sending an attempt and
+//! answering its request are left to `scheduler`.
 
 use super::request::{EndedAttempt, StartedAttempt};
 use super::{Attempt, AttemptId, Scheduler, WorkerIndex};
 use crate::interface::{Condition, Earlier, Ending, RequestId, Row, WorkerId, UNKNOWN};
 use crate::time::{Instant, Span};
 
-/// What an attempt counts at its worker.
+/// What an attempt contributes to the counts of its worker.
 struct Occupancy {
     slots: f64,
     is_started: bool,
 }
 
 impl Scheduler {
-    /// Attempts of a predecessor, as ended ones that may have run.
+    /// Records the attempts made by a predecessor as closed ones that may have run.
     pub(crate) fn inherit(&mut self, earlier: &[Earlier]) -> Vec<Attempt> {
         let mut inherited = Vec::with_capacity(earlier.len());
         for attempt in earlier {
-            let worker = self.find_or_enter_unlisted(attempt.worker);
+            let worker = self.find_or_add_unlisted(attempt.worker);
             let sent = self.now.saturating_sub(Span::from_micros(attempt.ago));
             inherited.push(Attempt::inherited(worker, sent));
         }
         inherited
     }
 
-    /// A worker's place. One that is listed no more gets a place of its own, in nobody's group.
-    fn find_or_enter_unlisted(&mut self, worker: WorkerId) -> WorkerIndex {
+    /// The index of a worker. An unknown one is added as having left, with an unknown zone and cell, so that
+    /// it belongs to no zone or cell group.
+    fn find_or_add_unlisted(&mut self, worker: WorkerId) -> WorkerIndex {
         if let Some(index) = self.workers.find(worker) {
             return index;
         }
@@ -39,10 +41,10 @@
             condition: Condition::Left,
             online_since: 0,
         };
-        self.enter(&unlisted).worker
+        self.apply_row(&unlisted).worker
     }
 
-    /// Records an attempt that is sent now, at a cost of its worker's slow-start budget.
+    /// Records an attempt that is sent now. `cost` is what it takes from its worker's slow-start budget.
     pub(crate) fn open_attempt(
         &mut self,
         id: RequestId,
@@ -76,11 +78,11 @@
         at_worker.unstarted += u32::from(reports_start);
         at_worker.last_sent = now;
         self.watch(w);
-        self.occupy(w, slots);
+        self.add_slots_in_flight(w, slots);
         self.rates.count_departure(now, self.mean_run);
     }
 
-    /// Records that an attempt started. Returns what it was, unless that was known.
+    /// Records that an attempt started. Returns `None` if it is unknown, closed or had started before.
     pub(crate) fn start_attempt(&mut self, attempt: AttemptId) -> Option<StartedAttempt> {
         self.observe_attempt(attempt);
         let now = self.now;
@@ -99,11 +101,11 @@
         };
         let at_worker = &mut self.workers[started.worker].in_flight;
         at_worker.unstarted = at_worker.unstarted.saturating_sub(1);
-        self.lose_overtaken(started.worker, sent);
+        self.mark_overtaken_as_lost(started.worker, sent);
         Some(started)
     }
 
-    /// Records that an attempt ended. Returns what it was, unless it is unknown or ended before.
+    /// Records that an attempt ended. Returns `None` if it is unknown or had ended before.
     pub(crate) fn close_attempt(
         &mut self,
         attempt: AttemptId,
@@ -142,29 +144,30 @@
         Some(ended)
     }
 
-    /// An attempt counts at its worker from now on.
-    fn count_again(&mut self, w: WorkerIndex, occupancy: &Occupancy) {
-        let waits = self.counts_as_unstarted(occupancy);
+    /// Adds an attempt to the counts of its worker.
+    fn start_counting(&mut self, w: WorkerIndex, occupancy: &Occupancy) {
+        let unstarted = self.counts_as_unstarted(occupancy);
         let at_worker = &mut self.workers[w].in_flight;
         at_worker.open += 1;
-        at_worker.unstarted += waits;
-        self.occupy(w, occupancy.slots);
+        at_worker.unstarted += unstarted;
+        self.add_slots_in_flight(w, occupancy.slots);
     }
 
-    /// An attempt does not count at its worker any more.
+    /// Removes an attempt from the counts of its worker.
     fn stop_counting(&mut self, w: WorkerIndex, occupancy: &Occupancy) {
-        let waits = self.counts_as_unstarted(occupancy);
+        let unstarted = self.counts_as_unstarted(occupancy);
         let at_worker = &mut self.workers[w].in_flight;
         at_worker.open = at_worker.open.saturating_sub(1);
-        at_worker.unstarted = at_worker.unstarted.saturating_sub(waits);
-        self.occupy(w, -occupancy.slots);
+        at_worker.unstarted = at_worker.unstarted.saturating_sub(unstarted);
+        self.add_slots_in_flight(w, -occupancy.slots);
     }
 
     fn counts_as_unstarted(&self, occupancy: &Occupancy) -> u32 {
         u32::from(!occupancy.is_started && self.settings.reports_start)
     }
 
-    /// An attempt was observed: if it was lost, it counts again. Returns its worker.
+    /// Records that an attempt was observed; one that was lost counts again. Returns its worker, or `None` if
+    /// the attempt is unknown or closed.
     pub(crate) fn observe_attempt(&mut self, attempt: AttemptId) -> Option<WorkerIndex> {
         let request = self.requests.get_mut(&attempt.request)?;
         let record = request.attempts.get_mut(attempt.number)?;
@@ -178,14 +181,17 @@
                 slots: request.slots,
                 is_started: record.started.is_some(),
             };
-            self.count_again(worker, &occupancy);
+            self.start_counting(worker, &occupancy);
         }
         Some(worker)
     }
 
-    /// Prevents believing a worker full, or unresponsive, for a connection that has become so on its
-    /// own: until its time was up, one such attempt held slots, and kept all others from the worker.
-    fn lose(&mut self, w: WorkerIndex, is_lost: impl Fn(&Attempt) -> bool) {
+    /// Marks those attempts at a worker as lost for which `is_lost` holds: they stay open but no longer
+    /// count.
+    ///
+    /// An attempt whose connection hangs while its worker is healthy would otherwise occupy slots until its
+    /// deadline, make the worker look full or unresponsive and so keep all other requests away from it.
+    fn mark_lost(&mut self, w: WorkerIndex, is_lost: impl Fn(&Attempt) -> bool) {
         for attempt in self.workers[w].in_flight.attempts.clone() {
             let Some(request) = self.requests.get_mut(&attempt.request) else {
                 continue;
@@ -205,31 +211,34 @@
         }
     }
 
-    /// An attempt sent then has started: where jobs start in order, what was sent to the worker well
-    /// before it and has not started never will. A new connection may come up later than it was sent.
-    fn lose_overtaken(&mut self, w: WorkerIndex, sent: Instant) {
+    /// Marks attempts as lost that an attempt sent at `sent` has overtaken by starting. Where workers start
+    /// jobs in order, one that was sent well before it and has not started never will. The margin is the
+    /// connect timeout, as an attempt on a new connection reaches the worker up to that much later than it
+    /// was sent.
+    fn mark_overtaken_as_lost(&mut self, w: WorkerIndex, sent: Instant) {
         if self.settings.in_order {
             let before = sent.saturating_sub(self.settings.connect_timeout);
-            self.lose(w, |attempt| {
+            self.mark_lost(w, |attempt| {
                 attempt.started.is_none() && attempt.sent < before
             });
         }
     }
 
-    /// A running job reports its progress: one that has missed two reports runs no more, or unobserved.
+    /// Marks attempts as lost whose jobs have missed two progress reports: such a job has stopped running, or
+    /// its connection no longer delivers anything.
     pub(crate) fn lose_without_progress(&mut self, w: WorkerIndex) {
         if self.settings.progress_every == Span::ZERO {
             return;
         }
         let now = self.now;
         let span = self.settings.progress_every * 2 + self.settings.connect_timeout;
-        self.lose(w, |attempt| {
+        self.mark_lost(w, |attempt| {
             attempt.started.is_some() && attempt.observed_at + span < now
         });
     }
 
-    /// Counts an attempt as one that starts too late, on its start or before. Returns whether this is the
-    /// first time.
+    /// Marks an open attempt as one that starts too late, either when it starts or while it still waits.
+    /// Returns whether it was not marked before.
     pub(crate) fn mark_late(&mut self, attempt: AttemptId) -> bool {
         let Some(request) = self.requests.get_mut(&attempt.request) else {
             return false;
--- a/crates/core/src/state/hot_restart.rs
+++ b/crates/core/src/state/hot_restart.rs
@@ -1,6 +1,6 @@
-//! What one process of a scheduler hands to its successor, and what they share while both live.
+//! State that a scheduler process hands over to its successor in a hot restart.
 //!
-//! It owns the forms in which that leaves and comes in. It must never take in a figure that is none.
+//! The successor ignores values that no predecessor can have learned.
 
 use super::list::RETAINED_WORKERS;
 use super::settings::MAX_SPAN;
@@ -10,12 +10,12 @@
 use crate::scheduler::failure_detection::Backoff;
 
 impl Scheduler {
-    /// So many processes of this scheduler live, this one included.
+    /// Sets how many processes of this scheduler are running, this one included.
     pub fn share(&mut self, processes: usize) {
         self.sharing_processes = processes.saturating_sub(1);
     }
 
-    /// What the successor should know of load and running times.
+    /// The estimates of load and running times for the successor.
     #[must_use]
     pub fn estimates(&self) -> Estimates {
         let classes = self.classes.iter().map(|class| ClassEstimates {
@@ -30,14 +30,15 @@
         }
     }
 
-    /// Takes that over. What is no figure, or of other classes, is left out.
+    /// Takes over the predecessor's estimates. An unusable concurrency limit is ignored. The running times
+    /// are ignored as a whole if any value is unusable or the number of classes differs.
     pub fn resume_estimates(&mut self, estimates: &Estimates) {
         if is_usable(estimates.concurrency_limit) {
             self.resume_concurrency_limit(estimates.concurrency_limit);
         }
-        let is_of_these_classes = estimates.classes.len() == self.classes.len();
+        let has_same_class_count = estimates.classes.len() == self.classes.len();
         let are_usable = estimates.classes.iter().all(ClassEstimates::are_usable);
-        if !is_of_these_classes || !is_usable(estimates.mean_run) || !are_usable {
+        if !has_same_class_count || !is_usable(estimates.mean_run) || !are_usable {
             return;
         }
         self.mean_run = estimates.mean_run;
@@ -48,29 +49,30 @@
         }
     }
 
-    /// The backoff from a worker, which may be over.
+    /// The backoff from a worker, which may have ended. `None` if the worker is unknown.
     pub(crate) fn backoff_from(&self, worker: WorkerId) -> Option<Backoff> {
         let index = self.workers.find(worker)?;
         Some(self.workers[index].health.backoff)
     }
 
-    /// The start of a worker that is warming up.
+    /// The start of a worker, if it is still warming up.
     pub(crate) fn warming_start(&self, worker: WorkerId) -> Option<WorkerStart> {
         let index = self.workers.find(worker)?;
         let listing = &self.workers[index].listing;
-        let is_cold = self.warm_up_progress(index) < 1.0;
-        is_cold.then_some(WorkerStart {
+        let is_warming_up = self.warm_up_progress(index) < 1.0;
+        is_warming_up.then_some(WorkerStart {
             listed: listing.online_since,
-            since: listing.warming_since,
+            since: listing.started_at,
         })
     }
 
-    /// Takes over from the predecessor when a worker that is warming up has started.
+    /// Takes over the start of a worker that was warming up at the predecessor.
     pub(crate) fn resume_warming(&mut self, worker: WorkerId, start: WorkerStart) {
         self.start_times.resume(worker, start);
     }
 
-    /// Takes over the predecessor's backoff from a worker, once that is listed.
+    /// Takes over the predecessor's backoff from a worker. It is applied when the worker is first listed
+    /// here.
     pub(crate) fn resume_backoff(&mut self, worker: WorkerId, backoff: Backoff) {
         if self.resumed_backoffs.len() < RETAINED_WORKERS {
             self.resumed_backoffs.insert(worker, backoff);
@@ -84,7 +86,7 @@
     }
 }
 
-/// Whether a figure can be one that a predecessor has learned.
-fn is_usable(figure: f64) -> bool {
-    (1e-3..MAX_SPAN.as_micros_f64()).contains(&figure)
+/// Whether a predecessor can have learned this value.
+fn is_usable(value: f64) -> bool {
+    (1e-3..MAX_SPAN.as_micros_f64()).contains(&value)
 }
--- a/crates/core/src/state/list.rs
+++ b/crates/core/src/state/list.rs
@@ -1,36 +1,40 @@
-//! The endpoint list: who is in it, and whom it groups.
+//! Applies the endpoint list to the worker table, and removes workers that have long left it.
 //!
-//! It owns the workers' records as the list has them, and the forgetting of workers. It must never forget
-//! one with anything in flight, nor lift a manual exclusion.
+//! A worker that any request still refers to is never removed. Manual exclusions are stored by worker id,
+//! apart from the table, and so outlast both list updates and removals.
 
 use super::{Request, Retained, Scheduler, WorkerIndex, Zone};
 use crate::figures::Members;
 use crate::interface::{Condition, Effect, ListKind, Row, Scope, WorkerId};
 use crate::time::Instant;
 
-/// Weights below this, or above as much, are no usable ones: sums of them would lose all others.
-const LEAST_WEIGHT: f64 = 1e-6;
+/// Weights below this, or above its reciprocal, count as 1: floating-point sums over a wider range would
+/// lose the smaller terms.
+const MIN_WEIGHT: f64 = 1e-6;
 
-/// Workers that have left are retained up to this number beside the active ones.
+/// How many workers the table may hold in addition to twice the active ones before inactive workers are
+/// removed. Also bounds the backoffs and starts that are taken over from a predecessor for workers not listed
+/// yet.
 pub(super) const RETAINED_WORKERS: usize = 4_096;
 
-/// The group of workers that a keyed request which may have run is bound to.
+/// The group of workers to which a keyed request is bound once it may have run.
 #[derive(Clone, Copy)]
 pub(crate) struct BoundGroup {
     pub scope: Scope,
-    /// A worker in it.
+    /// Any worker of the group.
     pub member: WorkerIndex,
 }
 
-/// What came of entering a row of the list.
-pub(super) struct EnteredRow {
+/// The result of applying a row of the list.
+pub(super) struct AppliedRow {
     pub worker: WorkerIndex,
-    /// The worker has started anew, or comes back into use.
+    /// Whether the worker has restarted or has become usable again.
     pub is_fresh: bool,
 }
 
 impl Scheduler {
-    /// Where a keyed request that may have run must stay.
+    /// The group of workers to which a request is bound: that of the first attempt which may have run. `None`
+    /// if no attempt may have run or its class is not keyed.
     pub(crate) fn group_of(&self, request: &Request) -> Option<BoundGroup> {
         let class = self.settings.class(request.class);
         let first = request.first_that_may_have_run()?;
@@ -40,11 +44,11 @@
         })
     }
 
-    /// Whether a worker drops repeats of what the group's workers have run.
+    /// Whether a worker belongs to a group, whose workers drop repeats of what any of them has run.
     pub(crate) fn is_in_group(&self, group: BoundGroup, w: WorkerIndex) -> bool {
         let member = &self.workers[group.member].listing;
         let other = &self.workers[w].listing;
-        let is_same_zone = member.zone.is_surely(other.zone);
+        let is_same_zone = member.zone.is_same_known(other.zone);
         match group.scope {
             Scope::All => true,
             Scope::Zone => is_same_zone,
@@ -52,17 +56,19 @@
         }
     }
 
-    /// Enters the rows of a list. A slow-start budget begins with a random debt of up to one job.
+    /// Applies the rows of a list. The slow-start budget of a worker that has restarted or become usable
+    /// again begins with a random debt of up to the mean cost of one job, so that not all schedulers send
+    /// their first job to it at once.
     pub(crate) fn enter_all(&mut self, kind: ListKind, rows: &[Row]) {
         for row in rows.iter().filter(|row| row.online_since > 0) {
             let start = Instant::from_micros(row.online_since);
             self.start_times.observe_start(self.now, start);
         }
         for row in rows {
-            let entered = self.enter(row);
-            if entered.is_fresh {
+            let applied = self.apply_row(row);
+            if applied.is_fresh {
                 let debt = self.rng.f64() * self.mean_run;
-                let worker = &mut self.workers[entered.worker];
+                let worker = &mut self.workers[applied.worker];
                 worker.slow_start.begin_in_debt(debt);
             }
         }
@@ -72,9 +78,10 @@
         }
     }
 
-    /// Enters a row of the list. Prevents credit for a cold worker that all save up while none may send
-    /// there.
-    pub(super) fn enter(&mut self, row: &Row) -> EnteredRow {
+    /// Applies a row of the list. The slow-start budget of a worker that has restarted or become usable again
+    /// starts to grow only now: otherwise every scheduler would hold credit from the time when none could
+    /// send there.
+    pub(super) fn apply_row(&mut self, row: &Row) -> AppliedRow {
         let has_restarted = self.update_listing(row);
         let w = self.workers.find_or_add(row.worker);
         let listing = &self.workers[w].listing;
@@ -89,16 +96,16 @@
         if let Some(backoff) = self.resumed_backoffs.remove(&row.worker) {
             worker.health.backoff = backoff;
         }
-        EnteredRow {
+        AppliedRow {
             worker: w,
             is_fresh,
         }
     }
 
-    /// Records what the list has of a worker. Returns whether the worker has restarted.
+    /// Updates a worker's listing from a row. Returns whether the worker has restarted.
     fn update_listing(&mut self, row: &Row) -> bool {
         let online_since = Instant::from_micros(row.online_since);
-        let warming_since = self
+        let started_at = self
             .start_times
             .translate(self.now, row.worker, online_since);
         let w = self.workers.find_or_add(row.worker);
@@ -113,15 +120,16 @@
         let has_restarted = listing.online_since != online_since;
         listing.online_since = online_since;
         if has_restarted {
-            listing.warming_since = warming_since;
-            worker.forget_observations();
+            listing.started_at = started_at;
+            worker.reset_observations();
         }
         has_restarted
     }
 
-    /// The share of its capacity that a worker surely has: 1 once it is warm.
+    /// The share of its full capacity that a worker has at least reached while it warms up; 1 once it is
+    /// warm.
     pub(crate) fn warm_up_progress(&self, w: WorkerIndex) -> f64 {
-        let (settings, since) = (&self.settings, self.workers[w].listing.warming_since);
+        let (settings, since) = (&self.settings, self.workers[w].listing.started_at);
         if since == Instant::ZERO || self.since(since) >= settings.ramp.as_micros_f64() {
             return 1.0;
         }
@@ -129,35 +137,36 @@
             + (1.0 - settings.cold_share) * self.since(since) / settings.ramp.as_micros_f64()
     }
 
-    /// Whether a worker is known: an active one always is.
+    /// Whether a worker is known. Active workers always are.
     #[must_use]
     pub fn knows(&self, worker: WorkerId) -> bool {
         self.workers.find(worker).is_some()
     }
 
-    /// How many workers are known.
+    /// The number of known workers.
     pub(crate) fn known_workers(&self) -> usize {
         self.workers.len()
     }
 
-    /// Whether a worker is active, and not excluded by hand.
+    /// Whether a worker is active and not manually excluded.
     pub(crate) fn is_usable(&self, w: WorkerIndex) -> bool {
         let worker = &self.workers[w];
         worker.listing.is_active && !self.is_excluded(worker.id)
     }
 
-    /// Whether operators have excluded a worker.
+    /// Whether a worker is manually excluded by operators.
     #[must_use]
     pub fn is_excluded(&self, worker: WorkerId) -> bool {
         self.manual_exclusions.contains(&worker)
     }
 
-    /// Whether anything may go there now, whatever the job: what the selection uses, and what operators see.
+    /// Whether jobs may be sent to a worker now, apart from what a particular job requires. Worker selection
+    /// and the figures for operators both use this.
     pub(crate) fn is_available(&self, w: WorkerIndex) -> bool {
         self.is_usable(w) && self.workers[w].health.backoff.is_over(self.now)
     }
 
-    /// The workers in the list, and how many of them get nothing now.
+    /// Counts the listed workers and those among them that are not available now.
     #[must_use]
     pub fn members(&self) -> Members {
         let mut members = Members::default();
@@ -170,9 +179,9 @@
         members
     }
 
-    /// Forgets workers that have left and of which nothing is known that counts, where they have become
-    /// many. Prevents a table that grows where machines are replaced for months, each with a new id.
-    pub(super) fn forget_departed(&mut self) {
+    /// Removes inactive workers to which no request refers, once there are many of them. The table would
+    /// otherwise grow without bound in a fleet where each replaced machine gets a new id.
+    pub(super) fn remove_inactive_workers(&mut self) {
         if self.workers.len() <= RETAINED_WORKERS {
             return;
         }
@@ -204,7 +213,7 @@
 }
 
 fn usable_weight(weight: f64) -> f64 {
-    if (LEAST_WEIGHT..=1.0 / LEAST_WEIGHT).contains(&weight) {
+    if (MIN_WEIGHT..=1.0 / MIN_WEIGHT).contains(&weight) {
         weight
     } else {
         1.0
--- a/crates/core/src/state/pool.rs
+++ b/crates/core/src/state/pool.rs
@@ -1,27 +1,29 @@
-//! Workers to draw from, each with its chance.
+//! Pools of workers for weighted random draws.
 //!
-//! It owns the drawing and the chances as last counted. It must never say who may be drawn, or how likely.
+//! A worker is drawn with a probability proportional to its size, its estimated relative capacity. Sizes are
+//! computed when the pools are refilled, and then rescaled for a whole machine kind at a time.
 
 use rustc_hash::FxHashMap;
 
 use super::{Scheduler, WorkerIndex};
 use crate::time::Instant;
 
-/// Workers of one machine kind. What is believed of a kind changes the chances of all of them alike, so
-/// that it is counted once and not for each worker.
+/// The workers of one machine kind in a pool. A new estimate for a kind changes the sizes of all its workers
+/// by the same factor, which is stored once here instead of in each size.
 struct Group {
     kind: u32,
     workers: Vec<WorkerIndex>,
-    /// The sums of the sizes up to each worker, as they were when the pool was filled.
-    up_to: Vec<f64>,
-    /// The size of the first worker then, and by how much all have grown since.
+    /// For each worker the sum of the sizes up to and including it, as of the last refill.
+    cumulative_sizes: Vec<f64>,
+    /// The size of the first worker as of the last refill.
     first_size: f64,
+    /// The factor by which all sizes have changed since the last refill.
     scale: f64,
 }
 
 impl Group {
     fn push(&mut self, w: WorkerIndex, size: f64) {
-        let before = match self.up_to.last() {
+        let before = match self.cumulative_sizes.last() {
             Some(before) => *before,
             None => {
                 self.first_size = size;
@@ -29,21 +31,23 @@
             }
         };
         self.workers.push(w);
-        self.up_to.push(before + size);
+        self.cumulative_sizes.push(before + size);
     }
 
-    /// The worker to which the sizes come up at this point.
-    fn at(&self, at: f64) -> Option<WorkerIndex> {
-        let found = self.up_to.partition_point(|up_to| self.scale * up_to <= at);
+    /// The worker at a point of the scaled cumulative sizes.
+    fn worker_at(&self, point: f64) -> Option<WorkerIndex> {
+        let found = self
+            .cumulative_sizes
+            .partition_point(|sum| self.scale * sum <= point);
         self.workers.get(found.min(self.workers.len() - 1)).copied()
     }
 
     fn sum(&self) -> f64 {
-        self.scale * self.up_to.last().copied().unwrap_or_default()
+        self.scale * self.cumulative_sizes.last().copied().unwrap_or_default()
     }
 }
 
-/// Workers, in the order of their numbers and by kind.
+/// A set of workers, both in ascending order and grouped by machine kind.
 #[derive(Default)]
 pub(crate) struct Pool {
     pub workers: Vec<WorkerIndex>,
@@ -51,16 +55,16 @@
 }
 
 impl Pool {
-    /// Takes all workers out, to be filled anew.
+    /// Removes all workers but keeps the allocated memory for the next refill.
     fn clear(&mut self) {
         self.workers.clear();
         for group in &mut self.groups {
             group.workers.clear();
-            group.up_to.clear();
+            group.cumulative_sizes.clear();
         }
     }
 
-    /// Adds a worker with its size, which is its chance.
+    /// Adds a worker with its size. Workers must be added in ascending order.
     fn push(&mut self, w: WorkerIndex, kind: u32, size: f64) {
         self.workers.push(w);
         match self.groups.iter_mut().find(|group| group.kind == kind) {
@@ -69,7 +73,7 @@
                 self.groups.push(Group {
                     kind,
                     workers: vec![w],
-                    up_to: vec![size],
+                    cumulative_sizes: vec![size],
                     first_size: size,
                     scale: 1.0,
                 });
@@ -77,7 +81,7 @@
         }
     }
 
-    /// Forgets kinds of which there is no worker any more.
+    /// Drops the groups of machine kinds without workers.
     fn drop_empty_groups(&mut self) {
         self.groups.retain(|group| !group.workers.is_empty());
     }
@@ -94,17 +98,17 @@
         self.workers.binary_search(&w).is_ok()
     }
 
-    /// One at random, by chance.
+    /// Draws a worker at random, with a probability proportional to its size.
     pub(crate) fn draw(&self, rng: &mut fastrand::Rng) -> Option<WorkerIndex> {
-        let mut at = rng.f64() * self.sum();
+        let mut point = rng.f64() * self.sum();
         let (last, others) = self.groups.split_last()?;
         for group in others {
-            if at < group.sum() {
-                return group.at(at);
+            if point < group.sum() {
+                return group.worker_at(point);
             }
-            at -= group.sum();
+            point -= group.sum();
         }
-        last.at(at)
+        last.worker_at(point)
     }
 
     /// The sum of all sizes.
@@ -112,28 +116,28 @@
         self.groups.iter().map(Group::sum).sum()
     }
 
-    /// Counts the chances anew by the present size of a worker of each kind.
-    fn weigh(&mut self, size: impl Fn(WorkerIndex) -> f64) {
+    /// Rescales each group to the current size of its first worker.
+    fn rescale(&mut self, size: impl Fn(WorkerIndex) -> f64) {
         for group in &mut self.groups {
             group.scale = size(group.workers[0]) / group.first_size;
         }
     }
 }
 
-/// The pools that picks draw from.
+/// The pools from which worker selection draws.
 pub(crate) struct WorkerPools {
-    /// The workers that are active and not excluded by hand.
+    /// The workers that are active and not manually excluded.
     pub live: Pool,
-    /// Those of the own zone.
+    /// The live workers in this scheduler's zone.
     pub own_zone: Pool,
     /// The live workers by machine kind.
     pub by_kind: FxHashMap<u32, Pool>,
     /// The mean size of the live workers.
     pub mean_size: f64,
-    /// The live workers, each counted for the share of its capacity that it surely has.
+    /// The capacity of the live workers in units of a warm worker: the sum of their warm-up progress.
     pub warmth: f64,
-    /// When the chances were last counted.
-    weighed_at: Instant,
+    /// When the sizes were last rescaled.
+    rescaled_at: Instant,
 }
 
 impl Default for WorkerPools {
@@ -144,7 +148,7 @@
             by_kind: FxHashMap::default(),
             mean_size: 1.0,
             warmth: 0.0,
-            weighed_at: Instant::ZERO,
+            rescaled_at: Instant::ZERO,
         }
     }
 }
@@ -155,7 +159,7 @@
         pools.chain([&mut self.live, &mut self.own_zone])
     }
 
-    /// Takes all workers out, to be filled anew.
+    /// Removes all workers but keeps the allocated memory for the next refill.
     fn clear(&mut self) {
         for pool in self.all() {
             pool.clear();
@@ -163,18 +167,18 @@
         self.warmth = 0.0;
     }
 
-    /// Forgets kinds of which there is no worker any more.
+    /// Drops the pools and groups of machine kinds without workers.
     fn drop_empty(&mut self) {
         self.by_kind.retain(|_, pool| !pool.is_empty());
         self.live.drop_empty_groups();
         self.own_zone.drop_empty_groups();
     }
 
-    /// Counts the chances anew by the present size of a worker of each kind.
-    fn weigh(&mut self, now: Instant, size: impl Fn(WorkerIndex) -> f64) {
-        self.weighed_at = now;
+    /// Rescales all pools to the current sizes, and recomputes the mean size.
+    fn rescale(&mut self, now: Instant, size: impl Fn(WorkerIndex) -> f64) {
+        self.rescaled_at = now;
         for pool in self.all() {
-            pool.weigh(&size);
+            pool.rescale(&size);
         }
         let sum = self.live.sum();
         self.mean_size = if sum > 0.0 {
@@ -186,9 +190,9 @@
 }
 
 impl Scheduler {
-    /// Sorts the active workers into the pools that picks draw from.
+    /// Refills all pools with the usable workers.
     pub(crate) fn refill_pools(&mut self) {
-        self.forget_departed();
+        self.remove_inactive_workers();
         let mut pools = std::mem::take(&mut self.pools);
         pools.clear();
         for w in self.workers.indices() {
@@ -206,21 +210,21 @@
             pools.warmth += self.warm_up_progress(w);
         }
         pools.drop_empty();
-        pools.weigh(self.now, |w| self.raw_size(w));
+        pools.rescale(self.now, |w| self.raw_size(w));
         self.pools = pools;
     }
 
-    /// Counts the chances anew once a mean running time, as what is believed of kinds has changed since.
-    /// Cold workers are drawn like others, and kept by their budgets.
+    /// Rescales the pools once per mean running time to follow the estimates for machine kinds. Workers that
+    /// warm up keep their full size: their slow-start budgets limit what they get.
     pub(crate) fn reweigh_pools(&mut self) {
-        if self.since(self.pools.weighed_at) > self.mean_run {
+        if self.since(self.pools.rescaled_at) > self.mean_run {
             let mut pools = std::mem::take(&mut self.pools);
-            pools.weigh(self.now, |w| self.raw_size(w));
+            pools.rescale(self.now, |w| self.raw_size(w));
             self.pools = pools;
         }
     }
 
-    /// Counts anew how warm the live workers are, while some warm up.
+    /// Recomputes the capacity of the live workers while some of them warm up.
     pub(crate) fn update_warmth(&mut self) {
         let live = &self.pools.live;
         if self.pools.warmth < live.len() as f64 {
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -1,7 +1,7 @@
-//! One worker as a scheduler sees it: what is in flight there, and what was observed of it.
+//! The state of a single worker: its listing, the attempts in flight there, and its observed load and health.
 //!
-//! It owns a worker's record and the counts of slots there, with their sums over all workers. It must
-//! never classify a worker: whether one is unresponsive or full is the scheduler's to say.
+//! Changes to a worker's slots in flight go through this module, which updates the totals over all workers
+//! with them. Whether a worker is unresponsive or full is decided in `scheduler`.
 
 use super::Scheduler;
 use crate::interface::{Report, RequestId, WorkerId};
@@ -10,62 +10,62 @@
 use crate::state::{WorkerIndex, Zone};
 use crate::time::Instant;
 
-/// Weight of a new observation in the learned means of reports.
-const REPORT_WEIGHT: f64 = 0.05;
+/// Weight of a new report in the moving averages over reports.
+const REPORT_SMOOTHING: f64 = 0.05;
 
-/// One worker as this scheduler sees it.
+/// A worker as this scheduler knows it.
 pub(crate) struct Worker {
     pub id: WorkerId,
     pub listing: Listing,
     pub in_flight: WorkerInFlight,
     pub load: ObservedLoad,
-    /// How long own jobs waited there to start, lately.
+    /// How long this scheduler's jobs recently waited there to start.
     pub wait: Wait,
     pub health: Health,
-    /// What it may still get while it warms up.
+    /// The work that may still be sent to it while it warms up.
     pub slow_start: SlowStartBudget,
 }
 
-/// What the endpoint list has of a worker.
+/// A worker's entry in the endpoint list.
 #[derive(Default)]
 pub(crate) struct Listing {
     pub zone: Zone,
     pub kind: u32,
     pub cell: u32,
-    /// Over 0.
+    /// Relative capacity; always positive.
     pub weight: f64,
-    /// In the list, whatever its state.
+    /// Whether it is in the list, in any state.
     pub is_listed: bool,
-    /// Its process runs and wants jobs.
+    /// Whether the list reports it as running and accepting jobs.
     pub is_active: bool,
-    /// Its start as the list has it, which distinguishes one start from another.
+    /// Its start time as given in the list. A change of it shows that the worker has restarted.
     pub online_since: Instant,
-    /// The same start on the clock of this process.
-    pub warming_since: Instant,
+    /// The same start time on the clock of this process, from which the warm-up is counted.
+    pub started_at: Instant,
 }
 
-/// Own attempts at a worker.
+/// This scheduler's attempts at a worker.
 #[derive(Default)]
 pub(crate) struct WorkerInFlight {
-    /// Slots that they occupy.
+    /// Slots occupied by the attempts that are counted.
     pub slots: f64,
-    /// Of these, slots that are not counted against the limit, as the worker is unresponsive.
+    /// Of these, slots not counted against the concurrency limit because the worker is unresponsive.
     pub excluded_slots: f64,
-    /// The attempts without an outcome.
+    /// The attempts without an outcome, lost ones included.
     pub attempts: Vec<AttemptId>,
-    /// How many of them count.
+    /// How many of them are counted, that is, not lost.
     pub open: u32,
-    /// How many of those are not known to have started.
+    /// How many of the counted ones are not known to have started.
     pub unstarted: u32,
-    /// When the last one was sent.
+    /// When the most recent attempt was sent.
     pub last_sent: Instant,
 }
 
-/// The number of an attempt among all.
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct AttemptId {
     pub request: RequestId,
-    /// Counted from 0 for each request.
+    /// Position among the request's attempts, from 0.
     pub number: usize,
 }
 
@@ -78,51 +78,52 @@
     }
 }
 
-/// What reports and starts have shown of a worker's load.
+/// A worker's load as known from its reports and from when its jobs start.
 #[derive(Default)]
 pub(crate) struct ObservedLoad {
-    /// The last report as it came.
+    /// The last report, unmodified.
     pub report: Report,
-    /// When that came.
+    /// When the last report arrived.
     pub reported_at: Instant,
-    /// Free slots kept up with own sends.
+    /// Free slots as last observed, updated as this scheduler's attempts start and stop counting.
     pub free_slots: f64,
-    /// The memory reported.
+    /// Free memory as last reported.
     pub free_memory: Option<f64>,
-    /// As of when these two are; `None`: nothing was observed.
+    /// The time to which `free_slots` and `free_memory` apply; `None` if nothing was observed.
     pub observed_at: Option<Instant>,
-    /// Rounds expected free slots up or down; drawn anew with each observation.
+    /// Random share of a slot that is added to the expected free slots, so that fractions are rounded up or
+    /// down at random. Redrawn with each observation and each send.
     pub rounding: f64,
 }
 
-/// How long own jobs waited to start, lately, at a worker or in a zone.
+/// How long this scheduler's jobs recently waited to start at a worker or in a zone.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Wait {
-    /// The mean, in microseconds.
+    /// Moving average in microseconds.
     pub mean: f64,
-    /// When it was last observed.
+    /// When a wait was last observed.
     pub observed_at: Instant,
 }
 
-/// What speaks for or against a worker's being alive and of use.
+/// Evidence of whether a worker is responsive and able to serve.
 #[derive(Default)]
 pub(crate) struct Health {
-    /// Errors in a row: nothing was served in between.
+    /// Consecutive errors, with no job served in between.
     pub errors: u32,
-    /// Jobs declined in a row: nothing was started in between.
+    /// Jobs declined in a row, with none started or served in between.
     pub declined: u32,
-    /// Since when own jobs are without an observation.
+    /// Since when nothing has been observed of the attempts there.
     pub unobserved_since: Instant,
-    /// It has a place in the watch queue.
+    /// Whether it is in the watch queue.
     pub is_watched: bool,
-    /// Until when nothing is sent there.
+    /// The backoff during which nothing is sent there.
     pub backoff: Backoff,
-    /// When it last answered a probe.
+    /// When its last probe ended, with an answer or without.
     pub probed_at: Instant,
 }
 
 impl Worker {
-    /// A worker of which nothing is known yet.
+    /// Creates the record of a worker of which nothing is known yet.
     pub(super) fn new(id: WorkerId) -> Self {
         Worker {
             id,
@@ -135,8 +136,8 @@
         }
     }
 
-    /// Voids what was observed of it: it has started anew.
-    pub(super) fn forget_observations(&mut self) {
+    /// Discards observations that do not apply to a restarted worker.
+    pub(super) fn reset_observations(&mut self) {
         self.load.observed_at = None;
         self.wait.mean = 0.0;
         self.health.backoff.clear();
@@ -146,7 +147,7 @@
 }
 
 impl Scheduler {
-    /// Leaves the own slots at an unresponsive worker out of the limit's count.
+    /// Stops counting the slots in flight at an unresponsive worker against the concurrency limit.
     pub(crate) fn exclude_from_in_flight(&mut self, w: WorkerIndex) {
         self.include_in_flight(w);
         let at_worker = &mut self.workers[w].in_flight;
@@ -154,14 +155,14 @@
         self.in_flight.exclude(at_worker.slots);
     }
 
-    /// Counts them again, as the worker was observed.
+    /// Counts the slots of a worker that has responded against the concurrency limit again.
     pub(crate) fn include_in_flight(&mut self, w: WorkerIndex) {
         let excluded = std::mem::take(&mut self.workers[w].in_flight.excluded_slots);
         self.in_flight.include(excluded);
     }
 
-    /// Own slots in flight there change by `by`; known free slots go the other way.
-    pub(super) fn occupy(&mut self, w: WorkerIndex, by: f64) {
+    /// Changes a worker's slots in flight by `by`, and its free slots by the opposite amount.
+    pub(super) fn add_slots_in_flight(&mut self, w: WorkerIndex, by: f64) {
         let worker = &mut self.workers[w];
         worker.load.free_slots -= by;
         let at_worker = &mut worker.in_flight;
@@ -172,16 +173,16 @@
         self.in_flight.change(by);
     }
 
-    /// Stores a worker's report, and counts how often its report changes. Returns whether it is the one
-    /// that came last.
+    /// Stores a worker's report and updates the statistics of report changes. Returns whether the
+    /// report equals the worker's previous one.
     pub(crate) fn is_repeated_report(&mut self, w: WorkerIndex, report: &Report) -> bool {
         let gap = self.since(self.workers[w].load.reported_at);
         let load = &mut self.workers[w].load;
         let is_same = load.report == *report;
         if load.reported_at > Instant::ZERO && gap < self.mean_run {
-            let change = f64::from(u8::from(!is_same));
-            self.reports.mean_gap += REPORT_WEIGHT * (gap - self.reports.mean_gap);
-            self.reports.change_share += REPORT_WEIGHT * (change - self.reports.change_share);
+            let differs = f64::from(u8::from(!is_same));
+            self.reports.mean_gap += REPORT_SMOOTHING * (gap - self.reports.mean_gap);
+            self.reports.change_share += REPORT_SMOOTHING * (differs - self.reports.change_share);
         }
         load.reported_at = self.now;
         load.report = *report;
--- a/crates/core/src/state/zone.rs
+++ b/crates/core/src/state/zone.rs
@@ -1,21 +1,19 @@
-//! Zones of workers and schedulers.
-//!
-//! It owns when two of them are the same. It must never say what another zone costs.
+//! Zones of workers and schedulers, and when two of them are the same.
 
 use crate::interface::{Settings, UNKNOWN};
 
-/// A zone's place in the settings, or one that they don't know.
+/// A zone by its index in the settings, or [`UNKNOWN`] if they do not list it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Zone(u32);
 
 impl Zone {
-    pub(crate) fn new(place: u32) -> Self {
-        Zone(place)
+    pub(crate) fn new(index: u32) -> Self {
+        Zone(index)
     }
 
-    /// Whether two workers are surely in the same zone. Two zones that the settings don't know have the same
-    /// number, and may be two.
-    pub(super) fn is_surely(self, other: Zone) -> bool {
+    /// Whether both are the same zone and the settings list it. All zones that the settings do not list share
+    /// the number [`UNKNOWN`], so that two of them may differ.
+    pub(super) fn is_same_known(self, other: Zone) -> bool {
         self == other && self.0 != UNKNOWN
     }
 }
