--- a/crates/core/src/state/list.rs
+++ b/crates/core/src/state/list.rs
@@ -85,10 +85,10 @@
         let has_restarted = self.update_listing(row);
         let w = self.workers.find_or_add(row.worker);
         let listing = &self.workers[w].listing;
-        let is_back = listing.online_since > Instant::ZERO
+        let is_usable_again = listing.online_since > Instant::ZERO
             && listing.is_active
             && !self.pools.live.contains(w);
-        let is_fresh = has_restarted || is_back;
+        let is_fresh = has_restarted || is_usable_again;
         let worker = &mut self.workers[w];
         if is_fresh {
             worker.slow_start.restart(self.now);
