--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -1,7 +1,7 @@
-//! The interface of the decision module: settings, events, actions and ids. Types only.
+//! Public types of the scheduler: settings, events, actions and ids.
 //!
-//! All times are integer microseconds on the caller's clock, which may start anywhere and
-//! never runs backwards. Durations in the settings are [`Span`]s.
+//! Timestamps are integer microseconds on the caller's monotonic clock, which may have any origin.
+//! Durations in the settings are [`Span`]s.
 
 mod fingerprint;
 mod settings;
@@ -12,60 +12,63 @@
     Class, Effect, Reports, Scope, Settings, SettingsError, Weights, NOTIFICATION_DEADLINE,
 };
 
-/// A point in time or a span, in microseconds, as events and actions have it. The scheduler makes an
-/// [`Instant`](crate::time::Instant) or a [`Span`] of it as it comes in.
+/// A timestamp or a duration in microseconds, as used in events and actions. The scheduler converts it to an
+/// [`Instant`](crate::time::Instant) or a [`Span`] on entry.
 pub type Micros = u64;
 
-/// For how long the process may be stalled at any moment, also between its look at the clock and a write.
+/// The longest pause of the process that must be tolerated at any point, including between reading the clock
+/// and writing to a socket.
 pub const LONGEST_STALL: Span = Span::from_millis(150);
 
-/// A request, unique for the lifetime of a scheduler.
+/// Identifies a request; unique for the lifetime of a scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestId(pub u128);
 
-/// A worker. All schedulers must know it by the same number (a hash of its address, say), as keys
-/// find their workers by it; beyond that the number carries no meaning.
+/// Identifies a worker. All schedulers must use the same number for a worker (a hash of its address, for
+/// example), because consistent hashing places keys by it. The number has no other meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct WorkerId(pub u64);
 
-/// What the list says of a worker.
+/// The state of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// Its process runs.
+    /// Running and accepting jobs.
     Active,
-    /// Finishing its work; nothing new may go there.
+    /// Draining: no new jobs may be sent to it.
     Leaving,
-    /// Removed.
+    /// Removed from the list.
     Left,
 }
 
-/// The number of a zone, kind or cell that the settings don't know. Two of them may differ.
+/// Stands for a zone, machine kind or cell that the settings do not contain. Two entries with this number may
+/// belong to different ones.
 pub const UNKNOWN: u32 = u32::MAX;
 
-/// One entry of the endpoint list, of a worker that is known by its number or its name.
+/// One entry of the endpoint list, whose worker is identified by its number or its name.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Endpoint<W> {
-    /// The worker.
+    /// The worker's number or name.
     pub worker: W,
-    /// Its zone.
+    /// Index of its zone.
     pub zone: u32,
-    /// Its machine kind.
+    /// Index of its machine kind.
     pub kind: u32,
-    /// Its cell.
+    /// Number of its cell.
     pub cell: u32,
-    /// What it can do, against the others, by the settings' [`Weights`]; what is no positive number counts as 1.
+    /// Relative capacity, as defined by [`Settings::weights`]; a value that is not a positive number counts as 1.
     pub weight: f64,
-    /// Its state.
+    /// Its state in the list.
     pub condition: Condition,
-    /// When it last started, on the caller's clock, or on a wall clock (see [`Event::WallClock`]); 0: long ago.
+    /// When it last started, on the caller's clock or on a wall clock (see [`Event::WallClock`]); 0 if that was
+    /// long ago.
     pub online_since: Micros,
 }
 
-/// An entry as the scheduler takes it.
+/// An endpoint list entry in the form that the scheduler accepts.
 pub type Row = Endpoint<WorkerId>;
 
 impl<W> Endpoint<W> {
-    /// The same entry where the worker is known otherwise.
+    /// Returns the same entry with another identification of the worker.
     #[must_use]
     pub fn with_worker<Other>(&self, worker: Other) -> Endpoint<Other> {
         Endpoint {
@@ -80,114 +83,115 @@
     }
 }
 
-/// What the rows of an [`Event::List`] are.
+/// What an [`Event::List`] carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Only the rows that changed.
     Delta,
-    /// The whole list.
+    /// The complete list.
     Snapshot,
-    /// The whole list as cached before a restart.
+    /// The complete list as cached before a restart.
     Cached,
-    /// None: a call failed or the subscription broke.
+    /// No rows: a call to discovery failed or the subscription broke.
     Failed,
-    /// None: a call failed once it had waited for its turn, as more schedulers call than discovery can answer.
+    /// No rows: a call failed after waiting for its turn, because discovery receives more calls than it can
+    /// answer.
     Overloaded,
 }
 
 /// How an attempt or a probe ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Served.
+    /// The worker returned a result.
     Delivered,
-    /// The worker answered with an error; it may have run.
+    /// The worker answered with an error; the job may have run.
     Error,
-    /// The worker declined it for overload; it never ran.
+    /// The worker declined the job because of overload; it never ran.
     Declined,
-    /// No reply in time; it may have run.
+    /// No reply before the deadline; the job may have run.
     Expired,
-    /// No connection; it never ran.
+    /// The connection could not be established; the job never ran.
     DialFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the job may have run.
     Dropped,
-    /// Cancelled; it may have run.
+    /// Cancelled; the job may have run.
     Revoked,
-    /// Not sent at all.
+    /// Never sent.
     Unused,
-    /// Not sent for a fault of this machine, which had no descriptor, port or memory for it. It shows nothing of the
-    /// worker, and is none of the request's attempts.
+    /// Not sent because this machine had no file descriptor, port or memory for it. It says nothing about the
+    /// worker and does not count against the request's maximum number of attempts.
     LocalFault,
 }
 
-/// A load report. Values may be absent, late and noisy.
+/// A worker's load report. Values may be absent, stale or noisy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Report {
     /// Free slots.
     pub free_slots: Option<f64>,
     /// Free memory units.
     pub free_memory: Option<f64>,
-    /// Requests in hand.
+    /// Requests that the worker has accepted and not finished.
     pub outstanding: Option<f64>,
-    /// Requests waiting.
+    /// Requests queued at the worker.
     pub backlog: Option<f64>,
 }
 
-/// What the decisions need to know of a request's job.
+/// The properties of a request's job that scheduling decisions depend on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Job {
-    /// Its class, as an index of the settings.
+    /// Index of its class in the settings.
     pub class: u32,
-    /// Its tenant, as an index of the settings, where it names a known one.
+    /// Index of its tenant in the settings, if it names a known one.
     pub tenant: Option<u32>,
-    /// Slots it takes; 1 where it does not say.
+    /// Slots it occupies; 1 if not given.
     pub slots: Option<f64>,
-    /// Memory it takes; none where it does not say.
+    /// Memory units it occupies; 0 if not given.
     pub memory: Option<f64>,
-    /// What it needs at a worker (a program, a data set), where it says so.
+    /// Key of what it needs at a worker (a program, a data set), if given.
     pub key: Option<u64>,
-    /// Expected work on a standard core, where hinted.
+    /// Client's estimate of its running time on a standard core, if given.
     pub hint: Option<Micros>,
-    /// Time left before the client gives up this try.
+    /// Time left until the client gives up on this try.
     pub remaining: Micros,
 }
 
-/// An attempt made before the scheduler knew the request; it may have run.
+/// An attempt made before the scheduler received the request; the job may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Earlier<W = WorkerId> {
-    /// The worker, which may be listed no more.
+    /// The worker, which may no longer be listed.
     pub worker: W,
     /// How long ago it was sent.
     pub ago: Micros,
 }
 
-/// Something that happened.
+/// An input of the scheduler.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Event<'a> {
-    /// The endpoint list, a change of it, or the failure of a poll.
+    /// The endpoint list, a change to it, or the failure of a poll.
     List {
-        /// What the rows are.
+        /// Whether the rows are complete, partial or absent.
         kind: ListKind,
-        /// The rows; none for a failed poll.
+        /// The rows; empty for a failed poll.
         rows: &'a [Row],
     },
-    /// A request arrived and is now owed one final answer.
+    /// A request arrived and must get exactly one final answer.
     Request {
         /// Its id.
         id: RequestId,
-        /// What it takes.
+        /// Its job.
         job: Job,
-        /// Attempts of a predecessor that may have run, in order. They count as this
-        /// request's first ones, and have ended.
+        /// Attempts of a predecessor whose jobs may have run, in order. They count as the first attempts of
+        /// this request and have ended.
         earlier: &'a [Earlier],
     },
-    /// An attempt started to run.
+    /// The job of an attempt started to run.
     Started {
         /// The request.
         id: RequestId,
         /// The attempt's number.
         attempt: u32,
     },
-    /// An attempt that runs makes progress.
+    /// The running job of an attempt reported progress.
     Progress {
         /// The request.
         id: RequestId,
@@ -202,130 +206,132 @@
         attempt: u32,
         /// How it ended.
         ending: Ending,
-        /// The request has its final answer.
+        /// Whether the request has got its final answer.
         finished: bool,
-        /// The worker's report, where one came.
+        /// The worker's load report, if one came with the answer.
         report: Option<Report>,
     },
-    /// A streamed answer began: the client owns the attempt from here.
+    /// A streamed response began; the client owns the attempt from here on.
     Streaming {
         /// The request.
         id: RequestId,
     },
-    /// The client has disconnected; nothing is owed any more.
+    /// The client disconnected; the request needs no answer any more.
     Cancelled {
         /// The request.
         id: RequestId,
     },
-    /// The program ends: the request gets its final answer now, whatever is in flight for it.
+    /// The process shuts down: the request gets its final answer now, even if attempts are in flight.
     ShuttingDown {
         /// The request.
         id: RequestId,
     },
-    /// A probe came back.
+    /// A probe ended.
     Probed {
         /// The worker.
         worker: WorkerId,
-        /// How it went.
+        /// How it ended.
         ending: Ending,
-        /// Its report.
+        /// The load report, if the worker answered with one.
         report: Option<Report>,
     },
-    /// Operators exclude a worker, or include it again. It need not be listed.
+    /// An operator excluded a worker or included it again. The worker need not be listed.
     Exclusion {
         /// The worker.
         worker: WorkerId,
         /// Whether it is excluded from now on.
         is_excluded: bool,
     },
-    /// What the wall clock shows now. Feed it at the start and before each list where the list gives workers'
-    /// starts by a wall clock; where it is never fed, they are given on the caller's clock.
+    /// The current wall-clock time. Required at startup and before each list if the list stamps worker starts
+    /// with a wall clock. Without this event, the stamps are taken to be on the caller's clock.
     WallClock {
-        /// Its reading, since the same moment as [`Row::online_since`].
+        /// Wall-clock time, counted from the same epoch as [`Row::online_since`].
         wall: Micros,
     },
-    /// A timer that was set with [`Action::Wake`] is due.
+    /// A timer set by [`Action::Wake`] expired.
     Timer,
 }
 
-/// What is queued or in flight. All but the workers are 0 once every request is answered and every attempt ended.
+/// Counts of what is queued or in flight. All except `workers` are 0 once every request is answered and every
+/// attempt has ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Accounts {
-    /// Requests that are owed an answer, or have attempts in flight.
+    /// Requests that have no final answer yet or have attempts in flight.
     pub requests: usize,
-    /// Requests that wait to be sent.
+    /// Requests waiting to be sent.
     pub queued: usize,
-    /// Attempts in flight, as counted for their workers.
+    /// Attempts in flight, summed over the workers.
     pub attempts: usize,
-    /// Slots in flight, as counted against the limit and for their workers.
+    /// Slots in flight, as counted against the concurrency limit and at the workers.
     pub slots: f64,
-    /// Workers that are known, those that have left included.
+    /// Known workers, including those that have left.
     pub workers: usize,
 }
 
-/// What a scheduler has observed that its successor should know.
+/// Load and running-time estimates that a scheduler hands to its successor.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Estimates {
-    /// The concurrency limit: own slots that may be in flight.
+    /// The concurrency limit: how many of this scheduler's slots may be in flight.
     pub concurrency_limit: f64,
-    /// The mean running time of jobs, in microseconds.
+    /// Mean running time of jobs, in microseconds.
     pub mean_run: f64,
-    /// Of each class, by its index in the settings.
+    /// Estimates of each class, by its index in the settings.
     pub classes: Vec<ClassEstimates>,
 }
 
-/// What was observed of a class.
+/// Running-time estimates of one class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClassEstimates {
-    /// Running time lately, in microseconds.
+    /// Recent mean running time, in microseconds.
     pub run: f64,
-    /// The job's own work, in microseconds.
+    /// Long-term mean running time, used as the job's own work, in microseconds.
     pub work: f64,
-    /// Of how many jobs the work was learned, small ones counted in part.
+    /// Number of served jobs that `work` is averaged over; small jobs count as a fraction.
     pub served: f64,
 }
 
-/// Something to do.
+/// An output of the scheduler, which the caller must carry out.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Start an attempt. Attempts of a request are numbered 0, 1, 2 in this order.
+    /// Start an attempt. The attempts of a request are numbered from 0 in the order of these actions.
     Send {
         /// The request.
         id: RequestId,
-        /// Where to.
+        /// The worker to send it to.
         worker: WorkerId,
-        /// When its last byte must have been written; after that nothing more of it is. `None`: at any time.
+        /// Time by which its last byte must be written; nothing of it may be written later. `None` means no
+        /// limit.
         write_deadline: Option<Micros>,
     },
-    /// Final answer: not run, try again later.
+    /// Final answer: rejected; the client may safely retry later.
     Reject {
         /// The request.
         id: RequestId,
-        /// How long to stay away, where allowed.
+        /// How long the client should wait before it retries, if the settings allow sending that.
         retry_after: Option<Micros>,
     },
-    /// Final answer: failed, nothing promised.
+    /// Final answer: failed; the job may or may not have run.
     Fail {
         /// The request.
         id: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         id: RequestId,
         /// The attempt's number.
         attempt: u32,
     },
-    /// Probe a worker for its load.
+    /// Ask a worker for its load.
     Probe {
         /// The worker.
         worker: WorkerId,
     },
-    /// Subscribe to the list.
+    /// Subscribe to the endpoint list, or request it if it is sent only on request.
     Subscribe,
-    /// Set a timer: an [`Event::Timer`] is due this far from now.
+    /// Set a timer that triggers an [`Event::Timer`].
     Wake {
-        /// The span.
+        /// Time from now until the event.
         after: Micros,
     },
 }
