--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -1,145 +1,149 @@
-//! The settings of a scheduler: classes, limits, and what the world around it can do.
+//! Settings of a scheduler: request classes, limits, and the capabilities of workers and discovery.
 //!
-//! It owns the settings' forms and defaults. It must never check them, nor know an event or an action.
+//! This module defines the types and their defaults; `Settings::check` in `state` validates them.
 
 use crate::time::Span;
 
-/// Whether a request's effect may happen more than once.
+/// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// May be repeated anywhere.
+    /// Idempotent: may be repeated at any worker.
     Safe,
-    /// A group of workers drops repeats for a while.
+    /// May be repeated within a group of workers that deduplicates requests for a limited time.
     Keyed,
-    /// Must never run twice.
+    /// Must never run more than once.
     Unsafe,
 }
 
-/// Which workers share the memory of a keyed request.
+/// The group of workers that deduplicates a [keyed](Effect::Keyed) request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scope {
     /// All workers.
     All,
-    /// Those of one zone.
+    /// The workers of one zone.
     Zone,
-    /// Those of one cell.
+    /// The workers of one cell.
     Cell,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// An answer within this (plus `stretch` times the job's own work) counts as in time.
+    /// An answer counts as on time within this plus `stretch` times the job's own work.
     pub latency_objective: Span,
-    /// Multiple of the job's own work that is added to the objective.
+    /// Multiple of the job's own work that is added to `latency_objective`.
     pub stretch: f64,
-    /// How long a client waits over all its tries.
+    /// How long a client waits in total, over all its tries.
     pub deadline: Span,
-    /// How much one request counts against those of other classes.
+    /// Weight of one request relative to requests of other classes.
     pub priority_weight: f64,
-    /// Priority among classes of equal weight.
+    /// Priority among classes of equal `priority_weight`.
     pub priority: i64,
-    /// Whether it may run twice.
+    /// Whether its requests may run more than once.
     pub effect: Effect,
-    /// For keyed classes: who drops repeats.
+    /// For keyed classes: the workers that deduplicate requests.
     pub scope: Scope,
-    /// For keyed classes: for how long from the first send.
+    /// For keyed classes: how long requests are deduplicated, counted from the first send.
     pub window: Span,
-    /// The one machine kind that runs it, or any.
+    /// Index of the only machine kind that can run it; `None` for any kind.
     pub kind: Option<u32>,
 }
 
-/// Where load reports come from.
+/// How workers' load reports are delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reports {
-    /// Inside answers (and probe results).
+    /// With answers and with probe results.
     Answers,
-    /// Inside probe results only.
+    /// With probe results only.
     Probe,
-    /// Nowhere.
+    /// Not at all.
     None,
 }
 
-/// What the weights in the list hold.
+/// The meaning of the weights in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// Nothing: always 1.
+    /// No meaning: always 1.
     None,
-    /// A worker's size, or roughly that.
+    /// The exact or approximate size of a worker.
     Size,
-    /// Its size, divided by 1 and what it has in flight for each core, a while ago: changes with each list.
+    /// Its size divided by one plus its jobs in flight per core, as of some time ago; changes with each list.
     Live,
 }
 
-/// Whatever discovery knows counts as notified so long after it knew it and could be reached, arrived or not:
-/// the protocol's figure, which goes before all others.
+/// A change counts as delivered to a scheduler this long after discovery knew it and was reachable, whether or
+/// not it has arrived. The protocol sets this limit, and it takes precedence over all other timing settings.
 pub const NOTIFICATION_DEADLINE: Span = Span::from_millis(6_000);
 
-/// The settings of one scheduler. The default is one scheduler with a pushed list,
-/// no reports and no classes yet.
+/// The settings of one scheduler. The default is a single scheduler with a pushed endpoint list, no load
+/// reports and no classes; at least one class must be added.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How many schedulers share the fleet, this one included.
+    /// Number of schedulers that share the workers, including this one.
     pub schedulers: u32,
-    /// The zone of this scheduler.
+    /// Index of this scheduler's zone.
     pub zone: u32,
-    /// The classes, by index.
+    /// Request classes, by index.
     pub classes: Vec<Class>,
-    /// Requests a second within each tenant's share, over all schedulers; what a tenant sends
-    /// beyond has the least priority. Empty: no tenants.
+    /// Quota of each tenant in requests per second, over all schedulers. Requests beyond it get the lowest
+    /// priority. Empty if there are no tenants.
     pub tenants: Vec<f64>,
-    /// The list comes only on request.
+    /// The endpoint list is sent only on request.
     pub list_on_request: bool,
-    /// Without a subscription, a scheduler must poll this often (the operators' `ask-every-ms`).
+    /// Polling interval without a subscription (`ask-every-ms` in the operators' settings).
     pub poll_interval: Span,
-    /// What the weights in the list hold.
+    /// The meaning of the weights in the endpoint list.
     pub weights: Weights,
     /// Workers report when a job starts.
     pub reports_start: bool,
-    /// Workers start waiting jobs strictly in the order in which these came.
+    /// Workers start queued jobs strictly in the order of arrival.
     pub in_order: bool,
-    /// How often workers report a job's progress; 0: never.
+    /// How often workers report the progress of a job; 0 if never.
     pub progress_every: Span,
-    /// Where load reports come from.
+    /// How load reports are delivered.
     pub reports: Reports,
-    /// Probes are allowed.
+    /// Workers may be probed.
     pub may_probe: bool,
     /// Attempts may be cancelled.
     pub may_cancel: bool,
     /// Rejections may carry a retry-after.
     pub retry_after: bool,
-    /// The longest retry-after that clients honour.
+    /// Longest retry-after that clients honour.
     pub max_retry_after: Span,
-    /// Attempts allowed for one request.
+    /// Maximum number of attempts of one request.
     pub max_attempts: u32,
-    /// An idle connection closes after this.
+    /// Time after which an idle connection is closed.
     pub idle_close: Span,
-    /// A connection not up after this is a failed dial.
+    /// Time within which a connection must be established.
     pub connect_timeout: Span,
-    /// The price of an attempt that crosses zones, in parts of the result for each request; 0: free.
+    /// Cost of an attempt in another zone, as a fraction of the value of one request; 0 if free.
     pub cross_price: f64,
-    /// Least time between batches.
+    /// Minimum time between two batches of decisions.
     pub tick: Span,
-    /// A cold worker starts at this share of its capacity or more.
+    /// Minimum share of its capacity that a worker has right after its start.
     pub cold_share: f64,
-    /// A cold worker is warm after this at the latest.
+    /// Time after its start by which a worker has its full capacity.
     pub ramp: Span,
-    /// A cold worker falls over when sent more than this multiple of its present capacity.
+    /// Multiple of its present capacity beyond which load overwhelms a warming worker.
     pub fall_multiple: f64,
-    /// The span over which that multiple is counted.
+    /// Period over which the load for `fall_multiple` is counted.
     pub fall_span: Span,
 }
 
 impl Settings {
-    /// A quarter of the time after which a change counts as notified to one whose call has failed:
-    /// of `NOTIFICATION_DEADLINE`, or of four times `poll_interval` where that is shorter.
+    /// Returns a quarter of the time after which a change counts as delivered even to a scheduler whose call
+    /// failed: of `NOTIFICATION_DEADLINE`, or of four times `poll_interval` if that is shorter.
     ///
-    /// The one sum that the calls keep within that time: a quarter for the backoff after the failure at the
-    /// most; two for a call without an answer, or one that fails and the backoff after it, dial and turn
-    /// included; one for the dial, the turn and the answer of the next. A watch that has become unresponsive is
-    /// noticed within two quarters of `NOTIFICATION_DEADLINE`, and two are left: for two calls, or a failed one,
-    /// a backoff and a call. No grace for drains is in it, and no more than a quarter for the turns of all
-    /// schedulers.
+    /// All calls to discovery share this time budget:
+    ///
+    /// - one quarter at most for the backoff after the failure;
+    /// - two quarters for a call that gets no answer, or for a call that fails and the backoff after it,
+    ///   including connecting and waiting for a turn at discovery;
+    /// - one quarter for connecting, the turn and the answer of the next call.
+    ///
+    /// An unresponsive watch is detected within two quarters of `NOTIFICATION_DEADLINE`. The other two are
+    /// enough for two calls, or for a failed call, a backoff and another call. The budget contains no grace
+    /// period for draining workers, and at most one quarter for the turns of all schedulers.
     #[must_use]
     pub fn poll_quarter(&self) -> Span {
         if self.poll_interval == Span::ZERO {
@@ -181,18 +185,18 @@
     }
 }
 
-/// Why settings could not be used: the name of the setting and what is wrong with it.
+/// An invalid setting and the reason.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The setting.
+    /// Name of the setting.
     pub name: &'static str,
-    /// What is wrong.
+    /// Why it is invalid.
     pub why: &'static str,
 }
 
 impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "setting '{}' cannot be used: {}", self.name, self.why)
+        write!(f, "invalid setting '{}': {}", self.name, self.why)
     }
 }
 
