--- a/crates/core/src/interface/fingerprint.rs
+++ b/crates/core/src/interface/fingerprint.rs
@@ -1,17 +1,17 @@
-//! The text of settings that goes into fingerprints.
+//! Stable text form of the settings, from which fingerprints are computed.
 //!
-//! Two versions of the program compare such fingerprints as one takes over from the other, so the words and
-//! the order of this text never change, whatever the fields are called.
+//! During a hot restart, predecessor and successor compare fingerprints, and they may be different versions of
+//! the program. The names and their order in this text must therefore stay the same even if fields are renamed.
 
 use std::fmt;
 
 use super::{Class, Settings};
 
-/// Settings in the form of which fingerprints are made.
+/// Displays settings in the stable form.
 pub struct FingerprintForm<'a>(&'a Settings);
 
 impl Settings {
-    /// These settings in the form of which fingerprints are made, the same in all versions.
+    /// Returns the settings in the stable form from which fingerprints are computed.
     #[must_use]
     pub fn fingerprint_form(&self) -> FingerprintForm<'_> {
         FingerprintForm(self)
@@ -51,7 +51,7 @@
     }
 }
 
-/// A class in that form.
+/// Formats one class in the stable form.
 struct ClassForm<'a>(&'a Class);
 
 impl fmt::Debug for ClassForm<'_> {
