--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -1,18 +1,18 @@
-//! Numbers that stand for names, the same in every process and on every machine.
+//! Hashes of names, which identify workers and keys in the scheduler.
 //!
-//! It owns the hash by which workers and keys are known to the decisions. It must never change: all
-//! schedulers of a fleet, of whatever version, have to agree on where a key's workers begin.
+//! The hash function must not change: all schedulers, of whatever version, have to agree on the position of a
+//! key on the consistent-hash ring.
 
 use crate::interface::WorkerId;
 
-/// A number that stands for a name (FNV-1a, 64 bits).
+/// Returns the 64-bit FNV-1a hash of a name.
 #[must_use]
 pub fn number_of(name: &str) -> u64 {
     let step = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
     name.as_bytes().iter().fold(0xcbf2_9ce4_8422_2325, step)
 }
 
-/// A worker's number.
+/// Returns the id of the worker with this name.
 #[must_use]
 pub fn worker_id(name: &str) -> WorkerId {
     WorkerId(number_of(name))
