--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,12 +1,14 @@
-//! The decisions of oakshed, and nothing else: no sockets, files, clock, threads or async runtime.
+//! The scheduling logic of oakshed, without I/O, clock, threads or async runtime.
 //!
-//! [`interface`] and the private `scheduler` and `state` are the decision module; [`facade`] is its blocking-style
-//! front for programs on real sockets; [`names`] turns names into the module's numbers. In `scheduler` each
-//! concern of the decisions has a module of its own; `state` has the records of workers and requests.
-//! Time and randomness are passed in, and what is to be done comes out as values: the same events and
-//! seed give the same actions everywhere. This crate must never depend on another of the project.
+//! A [`Scheduler`] takes events and returns actions, whose types are in [`interface`]. Time and the random seed
+//! are passed in, so the same events and seed give the same actions everywhere. The private module `scheduler`
+//! has a submodule for each kind of decision; `state` holds the records of workers and requests.
 //!
-//! Feed events to a [`Scheduler`] and, once per batch, carry out the actions that it gives:
+//! [`facade`] wraps a scheduler in a per-request interface for programs with real sockets. [`names`] hashes
+//! names to the ids that the scheduler uses, [`figures`] counts requests for the operators' metrics, and
+//! [`time`] has the time types. This crate must not depend on other crates of the project.
+//!
+//! Pass events to a [`Scheduler`] and carry out the actions that it returns for each batch:
 //!
 //! ```
 //! use oakshed_core::interface::*;
