--- a/crates/core/src/facade/actions.rs
+++ b/crates/core/src/facade/actions.rs
@@ -1,6 +1,7 @@
-//! The scheduler's actions as steps of requests, and as what is due besides.
+//! Translates the scheduler's actions into steps of requests and other pending work.
 //!
-//! It owns the translation of each action. It must never leave one out.
+//! Every action must be handled: a lost one leaves a request without an answer or the scheduler without its
+//! timer.
 
 use super::{Facade, Handle, Step};
 use crate::interface::{Action, Micros, RequestId, WorkerId};
@@ -31,7 +32,7 @@
         let name = self.worker_names.get(&worker).cloned();
         let open = self.requests.get_mut(&Handle::of(id));
         let (Some(name), Some(open)) = (name, open) else {
-            return self.check_invariant(false, "an attempt for an unknown request or worker");
+            return self.check_invariant(false, "attempt for an unknown request or worker");
         };
         let is_answered = open.is_answered();
         let until = open.deadline();
@@ -43,7 +44,7 @@
             write_deadline: write_deadline.map_or(until, |deadline| deadline.min(until)),
         });
         self.tally.attempts += 1;
-        self.check_invariant(!is_answered, "an attempt after the final answer");
+        self.check_invariant(!is_answered, "attempt after the final answer");
     }
 
     fn cancel_attempt(&mut self, id: RequestId, attempt: usize) {
@@ -64,11 +65,11 @@
         self.wake_timer();
     }
 
-    /// Gives a request its final answer. Returns how many were given: 1, or 0 where it had one.
+    /// Gives a request its final answer. Returns the number of answers given: 0 if the request already had one.
     fn answer(&mut self, id: RequestId, step: Step) -> u64 {
         let open = self.requests.get_mut(&Handle::of(id));
         let is_first = open.is_some_and(|open| open.answer(step));
-        self.check_invariant(is_first, "a second final answer");
+        self.check_invariant(is_first, "second final answer");
         u64::from(is_first)
     }
 
