--- a/crates/core/src/facade/exclusions.rs
+++ b/crates/core/src/facade/exclusions.rs
@@ -1,28 +1,25 @@
-//! Manual exclusions: workers that operators exclude, whatever the list says.
+//! Manual exclusion of workers by operators.
 //!
-//! It owns their names. It must never let an exclusion end but by the operators.
+//! An exclusion holds regardless of the endpoint list, and only an operator can end it.
 
 use super::Facade;
 use crate::interface::{Event, Micros};
 use crate::names::worker_id;
 
 impl Facade {
-    /// Operators exclude a worker: nothing new goes there, whatever the list says, until [`include`].
-    /// Returns whether it was ever listed; else nothing changes.
-    ///
-    /// [`include`]: Facade::include
+    /// Excludes a worker: no new jobs are sent to it until [`include`](Facade::include) is called, whatever the
+    /// endpoint list says. Returns `false`, without any effect, if the worker is unknown.
     pub fn exclude(&mut self, now: Micros, worker: &str) -> bool {
         self.set_excluded(now, worker, true)
     }
 
-    /// Operators let a worker be used again; one call ends the exclusion, however often it was called for.
-    /// Returns whether the worker was ever listed, or was excluded.
+    /// Ends the exclusion of a worker. One call is enough even if the worker was excluded several times.
+    /// Returns `false` if the worker is unknown.
     pub fn include(&mut self, now: Micros, worker: &str) -> bool {
         self.set_excluded(now, worker, false)
     }
 
-    /// Takes over an exclusion that another process of this scheduler has recorded: its worker need not be
-    /// listed.
+    /// Restores an exclusion that another process of this scheduler recorded. The worker need not be listed.
     pub fn resume_exclusion(&mut self, now: Micros, worker: &str) {
         self.worker_names
             .entry(worker_id(worker))
@@ -30,7 +27,7 @@
         self.set_excluded(now, worker, true);
     }
 
-    /// Whether operators have excluded a worker.
+    /// Returns whether an operator has excluded a worker.
     #[must_use]
     pub fn is_excluded(&self, worker: &str) -> bool {
         self.scheduler.is_excluded(worker_id(worker))
