--- a/crates/core/src/facade/hot_restart.rs
+++ b/crates/core/src/facade/hot_restart.rs
@@ -1,7 +1,7 @@
-//! Hot restart: what one process of this scheduler hands to its successor.
+//! State transfer from one process of this scheduler to its successor during a hot restart.
 //!
-//! It owns the translation between spans, as the two processes have a clock each, and this process's clock.
-//! What a predecessor hands over must never let anything be sent.
+//! The two processes have different clocks, so times are handed over as durations and converted here to the
+//! clock of this process. Restoring state from a predecessor must not send anything to a worker.
 
 use super::{Facade, HandoverState, WarmingWorker, WorkerBackoff};
 use crate::interface::Micros;
@@ -10,16 +10,17 @@
 use crate::state::WorkerStart;
 use crate::time::{Instant, Span};
 
-/// The longest backoff from a worker that is taken over from the predecessor.
-const LONGEST_RESUMED_BACKOFF: Span = Span::from_millis(60_000);
+/// Upper bound of a worker's remaining backoff that is restored from the predecessor.
+const MAX_RESUMED_BACKOFF: Span = Span::from_millis(60_000);
 
 impl Facade {
-    /// How many processes of this scheduler live: each uses its part of what is the scheduler's.
+    /// Sets how many processes of this scheduler are alive, including this one. Each uses its share of the
+    /// scheduler's limits.
     pub fn share(&mut self, processes: usize) {
         self.scheduler.share(processes);
     }
 
-    /// What the successor should know.
+    /// Returns the estimates and backoffs for the successor.
     #[must_use]
     pub fn handover_state(&self, now: Micros) -> HandoverState {
         let now = Instant::from_micros(now);
@@ -43,19 +44,21 @@
         }
     }
 
-    /// Takes over what the predecessor knew; what does not fit is left out.
+    /// Restores the predecessor's estimates and backoffs. Unusable values, and estimates of other classes, are
+    /// ignored.
     pub fn resume_handover_state(&mut self, now: Micros, state: &HandoverState) {
         let now = Instant::from_micros(now);
         self.scheduler.resume_estimates(&state.estimates);
         for resumed in &state.backoffs {
-            let left = Span::from_micros(resumed.left).min(LONGEST_RESUMED_BACKOFF);
+            let left = Span::from_micros(resumed.left).min(MAX_RESUMED_BACKOFF);
             let backoff = Backoff::new(now.saturating_add(left), resumed.trials);
             let worker = worker_id(&resumed.worker);
             self.scheduler.resume_backoff(worker, backoff);
         }
     }
 
-    /// The workers that are warming up, which the successor should not place by its wall clock.
+    /// Returns the workers that are warming up. With this the successor need not derive their start times from
+    /// its wall clock.
     #[must_use]
     pub fn warming_workers(&self, now: Micros) -> Vec<WarmingWorker> {
         let now = Instant::from_micros(now);
@@ -72,7 +75,7 @@
         warming
     }
 
-    /// Takes over which workers are warming up, before the list is taken in.
+    /// Restores the workers that are warming up. Must be called before the endpoint list is passed in.
     pub fn resume_warming(&mut self, now: Micros, warming: &[WarmingWorker]) {
         let now = Instant::from_micros(now);
         for resumed in warming {
