--- a/crates/core/src/facade/observations.rs
+++ b/crates/core/src/facade/observations.rs
@@ -1,19 +1,20 @@
-//! What was observed of workers and attempts, as the scheduler's events.
+//! Translates observations of workers and attempts into events of the scheduler.
 //!
-//! It owns the names of workers that the lists bring. It must never report the end of an attempt twice.
+//! Also stores the names of listed workers, because the scheduler knows workers only by number. The end of an
+//! attempt must reach the scheduler only once.
 
 use super::{Entry, Facade, Handle, Seen, Step};
 use crate::interface::{Ending, Event, ListKind, Micros, Report, Row};
 use crate::names::worker_id;
 
-/// The least number of workers' names at which it looks which of them are of use.
-const LEAST_RETAINED_NAMES: usize = 4_096;
+/// Unused names are dropped only when there are more than twice this number of names.
+const MIN_RETAINED_NAMES: usize = 4_096;
 
 impl Facade {
-    /// Takes in what was observed.
+    /// Passes an observation to the scheduler and carries out the resulting actions.
     pub fn report(&mut self, now: Micros, seen: Seen<'_>) {
         match seen {
-            // Nothing follows from it: the first poll of discovery must not be set before the cached list is known.
+            // Does not dispatch: the first poll of discovery must not be scheduled before the cached list is known.
             Seen::WallClock(wall) => self.scheduler.on_event(now, Event::WallClock { wall }),
             Seen::List(kind, entries) => self.on_list(now, kind, entries),
             Seen::Started(request, attempt) => {
@@ -53,25 +54,26 @@
             let row = entry.with_worker(worker_id(&entry.worker));
             let known = self.worker_names.entry(row.worker);
             let is_same = *known.or_insert_with(|| entry.worker.clone()) == entry.worker;
-            self.check_invariant(is_same, "two workers share a number");
+            self.check_invariant(is_same, "two worker names have the same id");
             rows.push(row);
         }
         self.feed(now, Event::List { kind, rows: &rows });
-        self.forget_names();
+        self.prune_names();
     }
 
-    /// Prevents storing the names of workers that left long ago: the scheduler has forgotten these.
-    fn forget_names(&mut self) {
+    /// Drops the names of workers that the scheduler has forgotten, once there are many. Otherwise the names of
+    /// departed workers would accumulate.
+    fn prune_names(&mut self) {
         let known = self.scheduler.known_workers();
-        if self.worker_names.len() > 2 * known.max(LEAST_RETAINED_NAMES) {
+        if self.worker_names.len() > 2 * known.max(MIN_RETAINED_NAMES) {
             let scheduler = &self.scheduler;
             self.worker_names
                 .retain(|worker, _| scheduler.knows(*worker) || scheduler.is_excluded(*worker));
         }
     }
 
-    /// Takes in the end of an attempt. Returns whether it was still in flight: it may end on its own in the
-    /// moment in which it is dropped, and the first report counts.
+    /// Records the end of an attempt. Returns whether it was still in flight: an attempt may end by itself while
+    /// it is being cancelled, and only the first report counts.
     pub(super) fn on_ended(
         &mut self,
         now: Micros,
