--- a/crates/core/src/facade/tally.rs
+++ b/crates/core/src/facade/tally.rs
@@ -1,29 +1,29 @@
-//! What the facade counts of requests and attempts, and how it is written in the log.
+//! Counters of requests and attempts, and their log format.
 //!
-//! It must never decide: nothing reads these counts back.
+//! Scheduling decisions do not depend on these counters.
 
-/// Counts of what was answered, and of what should have been impossible.
+/// Counts of requests by outcome, of attempts and of invariant violations since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Tally {
-    /// Requests taken in.
+    /// Requests received.
     pub taken: u64,
-    /// Requests that were answered with a worker's result.
+    /// Requests answered with a worker's result.
     pub served: u64,
-    /// Rejections.
+    /// Rejected requests.
     pub rejected: u64,
     /// Failed requests.
     pub failed: u64,
-    /// Clients that disconnected first.
+    /// Requests whose client disconnected before the final answer.
     pub cancelled: u64,
-    /// Attempts begun.
+    /// Attempts started.
     pub attempts: u64,
-    /// Attempts by how they ended, in the order of [`Ending`](crate::interface::Ending).
+    /// Ended attempts by [`Ending`](crate::interface::Ending), in the order of its variants.
     pub ended: [u64; 9],
-    /// Violations of invariants; asserted in debug builds.
+    /// Invariant violations; in debug builds these panic instead.
     pub invariant_violations: u64,
 }
 
-/// The endings as the log has them, in the order of [`Ending`](crate::interface::Ending).
+/// Names of the endings in the log, in the order of the variants of [`Ending`](crate::interface::Ending).
 const ENDING_NAMES: [&str; 9] = [
     "delivered",
     "error",
@@ -36,7 +36,7 @@
     "local_fault",
 ];
 
-/// The line of the log, in the words that operators know.
+/// Formats the counters for the log, under the names that operators rely on.
 impl std::fmt::Display for Tally {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "taken={} served={} ", self.taken, self.served)?;
