--- a/crates/core/src/facade/types.rs
+++ b/crates/core/src/facade/types.rs
@@ -1,109 +1,109 @@
-//! What goes in and out of the facade: requests, steps, observations, what is handed over.
+//! Types of the facade's interface: request handles, steps, observations and hot-restart state.
 //!
-//! Types only. Nothing here may name a socket, a format or a runtime.
+//! They are independent of sockets, serialization formats and async runtimes.
 
 use std::rc::Rc;
 
 use crate::interface::{Ending, Endpoint, Estimates, ListKind, Micros, Report};
 
-/// A request that was taken in.
+/// Identifies a request in the facade.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Handle(pub(super) u64);
 
-/// One entry of discovery's list, with the worker's name, which is the same at every scheduler, and the other
-/// names resolved to the settings' indices.
+/// An entry of the endpoint list with the worker's name, which is the same at every scheduler. Other names are
+/// already resolved to indices of the settings.
 pub type Entry = Endpoint<Rc<str>>;
 
-/// What to do next for a request.
+/// The next step in handling a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Step {
-    /// Attempt number `attempt` goes to a worker, and is given up at `until`.
+    /// Send an attempt to a worker.
     Attempt {
-        /// Counted from 0 for each request.
+        /// Number of the attempt, counted from 0 for each request.
         attempt: usize,
-        /// The worker's name in discovery's list.
+        /// Name of the worker in the endpoint list.
         worker: Rc<str>,
-        /// When it has timed out.
+        /// When the attempt times out.
         until: Micros,
-        /// From then on nothing more of it may be written: what is not complete by then never ran.
+        /// Time from which nothing more of it may be written; an attempt that is incomplete by then never ran.
         write_deadline: Micros,
     },
-    /// Final: the result of this attempt is the answer.
+    /// Final answer: the result of an attempt.
     Serve {
-        /// Which one.
+        /// Number of that attempt.
         attempt: usize,
     },
-    /// Final: a rejection, after which the client may come again, perhaps after a while.
+    /// Final answer: rejected; the client may retry.
     Reject {
-        /// How long to stay away.
+        /// How long the client should wait before it retries.
         retry_after: Option<Micros>,
     },
-    /// Final: failed, nothing promised.
+    /// Final answer: failed; the job may or may not have run.
     Fail,
-    /// Stop waiting for this attempt, and report it as [`Ending::Revoked`].
+    /// Cancel an attempt and report it as [`Ending::Revoked`].
     Cancel {
-        /// Which one.
+        /// Number of the attempt.
         attempt: usize,
     },
 }
 
-/// Something that was observed.
+/// An observation to report to the scheduler.
 #[derive(Clone, Copy, Debug)]
 pub enum Seen<'a> {
-    /// What the wall clock shows now, by which the list gives workers' starts.
+    /// The current wall-clock time, by which the endpoint list stamps worker starts.
     WallClock(Micros),
-    /// Discovery's list or a change of it; no entries where the poll failed.
+    /// The endpoint list or a change to it; no entries if the poll failed.
     List(ListKind, &'a [Entry]),
     /// The job of an attempt started to run.
     Started(Handle, usize),
-    /// The job of an attempt makes progress.
+    /// The job of an attempt reported progress.
     Progress(Handle, usize),
     /// An attempt ended.
     Ended(Handle, usize, Ending, Option<Report>),
-    /// A probe came back; no load where it failed.
+    /// A probe ended: whether the worker answered, and with which load report.
     Probed(&'a Rc<str>, bool, Option<Report>),
-    /// A probe could not be sent, for a fault of this machine.
+    /// A probe was not sent because this machine lacked a resource for it.
     NotProbed(&'a Rc<str>),
 }
 
-/// What is due besides the steps of requests.
+/// Pending work that does not belong to a request.
 #[derive(Debug, Default, PartialEq)]
 pub struct Due {
-    /// When to call `tick` next, unless it is woken before.
+    /// When to call `tick` next, unless its waker is woken earlier.
     pub next: Option<Micros>,
-    /// Subscribe to discovery's list anew.
+    /// Whether to request the endpoint list from discovery again.
     pub subscribe: bool,
-    /// Workers to probe for their load.
+    /// Names of the workers to probe for their load.
     pub probes: Vec<Rc<str>>,
 }
 
-/// A worker that is warming up, as one process hands it to the next.
+/// A worker that is warming up, as handed to the successor.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WarmingWorker {
-    /// Its name.
+    /// Name of the worker.
     pub worker: Rc<str>,
-    /// Its start as the list has it: a later one is another process of the worker.
+    /// Its start time in the endpoint list. A different one means that the worker has restarted.
     pub start: Micros,
-    /// For how long it has been warming up.
+    /// How long it has been warming up.
     pub age: Micros,
 }
 
-/// What one process hands to the next of what it has observed. Spans, as the two have a clock each.
+/// Observations handed to the successor. Times are durations because the two processes have different clocks.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HandoverState {
-    /// Of load and running times.
+    /// Load and running-time estimates.
     pub estimates: Estimates,
-    /// The workers that are backed off from.
+    /// Workers to which nothing is sent for now.
     pub backoffs: Vec<WorkerBackoff>,
 }
 
-/// The backoff from a worker.
+/// The remaining backoff of a worker.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WorkerBackoff {
-    /// Its name.
+    /// Name of the worker.
     pub worker: Rc<str>,
-    /// For how long nothing is sent there yet.
+    /// Time for which nothing may be sent to it.
     pub left: Micros,
-    /// How many backoffs there were since it last answered.
+    /// Number of backoffs since it last answered.
     pub trials: u32,
 }
