--- a/crates/core/src/facade/mod.rs
+++ b/crates/core/src/facade/mod.rs
@@ -1,10 +1,11 @@
-//! The blocking-style front of the scheduler: a request is taken in, `pick` gives its next step and waits
-//! while the job is queued, `report` takes in what was observed, and `tick` runs the timer.
+//! Per-request interface to the scheduler, for programs that handle requests in separate tasks.
 //!
-//! It owns the numbering of requests and attempts, the names of workers, and the one final answer of each
-//! request. The scheduler's events, actions and ids never leave this module. It must never decide
-//! anything, read a clock (time is passed in), or know of sockets, HTTP or an async runtime: a waiting
-//! `pick` stores only the standard library's [`Waker`].
+//! `take` registers a request, `pick` polls for its next step, `report` passes observations to the scheduler,
+//! and `tick` runs its timer. The facade numbers requests and attempts, maps worker names to ids, and ensures
+//! that each request gets exactly one final answer. The scheduler's events, actions and ids stay internal.
+//!
+//! All decisions are left to the scheduler. Time is passed in, and there is no dependency on sockets, HTTP or an
+//! async runtime: a `pick` that has to wait stores only the standard library's [`Waker`].
 
 mod actions;
 mod exclusions;
@@ -31,17 +32,17 @@
 pub use tally::Tally;
 pub use types::{Due, Entry, Handle, HandoverState, Seen, Step, WarmingWorker, WorkerBackoff};
 
-/// The decisions of one scheduler behind `take`, `pick`, `report` and `tick`.
+/// One scheduler behind `take`, `pick`, `report` and `tick`.
 pub struct Facade {
     scheduler: Scheduler,
-    /// Empty between two events; reused for its memory.
+    /// Empty between events; kept to reuse its allocation.
     actions: Vec<Action>,
     requests: FxHashMap<Handle, OpenRequest>,
     worker_names: FxHashMap<WorkerId, Rc<str>>,
     last_handle: u64,
-    /// When the scheduler wants its timer: always what it believes to be set, or nobody would wake it.
+    /// When the scheduler's timer is due. Must match the scheduler's own record, or the timer would be lost.
     wake_at: Option<Micros>,
-    /// The first tick has been.
+    /// Whether `tick` has been called.
     has_ticked: bool,
     due: Due,
     timer: Option<Waker>,
@@ -49,11 +50,11 @@
 }
 
 impl Facade {
-    /// A facade that knows no workers yet; `seed` is the only source of randomness.
+    /// Creates a facade without workers; `seed` is the only source of randomness.
     ///
     /// # Errors
     ///
-    /// Names the first setting that cannot be used.
+    /// Returns the first invalid setting.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         Ok(Facade {
             scheduler: Scheduler::new(settings, seed)?,
@@ -69,13 +70,13 @@
         })
     }
 
-    /// Takes a request in: from here on it is owed one final answer, which `pick` will give.
+    /// Registers a request, whose final answer `pick` will return.
     pub fn take(&mut self, now: Micros, job: &Job) -> Handle {
         self.take_again(now, job, &[])
     }
 
-    /// Takes a request in that an earlier process of the program has tried: `earlier` has the workers where
-    /// it may have run, and how long ago each attempt was sent. Attempts are numbered on from these.
+    /// Registers a request that an earlier process has already tried. `earlier` has the workers on which it may
+    /// have run and how long ago each attempt was sent; new attempts are numbered after these.
     pub fn take_again(&mut self, now: Micros, job: &Job, earlier: &[Earlier<Rc<str>>]) -> Handle {
         self.last_handle += 1;
         self.tally.taken += 1;
@@ -83,9 +84,9 @@
         let deadline = now.saturating_add(job.remaining);
         let open = OpenRequest::new(deadline, earlier.len());
         self.requests.insert(request, open);
-        let mut by_id = Vec::with_capacity(earlier.len());
+        let mut earlier_by_id = Vec::with_capacity(earlier.len());
         for attempt in earlier {
-            by_id.push(Earlier {
+            earlier_by_id.push(Earlier {
                 worker: worker_id(&attempt.worker),
                 ago: attempt.ago,
             });
@@ -93,30 +94,30 @@
         let event = Event::Request {
             id: request.id(),
             job: *job,
-            earlier: &by_id,
+            earlier: &earlier_by_id,
         };
         self.feed(now, event);
         request
     }
 
-    /// The next step of a request. While its job is queued there is none: the waker is stored and woken
-    /// when there is one.
+    /// Polls for the next step of a request. While there is none, as when the job is queued, the waker is stored
+    /// and woken once there is one.
     pub fn pick(&mut self, request: Handle, waker: &Waker) -> Poll<Step> {
         let Some(open) = self.requests.get_mut(&request) else {
-            self.check_invariant(false, "a step was requested after the request's end");
+            self.check_invariant(false, "step requested after the end of the request");
             return Poll::Ready(Step::Fail);
         };
         match open.next_step() {
             Some(step) => Poll::Ready(step),
             None => {
-                open.wake_later(waker);
+                open.set_waker(waker);
                 Poll::Pending
             }
         }
     }
 
-    /// The handler of a request ends, with the final answer or because its client has disconnected. Returns
-    /// which attempts are to be dropped; nothing more need be reported of these.
+    /// Ends the handling of a request, after its final answer or because its client disconnected. Returns the
+    /// attempts to cancel, about which nothing more need be reported.
     pub fn close(&mut self, now: Micros, request: Handle) -> Vec<usize> {
         let Some(open) = self.requests.get_mut(&request) else {
             return Vec::new();
@@ -130,11 +131,11 @@
         let mut drops = Vec::new();
         for step in steps.into_iter().flatten() {
             match step {
-                // Decided on, but never begun.
+                // The scheduler chose a worker, but the attempt was never sent.
                 Step::Attempt { attempt, .. } => {
                     self.on_ended(now, request, attempt, Ending::Unused, None);
                 }
-                // One that has ended since is left alone: its connection may serve others.
+                // An attempt that has ended is not cancelled: its connection may be in use for another request.
                 Step::Cancel { attempt }
                     if self.on_ended(now, request, attempt, Ending::Revoked, None) =>
                 {
@@ -147,15 +148,15 @@
         drops
     }
 
-    /// Runs the timer where it is due, and hands over what else is to be done. The waker is woken
-    /// when the next call should come sooner than said here.
+    /// Runs the timer if it is due, and returns pending work that does not belong to a request. The waker is
+    /// woken when there is new work or the next call must come earlier than returned here.
     pub fn tick(&mut self, now: Micros, waker: &Waker) -> Due {
         let is_due = self.wake_at.is_some_and(|at| at <= now);
         if is_due {
             self.wake_at = None;
         }
-        // The first one in any case: prevents a start without a list from waiting for good, where nothing else
-        // would let the scheduler request one. What it wants by then stays.
+        // The first call always dispatches: after a start without a list, no other event would make the
+        // scheduler request one. A timer that is already set stays.
         let has_ticked = std::mem::replace(&mut self.has_ticked, true);
         if is_due || !has_ticked {
             self.feed(now, Event::Timer);
@@ -167,58 +168,60 @@
         }
     }
 
-    /// The program ends: each request that is owed an answer gets it now, rejected where that is harmless.
+    /// Gives all open requests their final answer because the process shuts down: a rejection where the client
+    /// can safely retry, and otherwise a failure.
     pub fn answer_all(&mut self, now: Micros) {
-        let mut owed = Vec::new();
+        let mut unanswered = Vec::new();
         for (request, open) in &self.requests {
             if !open.is_answered() {
-                owed.push(*request);
+                unanswered.push(*request);
             }
         }
-        for request in owed {
+        for request in unanswered {
             let id = request.id();
             self.feed(now, Event::ShuttingDown { id });
         }
     }
 
-    /// What was counted so far.
+    /// Returns the counters since the start.
     #[must_use]
     pub fn tally(&self) -> Tally {
         self.tally
     }
 
-    /// What is queued or in flight; a request counts until its handler and its attempts have ended.
+    /// Returns counts of what is queued or in flight. A request counts until its handler and all of its attempts
+    /// have ended.
     #[must_use]
     pub fn accounts(&self) -> Accounts {
-        let inner = self.scheduler.accounts();
+        let counts = self.scheduler.accounts();
         Accounts {
-            requests: inner.requests.max(self.requests.len()),
-            workers: inner.workers.max(self.worker_names.len()),
-            ..inner
+            requests: counts.requests.max(self.requests.len()),
+            workers: counts.workers.max(self.worker_names.len()),
+            ..counts
         }
     }
 
-    /// The workers in the list, and how many of them get nothing now.
+    /// Returns the number of listed workers, and how many of these currently get no jobs.
     #[must_use]
     pub fn members(&self) -> Members {
         self.scheduler.members()
     }
 
-    /// Over what span the polls of all schedulers are spread now, in microseconds, this one's being at random
-    /// in it.
+    /// Returns the current poll jitter in microseconds: the period over which the schedulers spread their polls,
+    /// each at a random time.
     #[must_use]
     pub fn poll_jitter(&self) -> Micros {
         self.scheduler.poll_jitter() as Micros
     }
 
-    /// How many requests were taken and have no final answer yet.
+    /// Returns the number of requests without a final answer.
     #[must_use]
     pub fn owed(&self) -> usize {
         let open = self.requests.values();
         open.filter(|open| !open.is_answered()).count()
     }
 
-    /// A request stays known until its handler and its attempts have ended.
+    /// Removes a request once its handler and all of its attempts have ended.
     fn forget_if_done(&mut self, request: Handle) {
         let open = self.requests.get(&request);
         if open.is_some_and(OpenRequest::is_done) {
@@ -226,7 +229,7 @@
         }
     }
 
-    /// One event for the scheduler, then the actions that it leads to.
+    /// Passes an event to the scheduler and carries out the resulting actions.
     fn feed(&mut self, now: Micros, event: Event<'_>) {
         self.scheduler.on_event(now, event);
         let mut actions = std::mem::take(&mut self.actions);
@@ -237,10 +240,10 @@
         self.actions = actions;
         let wake_at = self.wake_at.unwrap_or(Micros::MAX);
         let is_set = wake_at == self.scheduler.wake_wanted().as_micros();
-        self.check_invariant(is_set, "a timer is lost");
+        self.check_invariant(is_set, "timer differs from the scheduler's");
     }
 
-    /// An invariant is asserted in debug builds; its violations are counted in release builds.
+    /// Panics in debug builds if an invariant does not hold; release builds count the violation.
     fn check_invariant(&mut self, holds: bool, what: &str) {
         debug_assert!(holds, "{what}");
         self.tally.invariant_violations += u64::from(!holds);
@@ -248,12 +251,12 @@
 }
 
 impl Handle {
-    /// The request's id at the scheduler.
+    /// Returns the request's id in the scheduler.
     fn id(self) -> RequestId {
         RequestId(self.0.into())
     }
 
-    /// The request that the scheduler knows by this id.
+    /// Returns the handle of the request with this id in the scheduler.
     fn of(id: RequestId) -> Self {
         Handle(id.0 as u64)
     }
--- a/crates/core/src/facade/open_request.rs
+++ b/crates/core/src/facade/open_request.rs
@@ -1,6 +1,6 @@
-//! One request as the facade knows it: the steps that its handler has yet to take, and its attempts.
+//! The state of one request in the facade: pending steps of its handler, attempts and final answer.
 //!
-//! It owns the waker of a handler that waits. It must never decide on a step.
+//! It only queues the steps that the scheduler decides on, and wakes a handler that waits for one.
 
 use std::collections::VecDeque;
 use std::task::Waker;
@@ -8,21 +8,21 @@
 use super::Step;
 use crate::interface::{Micros, WorkerId};
 
-/// A request from the moment it is taken until its handler and its attempts have ended.
+/// A request, kept from its arrival until its handler and all of its attempts have ended.
 pub(super) struct OpenRequest {
     steps: VecDeque<Step>,
     waker: Option<Waker>,
     /// The worker of each attempt; `None` once it has ended.
     attempts: Vec<Option<WorkerId>>,
     deadline: Micros,
-    /// Its final answer has been given out, or nobody waits for one.
+    /// The final answer was given, or the handler has ended and needs none.
     is_answered: bool,
-    /// Its handler has ended.
+    /// The handler has ended.
     is_closed: bool,
 }
 
 impl OpenRequest {
-    /// A request that had so many attempts before, all of which have ended.
+    /// Creates a request with `earlier_attempts` attempts that have already ended.
     pub(super) fn new(deadline: Micros, earlier_attempts: usize) -> Self {
         OpenRequest {
             steps: VecDeque::new(),
@@ -42,27 +42,27 @@
         self.is_answered
     }
 
-    /// Whether nothing of it is left to wait for.
+    /// Returns whether the handler and all attempts have ended.
     pub(super) fn is_done(&self) -> bool {
         self.is_closed && self.attempts.iter().all(Option::is_none)
     }
 
-    /// Takes the next step of the handler.
+    /// Removes the next step for the handler.
     pub(super) fn next_step(&mut self) -> Option<Step> {
         self.steps.pop_front()
     }
 
-    /// Takes all steps that the handler has not taken.
+    /// Removes all steps that the handler has not taken yet.
     pub(super) fn take_steps(&mut self) -> VecDeque<Step> {
         std::mem::take(&mut self.steps)
     }
 
     /// Stores the waker of a handler that waits for a step.
-    pub(super) fn wake_later(&mut self, waker: &Waker) {
+    pub(super) fn set_waker(&mut self, waker: &Waker) {
         self.waker = Some(waker.clone());
     }
 
-    /// Gives the handler a step.
+    /// Queues a step for the handler and wakes it.
     pub(super) fn push(&mut self, step: Step) {
         self.steps.push_back(step);
         if let Some(waker) = self.waker.take() {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Gives the handler the final answer. Returns whether there was none before.
+    /// Queues the final answer for the handler. Returns `false`, without any effect, if there already was one.
     pub(super) fn answer(&mut self, step: Step) -> bool {
         if self.is_answered {
             return false;
@@ -80,13 +80,13 @@
         true
     }
 
-    /// Its handler has ended, and waits for no answer any more. Returns whether it had one.
+    /// Records that the handler has ended. Returns whether the request already had its final answer.
     pub(super) fn close(&mut self) -> bool {
         self.is_closed = true;
         std::mem::replace(&mut self.is_answered, true)
     }
 
-    /// Records an attempt at a worker. Returns its number.
+    /// Records a new attempt. Returns its number.
     pub(super) fn begin_attempt(&mut self, worker: WorkerId) -> usize {
         self.attempts.push(Some(worker));
         self.attempts.len() - 1
