--- a/crates/wire/src/bin/oakshed-wirehost.rs
+++ b/crates/wire/src/bin/oakshed-wirehost.rs
@@ -1,4 +1,4 @@
-//! Hosts schedulers on the simulator's wire: standard input to standard output.
+//! Runs schedulers for the simulator, with its protocol on standard input and output.
 
 use std::io::{BufReader, BufWriter};
 
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! The simulator's wire around the decisions, and the reader of its settings, which serves the real
-//! scheduler too.
+//! Adapter between the scheduler and the simulator's protocol, and the parser of scheduler settings.
 //!
-//! [`host`] hosts many schedulers over lines of JSON; [`mod@settings`] reads the settings with which a
-//! scheduler starts. Nothing here decides, and nothing here knows of sockets.
+//! [`host`] runs many schedulers in one process, driven by lines of JSON. [`mod@settings`] parses the settings
+//! with which a scheduler starts, for the simulator and for the real server. The scheduling logic itself is in
+//! `oakshed_core`.
 //!
 //! ```
 //! let boot = r#"{"balancers":2,"categories":[{"name":"transfer","aim-ms":400,"give-up-ms":6000,
