--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -1,6 +1,8 @@
-//! The reader of the settings in the simulator's form (`boot-info`), which the platform's configuration
-//! holds too: the form, its units, and the checks. A required setting has no default: where it is absent,
-//! reading fails.
+//! Parser of scheduler settings in the simulator's JSON format (`boot-info`), which the platform's configuration
+//! uses too.
+//!
+//! It converts units and rejects invalid values. Required settings have no default: parsing fails if one is
+//! missing.
 
 mod error;
 
@@ -13,7 +15,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case")]
-struct Boot {
+struct BootInfo {
     #[serde(default)]
     az: u32,
     #[serde(default)]
@@ -119,13 +121,14 @@
     cross_zone: f64,
 }
 
-/// The longest time that a setting may hold, a year: longer ones are a mistake, and sums of them overflow.
-const LONGEST_MS: f64 = 366.0 * 86_400_000.0;
+/// The longest time that a setting may hold: one year. A longer one is a mistake, and sums of such times would
+/// overflow.
+const MAX_TIME_MS: f64 = 366.0 * 86_400_000.0;
 
-/// The values of `membership-mode`: whether lists are sent only on request.
+/// Values of `membership-mode`: whether the endpoint list is sent only on request.
 const MEMBERSHIP_MODES: [(&str, bool); 3] = [("", false), ("pushed", false), ("on_request", true)];
 
-/// The values of `family-info.queue-order`: whether workers start requests in the order of arrival.
+/// Values of `family-info.queue-order`: whether workers start jobs in the order of arrival.
 const QUEUE_ORDERS: [(&str, bool); 4] = [
     ("", false),
     ("fifo", true),
@@ -133,7 +136,7 @@
     ("priority", false),
 ];
 
-/// The values of `weight-kind`.
+/// Values of `weight-kind`.
 const WEIGHT_KINDS: [(&str, Weights); 5] = [
     ("", Weights::None),
     ("none", Weights::None),
@@ -142,7 +145,7 @@
     ("live", Weights::Live),
 ];
 
-/// The values of `load-info.how`.
+/// Values of `load-info.how`.
 const LOAD_REPORTS: [(&str, Reports); 4] = [
     ("", Reports::None),
     ("none", Reports::None),
@@ -150,14 +153,14 @@
     ("probe", Reports::Probe),
 ];
 
-/// The values of a category's `idempotency`.
+/// Values of a category's `idempotency`.
 const EFFECTS: [(&str, Effect); 3] = [
     ("free", Effect::Safe),
     ("guarded", Effect::Keyed),
     ("single_shot", Effect::Unsafe),
 ];
 
-/// The values of a category's `dedup-scope`. An absent scope is read as the narrowest, the safe choice.
+/// Values of a category's `dedup-scope`. If absent, the narrowest scope is used, as the safe choice.
 const SCOPES: [(&str, Scope); 4] = [
     ("", Scope::Cell),
     ("all", Scope::All),
@@ -165,88 +168,84 @@
     ("cell", Scope::Cell),
 ];
 
-/// A time in the settings. Guards against one that is negative, which would be read as none.
-fn span(place: &str, ms: f64) -> Result<Span, BootInfoError> {
-    if (0.0..=LONGEST_MS).contains(&ms) {
+/// Converts a time in the settings. Rejects a negative one, which would otherwise be taken as 0.
+fn parse_span(path: &str, ms: f64) -> Result<Span, BootInfoError> {
+    if (0.0..=MAX_TIME_MS).contains(&ms) {
         Ok(Span::from_micros(micros(ms)))
     } else {
         Err(BootInfoError::Time {
-            place: place.to_owned(),
+            path: path.to_owned(),
             ms,
         })
     }
 }
 
-/// One of the values that a setting may have; an absent one is empty.
-fn choice<T: Copy>(place: &str, given: &str, known: &[(&str, T)]) -> Result<T, BootInfoError> {
-    let unknown = || BootInfoError::Choice {
-        place: place.to_owned(),
+/// Looks up the meaning of a setting that has a fixed set of values. An absent setting is an empty string.
+fn parse_choice<T: Copy>(path: &str, given: &str, known: &[(&str, T)]) -> Result<T, BootInfoError> {
+    let unknown_value = || BootInfoError::Choice {
+        path: path.to_owned(),
         known: known
             .iter()
-            .map(|&(word, _)| word.to_owned())
-            .filter(|word| !word.is_empty())
+            .map(|&(value, _)| value.to_owned())
+            .filter(|value| !value.is_empty())
             .collect(),
         given: given.to_owned(),
     };
     known
         .iter()
-        .find(|(word, _)| *word == given)
-        .map(|(_, value)| *value)
-        .ok_or_else(unknown)
+        .find(|(value, _)| *value == given)
+        .map(|(_, meaning)| *meaning)
+        .ok_or_else(unknown_value)
 }
 
-/// Guards against two entries with one name: an edit meant for the second would be applied to the first.
-fn distinct<'a>(
-    place: &'static str,
+/// Rejects two entries with the same name: an edit meant for the second would be applied to the first.
+fn check_unique<'a>(
+    path: &'static str,
     names: impl Iterator<Item = &'a String>,
 ) -> Result<(), BootInfoError> {
     let mut seen = BTreeSet::new();
     match names.filter(|n| !n.is_empty()).find(|n| !seen.insert(*n)) {
         Some(name) => Err(BootInfoError::Duplicate {
-            place,
+            path,
             name: name.clone(),
         }),
         None => Ok(()),
     }
 }
 
-/// Figures for each class. Guards against a list of another length, whose figures would be read for other
-/// classes.
-fn for_each_class(
-    place: &'static str,
-    figures: usize,
-    classes: usize,
-) -> Result<(), BootInfoError> {
-    if figures == 0 || figures == classes {
+/// Rejects a per-class list that is neither empty nor as long as the list of classes: its values would be used
+/// for the wrong classes.
+fn check_length(path: &'static str, values: usize, classes: usize) -> Result<(), BootInfoError> {
+    if values == 0 || values == classes {
         return Ok(());
     }
     Err(BootInfoError::Length {
-        place,
-        figures,
+        path,
+        values,
         classes,
     })
 }
 
-/// Milliseconds on the wire to microseconds; what is not a positive number counts as 0.
+/// Converts milliseconds to microseconds; a value that is not a positive number counts as 0.
 #[must_use]
 pub fn micros(ms: f64) -> Micros {
     (ms * 1000.0).round().max(0.0) as Micros
 }
 
-/// The names of what the settings refer to by index.
+/// Names of the items to which [`Settings`] refers by index.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Names {
-    /// Of the classes.
+    /// Names of the classes.
     pub classes: Vec<String>,
-    /// Of the tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
-    /// Of the zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
-    /// Of the machine kinds.
+    /// Names of the machine kinds.
     pub kinds: Vec<String>,
 }
 
-/// Reads `boot-info` as settings.
+/// Parses settings from `boot-info`.
 ///
 /// # Errors
 /// See [`settings_and_names`].
@@ -254,14 +253,15 @@
     Ok(settings_and_names(boot_info)?.0)
 }
 
-/// Reads `boot-info` as settings, and the names that go with them.
+/// Parses settings and the names that belong to them from `boot-info`.
 ///
 /// # Errors
-/// Returns one line that names the field that is absent, malformed, out of range or inconsistent.
+/// Returns an error if a field is absent, malformed, out of range or inconsistent. Its message is a single line
+/// that names the field.
 pub fn settings_and_names(boot_info: &str) -> Result<(Settings, Names), BootInfoError> {
-    let boot: Boot = serde_json::from_str(boot_info)?;
+    let boot: BootInfo = serde_json::from_str(boot_info)?;
     check_references(&boot)?;
-    let settings = read_settings(&boot)?;
+    let settings = convert_settings(&boot)?;
     settings.check()?;
     let names = Names {
         classes: boot.categories.into_iter().map(|c| c.name).collect(),
@@ -272,8 +272,8 @@
     Ok((settings, names))
 }
 
-fn read_settings(boot: &Boot) -> Result<Settings, BootInfoError> {
-    let (family, limits, duties) = (&boot.family_info, &boot.limits, &boot.obligations);
+fn convert_settings(boot: &BootInfo) -> Result<Settings, BootInfoError> {
+    let (family, limits, obligations) = (&boot.family_info, &boot.limits, &boot.obligations);
     Ok(Settings {
         schedulers: boot.balancers,
         zone: boot.az,
@@ -281,46 +281,46 @@
             .categories
             .iter()
             .enumerate()
-            .map(|(index, category)| read_class(index, category, family))
+            .map(|(index, category)| convert_class(index, category, family))
             .collect::<Result<_, _>>()?,
         tenants: boot.tenants.iter().map(|t| t.quota_rps).collect(),
-        list_on_request: choice("membership-mode", &boot.membership_mode, &MEMBERSHIP_MODES)?,
-        poll_interval: span("obligations.ask-every-ms", duties.ask_every_ms)?,
-        weights: choice("weight-kind", &boot.weight_kind, &WEIGHT_KINDS)?,
+        list_on_request: parse_choice("membership-mode", &boot.membership_mode, &MEMBERSHIP_MODES)?,
+        poll_interval: parse_span("obligations.ask-every-ms", obligations.ask_every_ms)?,
+        weights: parse_choice("weight-kind", &boot.weight_kind, &WEIGHT_KINDS)?,
         reports_start: family.reports_start,
-        in_order: choice(
+        in_order: parse_choice(
             "family-info.queue-order",
             &family.queue_order,
             &QUEUE_ORDERS,
         )?,
-        progress_every: span("family-info.progress-ms", family.progress_ms)?,
-        reports: choice("load-info.how", &boot.load_info.how, &LOAD_REPORTS)?,
+        progress_every: parse_span("family-info.progress-ms", family.progress_ms)?,
+        reports: parse_choice("load-info.how", &boot.load_info.how, &LOAD_REPORTS)?,
         may_probe: limits.may_probe,
         may_cancel: limits.cancelling,
         retry_after: limits.retry_after,
-        max_retry_after: span("limits.max-retry-after-ms", limits.max_retry_after_ms)?,
+        max_retry_after: parse_span("limits.max-retry-after-ms", limits.max_retry_after_ms)?,
         max_attempts: limits.max_attempts,
-        idle_close: span("limits.idle-close-ms", limits.idle_close_ms)?,
-        connect_timeout: span("limits.connect-timeout-ms", limits.connect_timeout_ms)?,
+        idle_close: parse_span("limits.idle-close-ms", limits.idle_close_ms)?,
+        connect_timeout: parse_span("limits.connect-timeout-ms", limits.connect_timeout_ms)?,
         cross_price: boot.prices.cross_zone,
-        tick: span("resolution-ms", boot.resolution_ms)?,
-        cold_share: duties.cold_share,
-        ramp: span("obligations.ramp-time-ms", duties.ramp_time_ms)?,
-        fall_multiple: duties.fall_multiple,
-        fall_span: span("obligations.fall-ms", duties.fall_ms)?,
+        tick: parse_span("resolution-ms", boot.resolution_ms)?,
+        cold_share: obligations.cold_share,
+        ramp: parse_span("obligations.ramp-time-ms", obligations.ramp_time_ms)?,
+        fall_multiple: obligations.fall_multiple,
+        fall_span: parse_span("obligations.fall-ms", obligations.fall_ms)?,
     })
 }
 
 /// Rejects lists of the wrong length, indices out of range, and duplicate names.
-fn check_references(boot: &Boot) -> Result<(), BootInfoError> {
+fn check_references(boot: &BootInfo) -> Result<(), BootInfoError> {
     let family = &boot.family_info;
     let classes = boot.categories.len();
-    for (place, figures) in [
+    for (path, values) in [
         ("family-info.class-kind", family.class_kind.len()),
         ("family-info.class-priority", family.class_priority.len()),
         ("family-info.class-stretch", family.class_stretch.len()),
     ] {
-        for_each_class(place, figures, classes)?;
+        check_length(path, values, classes)?;
     }
     let kinds = boot.machine_types.len() as i64;
     if let Some(&kind) = family
@@ -336,34 +336,34 @@
             zones: boot.azs.len(),
         });
     }
-    distinct("categories", boot.categories.iter().map(|c| &c.name))?;
-    distinct("tenants", boot.tenants.iter().map(|t| &t.name))?;
-    distinct("azs", boot.azs.iter())?;
-    distinct("machine-types", boot.machine_types.iter())
+    check_unique("categories", boot.categories.iter().map(|c| &c.name))?;
+    check_unique("tenants", boot.tenants.iter().map(|t| &t.name))?;
+    check_unique("azs", boot.azs.iter())?;
+    check_unique("machine-types", boot.machine_types.iter())
 }
 
-/// Reads the class with that index; `family` holds the settings that list classes by index.
-fn read_class(
+/// Converts the class with this index; `family` holds the settings that are lists by class.
+fn convert_class(
     index: usize,
     category: &Category,
     family: &FamilyInfo,
 ) -> Result<Class, BootInfoError> {
-    let at = |field: &str| format!("categories[{index}].{field}");
-    let effect = choice(&at("idempotency"), &category.idempotency, &EFFECTS)?;
-    let scope = choice(&at("dedup-scope"), &category.dedup_scope, &SCOPES)?;
+    let path = |field: &str| format!("categories[{index}].{field}");
+    let effect = parse_choice(&path("idempotency"), &category.idempotency, &EFFECTS)?;
+    let scope = parse_choice(&path("dedup-scope"), &category.dedup_scope, &SCOPES)?;
     Ok(Class {
-        latency_objective: span(&at("aim-ms"), category.aim_ms)?,
+        latency_objective: parse_span(&path("aim-ms"), category.aim_ms)?,
         stretch: family
             .class_stretch
             .get(index)
             .copied()
             .unwrap_or(category.aim_stretch),
-        deadline: span(&at("give-up-ms"), category.give_up_ms)?,
+        deadline: parse_span(&path("give-up-ms"), category.give_up_ms)?,
         priority_weight: category.importance,
         priority: family.class_priority.get(index).copied().unwrap_or(0),
         effect,
         scope,
-        window: span(&at("memory-span-ms"), category.memory_span_ms)?,
+        window: parse_span(&path("memory-span-ms"), category.memory_span_ms)?,
         kind: family
             .class_kind
             .get(index)
--- a/crates/wire/src/settings/error.rs
+++ b/crates/wire/src/settings/error.rs
@@ -1,70 +1,72 @@
-//! The error of unusable settings, one line that names the place.
+//! The error of invalid settings, whose message is a single line that names the field.
 
 use oakshed_core::interface::SettingsError;
 use thiserror::Error;
 
-use super::LONGEST_MS;
+use super::MAX_TIME_MS;
 
-/// Why `boot-info` cannot be used as settings.
+/// Why `boot-info` was rejected.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum BootInfoError {
-    /// It is not JSON of this form.
+    /// The text is not valid JSON, or a field is missing or has the wrong type.
     #[error("boot-info: {0}")]
     Json(#[from] serde_json::Error),
-    /// A time is negative, too long or no number.
-    #[error("boot-info: {place} must be 0 to {LONGEST_MS}, not {ms}")]
+    /// A time is negative, too long or not a number.
+    #[error("boot-info: {path} must be between 0 and {MAX_TIME_MS}, got {ms}")]
     Time {
         /// Path of the field.
-        place: String,
-        /// What it holds.
+        path: String,
+        /// Its value.
         ms: f64,
     },
-    /// A field holds none of the values that it may have.
-    #[error("boot-info: {place} must be one of {}, not '{given}'", known.join(", "))]
+    /// A field does not have one of its allowed values.
+    #[error("boot-info: {path} must be one of {}, got '{given}'", known.join(", "))]
     Choice {
         /// Path of the field.
-        place: String,
-        /// The values that it may have.
+        path: String,
+        /// Its allowed values.
         known: Vec<String>,
-        /// What it holds.
+        /// Its value.
         given: String,
     },
-    /// Two entries of a list have one name.
-    #[error("boot-info: {place} has '{name}' twice")]
+    /// Two entries of a list have the same name.
+    #[error("boot-info: {path} has more than one entry named '{name}'")]
     Duplicate {
         /// Path of the list.
-        place: &'static str,
-        /// The name.
+        path: &'static str,
+        /// The duplicate name.
         name: String,
     },
-    /// A list by class is of another length than the list of classes.
-    #[error("boot-info: {place} has {figures} figures for {classes} classes")]
+    /// A per-class list does not have the length of the list of classes.
+    #[error("boot-info: {path} has {values} values for {classes} classes")]
     Length {
         /// Path of the list.
-        place: &'static str,
+        path: &'static str,
         /// Its length.
-        figures: usize,
+        values: usize,
         /// The number of classes.
         classes: usize,
     },
-    /// A class needs a machine type that is not in the list.
-    #[error("boot-info: family-info.class-kind {kind} is none of {kinds} machine-types")]
+    /// A class requires a machine type that is not in the list.
+    #[error(
+        "boot-info: family-info.class-kind: index {kind} is out of range for {kinds} machine-types"
+    )]
     Kind {
         /// Index of the machine type.
         kind: i64,
-        /// Number of machine types.
+        /// Length of the list of machine types.
         kinds: i64,
     },
     /// The scheduler's zone is not in the list.
-    #[error("boot-info: az {zone} is none of {zones} azs")]
+    #[error("boot-info: az {zone} is out of range for {zones} azs")]
     Zone {
         /// Index of the zone.
         zone: u32,
-        /// Number of zones.
+        /// Length of the list of zones.
         zones: usize,
     },
-    /// The settings do not go together.
+    /// The scheduler rejects the settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/crates/wire/tests/edits/mod.rs
+++ b/crates/wire/tests/edits/mod.rs
@@ -85,7 +85,7 @@
     (
         r#""importance":12.0}"#,
         r#""importance":12.0,"name":"a"},{"aim-ms":4,"give-up-ms":6,"idempotency":"free","importance":1,"name":"a"}"#,
-        "figures",
+        "2 values for 3 classes",
     ),
 ];
 
