--- a/crates/wire/src/host/error.rs
+++ b/crates/wire/src/host/error.rs
@@ -1,4 +1,4 @@
-//! The errors of the wire: a line that cannot be used, and the end of serving.
+//! Errors of the protocol host: an invalid input line, and a failure that ends serving.
 
 use std::io;
 
@@ -7,52 +7,52 @@
 
 use crate::settings::BootInfoError;
 
-/// Why [`serve`](super::serve) ended before its input did.
+/// Why [`serve`](super::serve) stopped before the end of its input.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum ServeError {
-    /// Reading or writing failed.
+    /// Reading the input or writing the output failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// A line cannot be used.
+    /// An input line is invalid.
     #[error("line {number}: {error}")]
     Line {
-        /// Its number, from 1.
+        /// Line number, counted from 1.
         number: u64,
-        /// What is wrong with it.
+        /// What is wrong with the line.
         #[source]
         error: LineError,
     },
 }
 
-/// Why a line cannot be used.
+/// Why an input line is invalid.
 #[derive(Debug, Error)]
 #[non_exhaustive]
 pub enum LineError {
-    /// It is not JSON of this form.
+    /// The line is not valid JSON, or a field has the wrong type.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It lacks a field, or has it in no usable form.
-    #[error("{what}: no usable '{field}'")]
+    /// A field is missing or has an invalid value.
+    #[error("{what}: missing or invalid '{field}'")]
     Missing {
-        /// What the line is.
+        /// Kind of the line.
         what: String,
         /// Name of the field.
         field: &'static str,
     },
-    /// The rows of a directory are not JSON of this form.
+    /// The rows of a `DIRECTORY` line are malformed.
     #[error("DIRECTORY: {0}")]
     Rows(#[source] serde_json::Error),
-    /// A row of a directory has a condition that is not known.
+    /// A row of a `DIRECTORY` line has an unknown condition.
     #[error("DIRECTORY: unknown condition '{0}'")]
     Condition(String),
-    /// A directory is for a slot that there is not.
+    /// The slot of a `DIRECTORY` line is out of range.
     #[error("DIRECTORY: slot out of range")]
     Slot,
-    /// A scheduler's settings cannot be read.
+    /// The settings of a scheduler cannot be parsed.
     #[error(transparent)]
     BootInfo(#[from] BootInfoError),
-    /// A scheduler cannot start with its settings.
+    /// The scheduler rejects its settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
--- a/crates/wire/src/host/input.rs
+++ b/crates/wire/src/host/input.rs
@@ -1,6 +1,6 @@
-//! The lines of the simulator's wire: their form in JSON, and the events that they stand for.
+//! Input lines of the simulator's protocol: their JSON format and conversion to scheduler events.
 //!
-//! A line that cannot be used is an error that names what is missing.
+//! An invalid line results in an error that names the field at fault.
 
 use oakshed_core::interface::{Ending, Event, Job, ListKind, Report, RequestId, Row};
 use oakshed_core::names::worker_id;
@@ -10,7 +10,7 @@
 use super::LineError;
 use crate::settings::micros;
 
-/// One line: the fields of all events, each absent where the event has none.
+/// One input line, with the fields of all kinds of lines. Fields that a line does not have are `None`.
 #[derive(Deserialize)]
 pub(super) struct Line<'a> {
     #[serde(borrow)]
@@ -53,7 +53,7 @@
     pub(super) boot: Option<&'a RawValue>,
 }
 
-/// What a worker reports of its load.
+/// A worker's load report. `x0` and `x1` are free slots and free memory.
 #[derive(Deserialize, Default)]
 #[serde(default)]
 pub(super) struct Feedback {
@@ -63,7 +63,7 @@
     pub(super) backlog: Option<f64>,
 }
 
-/// One entry of an endpoint list.
+/// One entry of an endpoint list. `hall`, `model` and `block` are the zone, machine kind and cell.
 #[derive(Deserialize)]
 pub(super) struct WireRow<'a> {
     #[serde(borrow)]
@@ -82,10 +82,10 @@
     pub(super) online_since: f64,
 }
 
-/// Reads an optional field; a value of another type is taken as absent.
+/// Deserializes an optional field and treats a value of the wrong type as absent.
 ///
 /// # Errors
-/// Fails only where the input itself cannot be read.
+/// Fails only if the input is not well-formed.
 pub fn lenient<'de, D: Deserializer<'de>, T: Deserialize<'de>>(
     from: D,
 ) -> Result<Option<T>, D::Error> {
@@ -101,7 +101,7 @@
     })
 }
 
-/// Reads a request id in the wire's form: 32 lower-case hex digits in groups of 8-4-4-4-12.
+/// Parses a request id as written in the protocol: 32 lower-case hex digits in groups of 8-4-4-4-12.
 #[must_use]
 pub fn parse_request_id(text: &str) -> Option<RequestId> {
     let bytes = text.as_bytes();
@@ -122,7 +122,7 @@
     Some(RequestId(value))
 }
 
-fn ending(text: &str) -> Option<Ending> {
+fn parse_ending(text: &str) -> Option<Ending> {
     Some(match text {
         "delivered" => Ending::Delivered,
         "app_error" => Ending::Error,
@@ -136,8 +136,8 @@
     })
 }
 
-/// The error of a line that lacks a field, or has it in no usable form.
-pub(super) fn missing(line: &Line, field: &'static str) -> LineError {
+/// The error for a line in which a field is missing or invalid.
+pub(super) fn missing_field(line: &Line, field: &'static str) -> LineError {
     LineError::Missing {
         what: line.what.to_owned(),
         field,
@@ -148,17 +148,17 @@
     fn request_id(&self) -> Result<RequestId, LineError> {
         self.req
             .and_then(parse_request_id)
-            .ok_or_else(|| missing(self, "req"))
+            .ok_or_else(|| missing_field(self, "req"))
     }
 
     fn attempt(&self) -> Result<u32, LineError> {
-        self.trial.ok_or_else(|| missing(self, "trial"))
+        self.trial.ok_or_else(|| missing_field(self, "trial"))
     }
 
     fn ending(&self) -> Result<Ending, LineError> {
         self.ending
-            .and_then(ending)
-            .ok_or_else(|| missing(self, "ending"))
+            .and_then(parse_ending)
+            .ok_or_else(|| missing_field(self, "ending"))
     }
 
     fn report(&self) -> Option<Report> {
@@ -171,20 +171,20 @@
     }
 
     fn job(&self) -> Result<Job, LineError> {
-        let remaining = || missing(self, "remaining-ms");
+        let no_remaining = || missing_field(self, "remaining-ms");
         Ok(Job {
-            class: self.class.ok_or_else(|| missing(self, "class"))?,
+            class: self.class.ok_or_else(|| missing_field(self, "class"))?,
             tenant: self.tenant,
             slots: self.slots,
             memory: self.memory,
             key: self.key,
             hint: self.hint.map(micros).filter(|&h| h > 0),
-            remaining: micros(self.remaining.ok_or_else(remaining)?),
+            remaining: micros(self.remaining.ok_or_else(no_remaining)?),
         })
     }
 }
 
-/// The event of a line. None for messages between peers and events that are not known.
+/// Converts a line to an event. Returns `None` for messages between peers and for unknown events.
 pub(super) fn read_event<'a>(
     line: &Line,
     directories: &'a [Vec<Row>],
@@ -221,17 +221,17 @@
             id: line.request_id()?,
         },
         "STATUS_BACK" => Event::Probed {
-            worker: worker_id(line.worker.ok_or_else(|| missing(line, "worker"))?),
+            worker: worker_id(line.worker.ok_or_else(|| missing_field(line, "worker"))?),
             ending: line.ending()?,
             report: line.report(),
         },
         "TICK_DUE" => Event::Timer,
-        _ => return Ok(None), // messages between peers and unknown events
+        _ => return Ok(None),
     };
     Ok(Some(event))
 }
 
-/// The endpoint list of a line, whose entries an earlier line has put into a directory.
+/// Converts a `TOPOLOGY` line, whose rows an earlier `DIRECTORY` line has stored in a slot.
 pub(super) fn read_list<'a>(
     line: &Line,
     directories: &'a [Vec<Row>],
@@ -241,13 +241,13 @@
         Some("all") => ListKind::Snapshot,
         Some("remembered") => ListKind::Cached,
         Some("refused") => ListKind::Failed,
-        _ => return Err(missing(line, "kind")),
+        _ => return Err(missing_field(line, "kind")),
     };
     let rows = match kind {
         ListKind::Failed | ListKind::Overloaded => &[][..],
         _ => directories
             .get(line.slot.unwrap_or(0))
-            .ok_or_else(|| missing(line, "slot"))?,
+            .ok_or_else(|| missing_field(line, "slot"))?,
     };
     Ok(Event::List { kind, rows })
 }
--- a/crates/wire/src/host/mod.rs
+++ b/crates/wire/src/host/mod.rs
@@ -1,5 +1,6 @@
-//! The adapter: the simulator's JSON lines to and from [`Scheduler`]s. It decides nothing and reads no
-//! clock: time comes with each batch.
+//! Runs [`Scheduler`]s for the simulator, which sends events and receives actions as lines of JSON.
+//!
+//! Time comes from the simulator with each batch of events; no clock is read here.
 
 mod error;
 mod input;
@@ -16,38 +17,47 @@
 
 pub use error::{LineError, ServeError};
 pub use input::{lenient, parse_request_id};
-use input::{missing, read_event, Line, WireRow};
+use input::{missing_field, read_event, Line, WireRow};
 use output::write_action;
 
-/// Slots of the process-wide `DIRECTORY` table.
+/// Number of slots for endpoint lists from `DIRECTORY` lines, shared by all schedulers of the process.
 const DIRECTORY_SLOTS: usize = 16;
 
 /// One hosted scheduler.
 struct Instance {
     name: String,
+    /// `None` before the scheduler is spawned and after a crash.
     scheduler: Option<Scheduler>,
-    touched: bool,
+    /// Whether its index is in [`Host::with_events`].
+    has_events: bool,
 }
 
-/// The whole process: the schedulers and what only names things.
+/// State of the process: the schedulers, and the names and endpoint lists that they share.
 #[derive(Default)]
 struct Host {
     instances: Vec<Instance>,
-    by_name: FxHashMap<String, usize>,
-    workers: FxHashMap<WorkerId, String>,
+    index_by_name: FxHashMap<String, usize>,
+    worker_names: FxHashMap<WorkerId, String>,
+    /// The rows of each slot.
     directories: Vec<Vec<Row>>,
-    touched: Vec<usize>,
+    /// Indices of the schedulers with events in the current batch, in the order of their first event.
+    with_events: Vec<usize>,
+    /// Cleared for each scheduler; kept to reuse its allocation.
     actions: Vec<Action>,
 }
 
 impl Host {
-    fn worker(&mut self, name: &str) -> WorkerId {
+    /// Returns the id of a worker, and stores its name for the output.
+    fn register_worker(&mut self, name: &str) -> WorkerId {
         let id = worker_id(name);
-        self.workers.entry(id).or_insert_with(|| name.to_owned());
+        self.worker_names
+            .entry(id)
+            .or_insert_with(|| name.to_owned());
         id
     }
 
-    fn directory(&mut self, slot: usize, rows: &str) -> Result<(), LineError> {
+    /// Stores an endpoint list in a slot.
+    fn set_directory(&mut self, slot: usize, rows: &str) -> Result<(), LineError> {
         let rows: Vec<WireRow> = serde_json::from_str(rows).map_err(LineError::Rows)?;
         let mut list = Vec::with_capacity(rows.len());
         for row in rows {
@@ -58,7 +68,7 @@
                 other => return Err(LineError::Condition(other.to_owned())),
             };
             list.push(Row {
-                worker: self.worker(row.worker),
+                worker: self.register_worker(row.worker),
                 zone: row.hall,
                 kind: row.model,
                 cell: row.block,
@@ -75,45 +85,45 @@
         Ok(())
     }
 
-    /// The index of the scheduler with that name; a new name gets the next one.
-    fn instance(&mut self, name: &str) -> usize {
-        if let Some(&at) = self.by_name.get(name) {
-            return at;
+    /// Returns the index of the scheduler with this name, and adds an entry for a new name.
+    fn instance_index(&mut self, name: &str) -> usize {
+        if let Some(&index) = self.index_by_name.get(name) {
+            return index;
         }
-        let at = self.instances.len();
-        self.by_name.insert(name.to_owned(), at);
+        let index = self.instances.len();
+        self.index_by_name.insert(name.to_owned(), index);
         self.instances.push(Instance {
             name: name.to_owned(),
             scheduler: None,
-            touched: false,
+            has_events: false,
         });
-        at
+        index
     }
 
-    /// Takes one event line.
-    fn event(&mut self, now: Micros, line: &Line) -> Result<(), LineError> {
+    /// Handles a line that is neither a batch header nor a batch end.
+    fn handle_line(&mut self, now: Micros, line: &Line) -> Result<(), LineError> {
         if line.what == "DIRECTORY" {
-            let rows = line.rows.ok_or_else(|| missing(line, "rows-in"))?;
-            return self.directory(line.slot.unwrap_or(0), rows.get());
+            let rows = line.rows.ok_or_else(|| missing_field(line, "rows-in"))?;
+            return self.set_directory(line.slot.unwrap_or(0), rows.get());
         }
         let Some(name) = line.scheduler else {
-            return Ok(()); // an unknown event that is owned by nobody
+            return Ok(()); // an unknown event without a scheduler
         };
-        let at = self.instance(name);
-        if !self.instances[at].touched {
-            self.instances[at].touched = true;
-            self.touched.push(at);
+        let index = self.instance_index(name);
+        if !self.instances[index].has_events {
+            self.instances[index].has_events = true;
+            self.with_events.push(index);
         }
         match line.what {
             "SPAWN" => {
-                let boot = line.boot.ok_or_else(|| missing(line, "boot-info"))?;
-                let seed = line.seed.ok_or_else(|| missing(line, "rng-seed"))?;
-                let made = Scheduler::new(settings(boot.get())?, seed)?;
-                self.instances[at].scheduler = Some(made);
+                let boot = line.boot.ok_or_else(|| missing_field(line, "boot-info"))?;
+                let seed = line.seed.ok_or_else(|| missing_field(line, "rng-seed"))?;
+                let scheduler = Scheduler::new(settings(boot.get())?, seed)?;
+                self.instances[index].scheduler = Some(scheduler);
                 return Ok(());
             }
             "CRASH_NOW" => {
-                self.instances[at].scheduler = None;
+                self.instances[index].scheduler = None;
                 return Ok(());
             }
             _ => {}
@@ -121,24 +131,24 @@
         let Some(event) = read_event(line, &self.directories)? else {
             return Ok(());
         };
-        if let Some(scheduler) = &mut self.instances[at].scheduler {
+        if let Some(scheduler) = &mut self.instances[index].scheduler {
             scheduler.on_event(now, event);
         }
         Ok(())
     }
 
-    /// Lets every scheduler that had an event act, and writes the reply.
-    fn reply(&mut self, now: Micros, out: &mut impl Write) -> io::Result<()> {
-        for at in self.touched.drain(..) {
-            let instance = &mut self.instances[at];
-            instance.touched = false;
+    /// Ends a batch: dispatches every scheduler that had an event and writes their actions.
+    fn end_batch(&mut self, now: Micros, out: &mut impl Write) -> io::Result<()> {
+        for index in self.with_events.drain(..) {
+            let instance = &mut self.instances[index];
+            instance.has_events = false;
             let Some(scheduler) = &mut instance.scheduler else {
                 continue;
             };
             self.actions.clear();
             scheduler.dispatch(now, &mut self.actions);
             for action in &self.actions {
-                write_action(out, &instance.name, action, &self.workers)?;
+                write_action(out, &instance.name, action, &self.worker_names)?;
             }
         }
         out.write_all(b"{\"what\":\"OK\"}\n")?;
@@ -146,33 +156,36 @@
     }
 }
 
-/// Serves the wire until the input ends.
+/// Runs the protocol until the end of the input.
 ///
 /// # Errors
-/// Fails when reading or writing fails, and with the number of the first unusable line.
+/// Fails if reading or writing fails, or on the first invalid line, whose number the error contains.
 pub fn serve(mut input: impl BufRead, mut out: impl Write) -> Result<(), ServeError> {
     let mut host = Host::default();
     let mut now: Micros = 0;
-    let mut number = 0u64;
+    let mut line_number = 0u64;
     let mut buffer = Vec::new();
     loop {
         buffer.clear();
         if input.read_until(b'\n', &mut buffer)? == 0 {
             return Ok(());
         }
-        number += 1;
-        let at_line = |error| ServeError::Line { number, error };
+        line_number += 1;
+        let at_line = |error| ServeError::Line {
+            number: line_number,
+            error,
+        };
         if buffer.trim_ascii().is_empty() {
             continue;
         }
         let line: Line = serde_json::from_slice(&buffer).map_err(|e| at_line(e.into()))?;
         match line.what {
             "BATCH" => {
-                let clock = line.clock.ok_or_else(|| missing(&line, "clock-ms"));
+                let clock = line.clock.ok_or_else(|| missing_field(&line, "clock-ms"));
                 now = micros(clock.map_err(at_line)?);
             }
-            "OVER_TO_YOU" => host.reply(now, &mut out)?,
-            _ => host.event(now, &line).map_err(at_line)?,
+            "OVER_TO_YOU" => host.end_batch(now, &mut out)?,
+            _ => host.handle_line(now, &line).map_err(at_line)?,
         }
     }
 }
