--- a/crates/server/src/net/discovery/error.rs
+++ b/crates/server/src/net/discovery/error.rs
@@ -1,34 +1,34 @@
-//! Why a call to discovery brought no endpoint list.
+//! Errors of a call to the discovery service.
 
 use hyper::StatusCode;
 
 use super::super::workers::LinkError;
 
-/// Why a call to discovery failed.
+/// The reason why a call to discovery returned no endpoint list.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CallError {
-    /// The connection did not come up within its limit.
-    #[error("cannot connect: no answer in time")]
+    /// The connection was not established within its time limit.
+    #[error("cannot connect: timed out")]
     ConnectTimeout,
-    /// The connection did not come up.
+    /// The connection could not be established.
     #[error("cannot connect: {0}")]
     Connect(#[source] LinkError),
-    /// The request could not be made of its parts.
+    /// The HTTP request could not be built.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
-    /// The connection failed before the head of an answer.
+    /// The connection failed before the response headers arrived.
     #[error(transparent)]
     Connection(#[from] hyper::Error),
-    /// The answer has another status than 200.
-    #[error("answered {0}")]
+    /// The response has a status other than 200.
+    #[error("unexpected status {0}")]
     Status(StatusCode),
-    /// The answer's body ended early or is over the limit.
-    #[error("broken answer: {0}")]
+    /// The response body ended early or exceeds the size limit.
+    #[error("truncated or oversized response body: {0}")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
-    /// The body is no endpoint list.
-    #[error("malformed list: {0}")]
+    /// The response body is not a valid endpoint list.
+    #[error("malformed endpoint list: {0}")]
     MalformedList(#[source] serde_json::Error),
-    /// None of the calls was answered within its limit.
+    /// Neither the call nor the hedged calls beside it were answered within their time limits.
     #[error("no answer in time")]
     Timeout,
 }
--- a/crates/server/src/net/discovery/mod.rs
+++ b/crates/server/src/net/discovery/mod.rs
@@ -1,8 +1,8 @@
-//! Discovery: the list of workers, and the watch on its changes.
+//! The discovery client: fetches the endpoint list of workers and watches it for changes.
 //!
-//! It owns the connections to discovery (up to three for as long as a watch is overdue) and the number of
-//! the endpoint list, and keeps the workers' addresses and the facade's list in step. It must never decide when to
-//! subscribe (the facade says so) or for how long to wait (`watch`), or let a malformed list in.
+//! Each update goes to the worker table, the facade, durable jobs and the peers in one step, so that they always agree.
+//! A malformed list is rejected as a whole. The facade decides when a watch is opened and `watch` how long its calls
+//! may take; up to three connections to discovery are open while a watch is overdue.
 
 mod error;
 mod state;
@@ -30,16 +30,17 @@
 pub(crate) use state::DiscoveryState;
 use watch::Watch;
 
-const PATH: &str = "/v1/endpoints";
-/// The longest that connecting may take.
-const DIAL: Duration = Duration::from_secs(1);
-/// The largest list that is read: 4 KB for each of 1,024 workers, so that it may come indented, with the longest
-/// names and fields that are not known yet. As much as is read of the file that holds such a list.
-const LARGEST_LIST: usize = 4 << 20;
+const ENDPOINTS_PATH: &str = "/v1/endpoints";
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The size limit of a response body. 4 KiB for each of 1,024 workers leaves room for indentation, the longest names
+/// and fields of later versions. The limit on files that hold such a list is the same.
+const MAX_LIST_BYTES: usize = 4 << 20;
 
-/// Loads the cached endpoint list, before anything else is known: as one by which nothing may be sent.
-/// What left while no process ran here counts as notified, so that the list has to be confirmed first; only one that
-/// was inherited from a living process, which polls discovery itself, is as good as an own one.
+/// Loads the cached endpoint list at start.
+///
+/// Its workers are entered as leaving, so that nothing is sent to them until discovery confirms the list: a worker that
+/// left while no process was running here counts as notified. A list inherited in a hot restart is used at once where
+/// the list is polled, because the predecessor polled discovery itself.
 pub(crate) fn load_cached_list(net: &Rc<Net>, inherited: bool) {
     if inherited && net.config.settings.list_on_request {
         return apply_cached_list(net);
@@ -66,17 +67,19 @@
     let number = known.generation;
     info!(
         number,
-        "endpoint list {number}: {} entries cached, to be confirmed",
+        "endpoint list {number} (cached): {} entries, to be confirmed by discovery",
         entries.len()
     );
 }
 
+/// Serves from the cached list, where there is one.
 fn apply_cached_list(net: &Rc<Net>) {
     if let Some(known) = &net.config.known {
         apply(net, known, ListKind::Cached);
     }
 }
 
+/// Applies a list, or the changes of one, in every place that depends on it.
 fn apply(net: &Rc<Net>, answer: &Answer, kind: ListKind) {
     let entries: Vec<Entry> = answer
         .instances
@@ -101,7 +104,7 @@
     if !entries.is_empty() {
         let number = answer.generation;
         let ready = net.workers.ready_count();
-        let source = source_of(kind);
+        let source = list_source(kind);
         info!(
             number,
             ready,
@@ -112,8 +115,8 @@
     }
 }
 
-/// Where a list comes from, as the log names it.
-fn source_of(kind: ListKind) -> &'static str {
+/// The `source` field of the log line for a list.
+fn list_source(kind: ListKind) -> &'static str {
     match kind {
         ListKind::Snapshot => "snapshot",
         ListKind::Delta => "delta",
@@ -122,11 +125,11 @@
     }
 }
 
-/// Watches the list, always at discovery's present address.
+/// Watches the endpoint list for as long as the process runs, and follows discovery to a new address.
 pub(crate) async fn run(net: Rc<Net>, inherited: bool) {
     let settings = &net.config.settings;
-    // Where the settings say that the list is pushed, the module never asks for the first one, and the whole is
-    // asked for.
+    // With a pushed list the facade never requests the first poll, so the first call is made at once and asks for
+    // the whole list.
     let pushed = !settings.list_on_request;
     let mut generation = net
         .config
@@ -136,33 +139,38 @@
         .map(|known| known.generation);
     let mut at_once = pushed;
     let failures_left = Cell::new(failures_until_fallback(pushed, inherited));
-    let mut address = net.discovery.address.subscribe();
+    let mut address_updates = net.discovery.address.subscribe();
     loop {
-        let at = *address.borrow_and_update();
+        let address = *address_updates.borrow_and_update();
         let seed = net.config.seed ^ net.clock.now();
         let failing = Cell::new(false);
         let unreachable = Cell::new(false);
         let discovery = DiscoveryClient {
             net: &net,
-            at,
+            address,
             failures_left: &failures_left,
             unreachable,
             failing,
         };
-        // Wherever the watch stands when discovery moves (in a call, or waiting for the next),
-        // it ends: the old one may close any moment, and its updates are old.
+        // A watch on the old address ends at once, even during a call: that service may stop at any moment, and its
+        // updates are stale.
         tokio::select! {
-            _ = address.changed() => {}
+            _ = address_updates.changed() => {}
             () = Watch::new(&discovery, settings, seed).run(&mut generation, at_once) => {}
         }
-        // The new one may number its lists differently: it is asked for the whole, at once.
+        // The service at the new address may number its lists differently, so the whole list is requested, and at
+        // once.
         generation = None;
         at_once = true;
     }
 }
 
-/// After how many failures in a row the cached list is served from. An agent beside the program has no queue: one. A
-/// service for all may only be busy, and its updates would count: two, or one connection that never came up.
+/// The number of consecutive failures after which the cached list is used without confirmation.
+///
+/// A list is pushed by an agent on the same machine, which has no queue: one failure shows that it is down. A shared
+/// discovery service may only be busy, and then any update it has counts as notified: two failures are needed there.
+/// A connection that cannot be established is conclusive by itself, see `DiscoveryClient::count_failure`. An inherited
+/// list is already in use.
 fn failures_until_fallback(pushed: bool, inherited: bool) -> u32 {
     if pushed {
         1
@@ -173,13 +181,13 @@
     }
 }
 
-/// Discovery at one address.
+/// A client of discovery at one address.
 struct DiscoveryClient<'a> {
     net: &'a Rc<Net>,
-    at: SocketAddr,
-    /// After how many more failures the cached list is served from; 0 once there is a list to serve from.
+    address: SocketAddr,
+    /// How many more failures there may be before the cached list is used; 0 once a list is in use.
     failures_left: &'a Cell<u32>,
-    /// The last connection did not come up.
+    /// The last attempt to connect has failed.
     unreachable: Cell<bool>,
     /// The last call has failed.
     failing: Cell<bool>,
@@ -199,28 +207,29 @@
             Some(link) => link,
             None => {
                 self.unreachable.set(true);
-                timeout(DIAL, Link::dial(self.at))
+                timeout(CONNECT_TIMEOUT, Link::dial(self.address))
                     .await
                     .map_err(|_| CallError::ConnectTimeout)?
                     .map_err(CallError::Connect)?
             }
         };
         self.unreachable.set(false);
-        // Until its answer has been applied, which is in the same turn: what comes meanwhile counts as notified.
+        // From the moment an update arrives it counts as notified, so the write guard of attempts checks this socket
+        // for unread updates until the call ends. The caller applies the answer without yielding after that.
         let _watch = self.net.workers.track_watch(&link);
         let path = match from {
-            Some(from) => format!("{PATH}?from={from}&hold_ms={}", hold.as_millis()),
-            None => PATH.to_owned(),
+            Some(from) => format!("{ENDPOINTS_PATH}?from={from}&hold_ms={}", hold.as_millis()),
+            None => ENDPOINTS_PATH.to_owned(),
         };
         let request = Request::get(path)
-            .header(HOST, self.at.to_string())
+            .header(HOST, self.address.to_string())
             .body(Full::<Bytes>::default())?;
         link.sender.ready().await?;
         let response = link.sender.send_request(request).await?;
         if response.status() != StatusCode::OK {
             return Err(CallError::Status(response.status()));
         }
-        let body = Limited::new(response.into_body(), LARGEST_LIST)
+        let body = Limited::new(response.into_body(), MAX_LIST_BYTES)
             .collect()
             .await;
         let body = body.map_err(CallError::Body)?;
@@ -247,7 +256,8 @@
     fn on_answer(&self, answer: &Answer) {
         self.failing.set(false);
         if self.failures_left.replace(0) > 0 && !answer.reset {
-            // A delta confirms the rest of the cached list. In one step: between two, something would be sent.
+            // A delta confirms the other entries of the cached list. Both are applied as one list: in two steps,
+            // requests could be sent to workers that the delta removes.
             let mut list = EndpointList::default();
             if let Some(known) = &self.net.config.known {
                 list.apply(known, UpdateKind::Snapshot);
@@ -271,8 +281,8 @@
     fn on_failure(&self, error: &CallError, overloaded: bool) {
         self.count_failure(self.unreachable.get());
         self.net.counters.discovery.failures.increment();
-        // Once for all in a row: discovery that is down is called many times a second where the list is
-        // pushed.
+        // Logs the first of consecutive failures only: with a pushed list, discovery that is down is called many
+        // times a second.
         if !self.failing.replace(true) {
             warn!(%error, "discovery call failed: {error}");
         }
@@ -286,10 +296,14 @@
 }
 
 impl DiscoveryClient<'_> {
-    /// One more failure, which may be enough to serve from the cached list.
-    fn count_failure(&self, enough: bool) {
+    /// Counts a failure, and uses the cached list from the last one allowed or a conclusive one on.
+    fn count_failure(&self, is_conclusive: bool) {
         let before = self.failures_left.get();
-        let left = if enough { 0 } else { before.saturating_sub(1) };
+        let left = if is_conclusive {
+            0
+        } else {
+            before.saturating_sub(1)
+        };
         self.failures_left.set(left);
         if before > 0 && left == 0 {
             apply_cached_list(self.net);
--- a/crates/server/src/net/discovery/state.rs
+++ b/crates/server/src/net/discovery/state.rs
@@ -1,6 +1,7 @@
-//! What other parts see of discovery: its address, the list that it has sent, and whether a call is requested.
+//! The state of discovery that the rest of the server reads: its address, the last endpoint list, and the request
+//! for a poll.
 //!
-//! It owns these three. It must never call discovery itself.
+//! The calls themselves are made by the parent module's task.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -9,18 +10,18 @@
 
 use crate::list::EndpointList;
 
-/// What other parts see of discovery.
+/// The state shared between the discovery task and the rest of the server.
 pub(crate) struct DiscoveryState {
-    /// A reload may move it.
+    /// The current address, which a configuration reload may change.
     pub(super) address: watch::Sender<SocketAddr>,
-    /// The decisions want a call.
+    /// Notified when the scheduling core requests a poll.
     pub poll_requested: Notify,
-    /// The endpoint list as discovery sent it.
+    /// The endpoint list as discovery sent it, with all updates applied.
     pub endpoint_list: RefCell<EndpointList>,
 }
 
 impl DiscoveryState {
-    /// Discovery at this address, which has sent nothing yet.
+    /// Creates the state for discovery at `address`, with an empty endpoint list.
     pub(in super::super) fn new(address: SocketAddr) -> DiscoveryState {
         DiscoveryState {
             address: watch::Sender::new(address),
@@ -29,12 +30,12 @@
         }
     }
 
-    /// Its present address.
+    /// The current address.
     pub(crate) fn address(&self) -> SocketAddr {
         *self.address.borrow()
     }
 
-    /// From now on it is called at this address.
+    /// Changes the address; the discovery task then drops its watch and polls the new one.
     pub(crate) fn move_to(&self, new: SocketAddr) {
         self.address
             .send_if_modified(|address| std::mem::replace(address, new) != new);
