--- a/crates/server/src/net/discovery/watch.rs
+++ b/crates/server/src/net/discovery/watch.rs
@@ -1,7 +1,7 @@
-//! The watch on the list: when discovery is called, for how long it may hold, when a call counts as overdue.
+//! The timing of discovery calls: when a call is made, how long discovery may hold it, and when it is overdue.
 //!
-//! It owns the timing alone, so that it can be tried in virtual time. It must never open a socket, nor let a call
-//! wait without bound, nor spend more than the sum that stands at `Settings::poll_quarter`.
+//! No socket is opened here, so that the tests can run whole fleets in virtual time. Every call has a time limit, and
+//! the limits together keep within the time budget that is described at `Settings::poll_quarter`.
 
 use std::future::{pending, Future};
 use std::pin::pin;
@@ -13,48 +13,49 @@
 use crate::list::Answer;
 use oakshed_core::facade::{Micros, Settings, NOTIFICATION_DEADLINE};
 
-/// An unresponsive watch is noticed within half of the time after which what it misses counts as notified: its hold,
-/// and what its answer may take beyond that. The other half is that of two calls beside it. The hold is never
-/// shorter than a quarter, however slow discovery is: it would be called the more often for it.
-const NOTICED: Duration = Duration::from_micros(NOTIFICATION_DEADLINE.as_micros() / 2);
-const LONGEST_QUIET: Duration = Duration::from_micros(NOTIFICATION_DEADLINE.as_micros() / 8);
-const LONGEST_HOLD: Duration = NOTICED.saturating_sub(LONGEST_QUIET);
-const SHORTEST_HOLD: Duration = Duration::from_micros(NOTIFICATION_DEADLINE.as_micros() / 4);
-/// What the answer of a watch that goes on may take beyond its hold; beside it, the span over which the fleet spreads
-/// its calls, or twice what such answers took lately, as it may have to wait for its turn.
-const QUIET: Duration = Duration::from_millis(300);
-/// A call that failed after so long had its place in discovery's queue, and no turn within the time that a call may
-/// wait there.
-const WAITED: Duration = Duration::from_secs(1);
-/// How much sooner a watch counts as silent for each part of its hold over the shortest one: what the longest hold
-/// leaves is `QUIET`.
+/// The longest time until an unresponsive watch is detected: its hold and the delay allowed beyond it. A missed update
+/// counts as notified after twice as long; the other half is left for the two hedged calls.
+const DETECTION_LIMIT: Duration = Duration::from_micros(NOTIFICATION_DEADLINE.as_micros() / 2);
+/// The part of `DETECTION_LIMIT` that the longest hold leaves for the delay of its answer.
+const DELAY_RESERVE: Duration = Duration::from_micros(NOTIFICATION_DEADLINE.as_micros() / 8);
+const MAX_HOLD: Duration = DETECTION_LIMIT.saturating_sub(DELAY_RESERVE);
+/// Holds are not shortened below this for a slow discovery service: it would only be called more often.
+const MIN_HOLD: Duration = Duration::from_micros(NOTIFICATION_DEADLINE.as_micros() / 4);
+/// How late the answer of an established watch may be in any case. More is allowed for queueing at discovery, see
+/// `Watch::overdue_after`.
+const MIN_DELAY_ALLOWANCE: Duration = Duration::from_millis(300);
+/// A call rejected after this time was waiting in discovery's queue, and was not served within the time limit there.
+const OVERLOAD_WAIT: Duration = Duration::from_secs(1);
+/// How much sooner a watch is overdue, in proportion to the part of its hold above `MIN_HOLD`: leaves
+/// `MIN_DELAY_ALLOWANCE` at `MAX_HOLD`.
 const LONG_HOLD_PENALTY: f64 = 0.6;
-/// The pause after an answer that came at once and has no update: half the time within which the next call of a
-/// watch must come. A new watch holds no longer at first, so that one that is not answered is soon noticed.
-const PAUSE: Duration = Duration::from_millis(100);
+/// The pause after an immediate answer without an update: half the time within which discovery expects the next call of
+/// a watch. Also the hold of a new watch's first call, so that a lack of answer is detected early.
+const REPOLL_PAUSE: Duration = Duration::from_millis(100);
 
-/// What the timing needs of discovery, and of the scheduler.
+/// The interface to discovery and to the scheduler's list, which the tests replace.
 pub(super) trait Discovery {
     /// A connection, reused from one call to the next.
     type Link;
-    /// One call, on the connection or on a new one; without a number it is for the whole list.
+    /// Makes one call, on the given connection or a new one. `from` is the generation to report changes since; `None`
+    /// requests the whole list.
     async fn call(
         &self,
         link: Option<Self::Link>,
         from: Option<u64>,
         hold: Duration,
     ) -> Result<(Answer, Self::Link), CallError>;
-    /// Returns when the facade requests a call.
+    /// Returns when the facade requests a poll.
     async fn poll_requested(&self);
-    /// Over what span the calls of all schedulers are spread now, in microseconds.
+    /// The span over which all schedulers currently spread their calls, in microseconds.
     fn poll_jitter(&self) -> Micros;
-    /// Whether there is a list to serve from, which grows old while a call waits.
+    /// Whether there is a list, which becomes stale while a call waits.
     fn has_list(&self) -> bool;
-    /// An answer has come.
+    /// Applies an answer.
     fn on_answer(&self, answer: &Answer);
-    /// A call is overdue, and another one goes out beside it.
+    /// Called when a call is overdue and a hedged call is about to be made.
     fn on_overdue(&self);
-    /// The watch has failed; the facade says when to call again, which is later where discovery was
+    /// Called when the watch has failed. The facade decides when to poll again, and waits longer if discovery was
     /// overloaded.
     fn on_failure(&self, error: &CallError, overloaded: bool);
 }
@@ -62,26 +63,27 @@
 /// Why a poll failed.
 struct Failure {
     error: CallError,
-    /// The call had waited in discovery's queue, and was rejected there.
+    /// The call was rejected after it had waited in discovery's queue.
     is_overload: bool,
 }
 
 impl Failure {
-    /// No call was answered within its limit.
+    /// No call was answered within its time limit.
     const TIMEOUT: Failure = Failure {
         error: CallError::Timeout,
         is_overload: false,
     };
 }
 
-/// How calls go at one address.
+/// The sequence of calls to discovery at one address.
 pub(super) struct Watch<'a, D: Discovery> {
     discovery: &'a D,
     settings: &'a Settings,
     rng: fastrand::Rng,
     link: Option<D::Link>,
-    /// How much later than their holds answers without an update came lately: what a turn at discovery takes.
-    turn: Duration,
+    /// The moving average of the delay of recent answers beyond their holds, which is the time that discovery takes to
+    /// serve a call, with the wait in its queue.
+    answer_delay: Duration,
 }
 
 impl<'a, D: Discovery> Watch<'a, D> {
@@ -92,44 +94,48 @@
             settings,
             rng,
             link: None,
-            turn: Duration::ZERO,
+            answer_delay: Duration::ZERO,
         }
     }
 
-    /// Watches the list whenever the facade asks for it, and now where that is wanted.
+    /// Opens a watch whenever the facade requests a poll, and the first one at once if `now` is set. Each watch lasts
+    /// until it fails; `run` does not return.
     pub(super) async fn run(mut self, generation: &mut Option<u64>, mut now: bool) {
         loop {
             let at_once = std::mem::take(&mut now);
             if !at_once {
                 self.discovery.poll_requested().await;
             }
-            let first = generation.is_none() && !at_once;
-            // Half of the time for which a scheduler without a watch may use the list that it has.
-            let half = self.settings.poll_interval.min(NOTIFICATION_DEADLINE) / 2;
-            let pause = Duration::from_micros(self.discovery.poll_jitter()).min(half.as_duration());
-            let mut fresh = true;
+            let starts_without_list = generation.is_none() && !at_once;
+            // Half of the time for which a scheduler without a watch may use its list.
+            let max_pause = self.settings.poll_interval.min(NOTIFICATION_DEADLINE) / 2;
+            let pause =
+                Duration::from_micros(self.discovery.poll_jitter()).min(max_pause.as_duration());
+            let mut is_new = true;
             let failure = loop {
-                let called = Instant::now();
-                let answer = match self.poll(*generation, fresh).await {
+                let called_at = Instant::now();
+                let answer = match self.poll(*generation, is_new).await {
                     Ok(answer) => answer,
                     Err(failure) => break failure,
                 };
-                fresh = false;
-                // Guards against changes to a list that was numbered otherwise: discovery has begun anew.
+                is_new = false;
+                // A lower generation means that discovery has restarted and counts anew: these changes are not changes
+                // to the list at hand.
                 if !answer.reset && generation.is_some_and(|from| answer.generation < from) {
                     *generation = None;
-                    sleep(PAUSE).await;
+                    sleep(REPOLL_PAUSE).await;
                     continue;
                 }
                 let is_first_list = generation.replace(answer.generation).is_none();
                 self.discovery.on_answer(&answer);
-                // Guards against discovery that does not hold: calls would chase each other.
-                if answer.instances.is_empty() && called.elapsed() < PAUSE {
-                    sleep(PAUSE).await;
+                // Prevents a busy loop if discovery does not hold calls.
+                if answer.instances.is_empty() && called_at.elapsed() < REPOLL_PAUSE {
+                    sleep(REPOLL_PAUSE).await;
                 }
-                // Guards against watches that keep those waiting who have no list yet.
-                if is_first_list && first {
-                    sleep_until(called + pause).await;
+                // Where many schedulers start together, those without a list are to be served before the watches of
+                // those that have one.
+                if is_first_list && starts_without_list {
+                    sleep_until(called_at + pause).await;
                 }
             };
             self.discovery
@@ -137,69 +143,87 @@
         }
     }
 
-    /// When a watch that goes on counts as silent, counted from its call. The more schedulers there are, the longer its
-    /// answer may wait for its turn: a second call costs discovery one more turn, and those of a whole fleet keep it
-    /// from recovering. Watches begun at one moment are not given up at one moment: a long hold has less patience.
-    fn watch_overdue(&self, hold: Duration) -> Duration {
-        let turns = Duration::from_micros(self.discovery.poll_jitter()).max(2 * self.turn);
-        let latest = NOTICED - (hold - SHORTEST_HOLD).mul_f64(LONG_HOLD_PENALTY);
-        (hold + QUIET + turns).min(latest)
+    /// The time after which the call of an established watch is overdue.
+    ///
+    /// Discovery serves calls one after another, so the delay allowed grows with the number of schedulers and with the
+    /// delays seen recently: each hedged call takes discovery more time, and the hedged calls of a whole fleet would
+    /// keep it from recovering. A longer hold is allowed less delay, so that watches opened at one moment do not all
+    /// become overdue at one moment.
+    fn overdue_after(&self, hold: Duration) -> Duration {
+        let queueing =
+            Duration::from_micros(self.discovery.poll_jitter()).max(2 * self.answer_delay);
+        let limit = DETECTION_LIMIT - (hold - MIN_HOLD).mul_f64(LONG_HOLD_PENALTY);
+        (hold + MIN_DELAY_ALLOWANCE + queueing).min(limit)
     }
 
-    /// One call of a watch. Where its answer is overdue, a second one goes out beside it, on a connection of its own,
-    /// and a third beside both; the first answer counts. Prevents an unresponsive watch from being taken for a
-    /// rejection: after one, discovery that fails is spared. And against giving up the turn of a call that only waits.
-    async fn poll(&mut self, from: Option<u64>, fresh: bool) -> Result<Answer, Failure> {
-        let quarter = self.settings.poll_quarter().as_duration().max(QUIET);
+    /// Makes one call of a watch. If its answer is overdue, a second call is made beside it on a connection of its own,
+    /// and later a third; the first answer is used.
+    ///
+    /// An overdue call is not reported as a failure, because the facade backs off after one. Nor is it cancelled,
+    /// because it may only be queued at discovery and would lose its place.
+    async fn poll(&mut self, from: Option<u64>, is_new: bool) -> Result<Answer, Failure> {
+        let quarter = self
+            .settings
+            .poll_quarter()
+            .as_duration()
+            .max(MIN_DELAY_ALLOWANCE);
         let (hold, overdue) = match from {
-            // Who has no list has nothing to lose by waiting.
+            // Without a list there is nothing that becomes stale during the wait.
             None if !self.discovery.has_list() => {
                 (Duration::ZERO, NOTIFICATION_DEADLINE.as_duration())
             }
             None => (Duration::ZERO, 2 * quarter),
-            Some(_) if fresh => (PAUSE, 2 * quarter),
-            // By chance, as all schedulers begin anew whenever there is an update: else all would find an unresponsive
-            // discovery, and call it, at one moment.
+            Some(_) if is_new => (REPOLL_PAUSE, 2 * quarter),
+            // Random, because each update makes all schedulers call again at the same moment: with equal holds they
+            // would also detect an unresponsive discovery service, and make their hedged calls, at the same moment.
             Some(_) => {
-                let hold = SHORTEST_HOLD + (LONGEST_HOLD - SHORTEST_HOLD).mul_f64(self.rng.f64());
-                (hold, self.watch_overdue(hold))
+                let hold = MIN_HOLD + (MAX_HOLD - MIN_HOLD).mul_f64(self.rng.f64());
+                (hold, self.overdue_after(hold))
             }
         };
         let discovery = self.discovery;
-        let again = hold.min(PAUSE);
-        let called = Instant::now();
-        let second_call = || discovery.call(None, from, again);
-        let first = timed(discovery.call(self.link.take(), from, hold));
-        let second = hedge(discovery, first, overdue, timed(second_call()));
-        let third = hedge(discovery, second, overdue + quarter, timed(second_call()));
-        // Those that only wait keep their turns: given up and made anew, calls would bring slow discovery to
-        // a stand.
-        let outcome = timeout(overdue + quarter + NOTICED, third).await;
+        let hedged_hold = hold.min(REPOLL_PAUSE);
+        let called_at = Instant::now();
+        let hedged_call = || discovery.call(None, from, hedged_hold);
+        let first = classify_failure(discovery.call(self.link.take(), from, hold));
+        let second = hedge(discovery, first, overdue, classify_failure(hedged_call()));
+        let third = hedge(
+            discovery,
+            second,
+            overdue + quarter,
+            classify_failure(hedged_call()),
+        );
+        // Queued calls keep their places for this long. If they were cancelled and repeated sooner, a slow discovery
+        // service would spend its time on calls whose callers have gone.
+        let outcome = timeout(overdue + quarter + DETECTION_LIMIT, third).await;
         let (answer, link) = outcome.unwrap_or(Err(Failure::TIMEOUT))?;
         self.link = Some(link);
-        if called.elapsed() < overdue && (from.is_none() || answer.instances.is_empty()) {
-            let turn = called.elapsed().saturating_sub(hold);
-            self.turn = if self.turn.is_zero() {
-                turn
+        if called_at.elapsed() < overdue && (from.is_none() || answer.instances.is_empty()) {
+            let delay = called_at.elapsed().saturating_sub(hold);
+            self.answer_delay = if self.answer_delay.is_zero() {
+                delay
             } else {
-                (self.turn + turn) / 2
+                (self.answer_delay + delay) / 2
             };
         }
         Ok(answer)
     }
 }
 
-/// A call that knows for how long it has waited when it fails: a rejection of a second call says nothing of the first.
-async fn timed<T>(call: impl Future<Output = Result<T, CallError>>) -> Result<T, Failure> {
-    let begun = Instant::now();
+/// Makes a call and, if it is rejected, decides by its own waiting time whether discovery is overloaded. Each hedged
+/// call is timed separately: that one is rejected at once shows nothing about an earlier one.
+async fn classify_failure<T>(
+    call: impl Future<Output = Result<T, CallError>>,
+) -> Result<T, Failure> {
+    let called_at = Instant::now();
     call.await.map_err(|error| Failure {
-        is_overload: matches!(error, CallError::Status(_)) && begun.elapsed() >= WAITED,
+        is_overload: matches!(error, CallError::Status(_)) && called_at.elapsed() >= OVERLOAD_WAIT,
         error,
     })
 }
 
-/// The first answer of two calls, of which the newer one goes out once the older is overdue. That one's failure
-/// counts no more then: the newer one decides.
+/// Waits for the older call and, once that is overdue, makes the newer one beside it; returns the first answer. From
+/// then on a failure of the older call is ignored, and the outcome of the newer one decides.
 async fn hedge<D: Discovery, T>(
     discovery: &D,
     older: impl Future<Output = Result<T, Failure>>,
