--- a/crates/server/src/net/discovery/tests.rs
+++ b/crates/server/src/net/discovery/tests.rs
@@ -1,4 +1,4 @@
-//! The watch on the endpoint list in virtual time: whole fleets, and faults in all orders.
+//! Tests of the watch on the endpoint list, with whole fleets in virtual time and every pair of faults.
 
 mod fleet;
 
@@ -6,38 +6,42 @@
 
 use tokio::time::{sleep, sleep_until, Instant};
 
-use fleet::{Fleet, Node, Standing, MS};
+use fleet::{CallState, Fleet, SchedulerState, MS};
 
+/// A change counts as notified this long after it was made and discovery could be reached.
 const NOTIFY_LIMIT: Duration = Duration::from_secs(6);
-const DOWN: Duration = Duration::from_secs(3);
+const OUTAGE: Duration = Duration::from_secs(3);
 
-/// What may happen to a fleet's watches.
+/// A fault of discovery that affects every scheduler of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
     /// All connections are reset.
     Reset,
-    /// All watches that are open are never answered.
+    /// The watches that are open are never answered.
     Silence,
-    /// The next call of each is refused.
+    /// The next call of each scheduler is rejected.
     Refuse,
-    /// The next call of each is never answered.
+    /// The next call of each scheduler is never answered.
     Hang,
-    /// Discovery is down for a while.
+    /// Discovery cannot be reached for the time `OUTAGE`.
     Down,
-    /// All are moved to another discovery.
+    /// All schedulers are given another address of discovery.
     Move,
 }
 use Fault::*;
 
-/// A change, and by when each scheduler must have it: counted from when it was made and could be reached.
+/// A change of the list, and the time limit within which each scheduler must have received it.
 struct Change {
     number: u64,
-    reached: Instant,
-    within: Vec<Duration>,
+    /// When the change was made and discovery could be reached.
+    reachable_at: Instant,
+    limits: Vec<Duration>,
 }
 
-async fn played(schedulers: usize, ask_every: Duration, turn: Duration) {
-    let fleet = Fleet::new(schedulers, ask_every, turn);
+/// Injects every pair of faults into a fleet, with a change of the list after each fault, and checks that every
+/// scheduler receives the changes in time.
+async fn assert_changes_arrive(schedulers: usize, poll_interval: Duration, service_time: Duration) {
+    let fleet = Fleet::new(schedulers, poll_interval, service_time);
     fleet.start(true);
     sleep(10_000 * MS).await;
     let mut rng = fastrand::Rng::with_seed(schedulers as u64);
@@ -48,75 +52,76 @@
     {
         let gap = [0, 50, 1_000, 2_900][rng.usize(..4)] * MS;
         let mut changes = Vec::new();
-        let mut up = None;
+        let mut up_at = None;
         for fault in [first, second] {
             match fault {
-                Reset => fleet.raise(|s| s.resets += 1),
-                Silence => fleet.raise(|s| s.silenced += 1),
+                Reset => fleet.update(|s| s.resets += 1),
+                Silence => fleet.update(|s| s.silences += 1),
                 Refuse => {
-                    for node in fleet.nodes.borrow_mut().iter_mut() {
-                        node.refuse += 1;
+                    for scheduler in fleet.schedulers.borrow_mut().iter_mut() {
+                        scheduler.calls_to_reject += 1;
                     }
                 }
                 Hang => {
-                    for node in fleet.nodes.borrow_mut().iter_mut() {
-                        node.hang += 1;
+                    for scheduler in fleet.schedulers.borrow_mut().iter_mut() {
+                        scheduler.calls_to_hang += 1;
                     }
                 }
                 Down => {
-                    fleet.raise(|s| s.down = true);
-                    up = Some(Instant::now() + DOWN);
+                    fleet.update(|s| s.is_down = true);
+                    up_at = Some(Instant::now() + OUTAGE);
                 }
-                Move => fleet.raise(|s| s.moves += 1),
+                Move => fleet.update(|s| s.moves += 1),
             }
-            // Right after it, as those concerned have seen it or not.
+            // The list changes so soon that a scheduler may not have noticed the fault yet.
             sleep(rng.u32(..20) * MS).await;
-            fleet.raise(|s| s.number += 1);
-            let polled = ask_every.min(NOTIFY_LIMIT);
-            let within = |n: &Node| match n.standing {
-                Standing::Calling => NOTIFY_LIMIT,
-                Standing::Answered => polled,
-                Standing::Failed => NOTIFY_LIMIT.min(4 * ask_every),
+            fleet.update(|s| s.generation += 1);
+            let limit_after_answer = poll_interval.min(NOTIFY_LIMIT);
+            let limit = |scheduler: &SchedulerState| match scheduler.call_state {
+                CallState::Calling => NOTIFY_LIMIT,
+                CallState::Answered => limit_after_answer,
+                CallState::Failed => NOTIFY_LIMIT.min(4 * poll_interval),
             };
-            let within = fleet.nodes.borrow().iter().map(within).collect();
-            let (number, reached) = (fleet.signal.borrow().number, Instant::now());
+            let limits = fleet.schedulers.borrow().iter().map(limit).collect();
+            let (number, reachable_at) = (fleet.discovery.borrow().generation, Instant::now());
             changes.push(Change {
                 number,
-                reached,
-                within,
+                reachable_at,
+                limits,
             });
             if fault == first {
                 sleep(gap).await;
             }
         }
-        if let Some(up) = up {
-            sleep_until(up).await;
-            fleet.raise(|s| s.down = false);
+        if let Some(up_at) = up_at {
+            sleep_until(up_at).await;
+            fleet.update(|s| s.is_down = false);
             for change in &mut changes {
-                change.reached = change.reached.max(up);
+                change.reachable_at = change.reachable_at.max(up_at);
             }
         }
         sleep(9_000 * MS).await;
         for change in &changes {
-            for (n, node) in fleet.nodes.borrow_mut().iter_mut().enumerate() {
-                let came = node
-                    .heard
+            for (n, scheduler) in fleet.schedulers.borrow_mut().iter_mut().enumerate() {
+                let received = scheduler
+                    .received
                     .iter()
                     .find(|(number, _)| *number >= change.number);
-                let within = change.within[n];
-                let took = came.map(|(_, at)| at.saturating_duration_since(change.reached));
+                let limit = change.limits[n];
+                let took =
+                    received.map(|(_, at)| at.saturating_duration_since(change.reachable_at));
                 assert!(
-                    took.is_some_and(|took| took < within),
-                    "{schedulers} schedulers, ask-every {ask_every:?}, {first:?} and after {gap:?} {second:?}: \
-                     {n} has change {} after {took:?}, within {within:?}",
+                    took.is_some_and(|took| took < limit),
+                    "{schedulers} schedulers, poll interval {poll_interval:?}, {first:?} and {gap:?} later {second:?}: \
+                     scheduler {n} received change {} after {took:?}, limit {limit:?}",
                     change.number
                 );
             }
         }
-        for node in fleet.nodes.borrow_mut().iter_mut() {
-            node.hang = 0;
-            node.refuse = 0;
-            node.heard.clear();
+        for scheduler in fleet.schedulers.borrow_mut().iter_mut() {
+            scheduler.calls_to_hang = 0;
+            scheduler.calls_to_reject = 0;
+            scheduler.received.clear();
         }
     }
 }
@@ -129,67 +134,76 @@
     tokio::task::LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
-/// The sum at `Settings::poll_quarter`, over all orders of two faults.
+/// Checks the time budget of `Settings::poll_quarter` for all ordered pairs of faults.
 #[test]
 fn every_change_arrives_within_the_limit_whatever_fails() {
     std::thread::scope(|threads| {
-        for (schedulers, turn) in [(1, 20 * MS), (3, 20 * MS), (30, 20 * MS), (300, 5 * MS)] {
-            for ask_every in [500, 2_000, 6_000, 10_000, 60_000].map(|ms| ms * MS) {
-                // The sum leaves the turns of the whole fleet a quarter.
-                let turn = turn.min(ask_every / schedulers as u32);
-                threads.spawn(move || in_virtual_time(played(schedulers, ask_every, turn)));
+        for (schedulers, service_time) in [(1, 20 * MS), (3, 20 * MS), (30, 20 * MS), (300, 5 * MS)]
+        {
+            for poll_interval in [500, 2_000, 6_000, 10_000, 60_000].map(|ms| ms * MS) {
+                // The budget holds only while discovery can serve the whole fleet within one quarter.
+                let service_time = service_time.min(poll_interval / schedulers as u32);
+                threads.spawn(move || {
+                    in_virtual_time(assert_changes_arrive(
+                        schedulers,
+                        poll_interval,
+                        service_time,
+                    ));
+                });
             }
         }
     });
 }
 
-/// Hundreds that start at one moment without a list, before discovery that serves in turn.
+/// Guards against schedulers that start together without a list and overload discovery, which serves one call at a
+/// time: they would be ready late, and fetch the whole list several times each.
 #[test]
 fn nine_in_ten_of_hundreds_have_a_list_within_ten_seconds() {
-    for turn in [5, 20] {
+    for service_ms in [5, 20] {
         in_virtual_time(async move {
-            let fleet = Fleet::new(300, 10_000 * MS, turn * MS);
+            let fleet = Fleet::new(300, 10_000 * MS, service_ms * MS);
             fleet.start(false);
             sleep(10_000 * MS).await;
             let ready = fleet
-                .nodes
+                .schedulers
                 .borrow()
                 .iter()
-                .filter(|n| !n.heard.is_empty())
+                .filter(|s| !s.received.is_empty())
                 .count();
             sleep(20_000 * MS).await;
-            let (calls, whole) = *fleet.calls.borrow();
+            let (calls, snapshots) = *fleet.calls.borrow();
             println!(
-                "{turn} ms a turn: {ready} of 300 within 10 s, {whole} whole lists, {calls} calls in 30 s"
+                "{service_ms} ms per call: {ready} of 300 ready within 10 s, {snapshots} snapshot calls, \
+                 {calls} calls in 30 s"
             );
             assert!(
-                ready >= 270 && whole <= 375,
-                "{turn} ms a turn: {ready} ready, {whole} whole lists"
+                ready >= 270 && snapshots <= 375,
+                "{service_ms} ms per call: {ready} ready, {snapshots} snapshot calls"
             );
         });
     }
 }
 
-/// Hundreds that start at one moment with a list to be confirmed: they call within a quarter, as who has a list,
-/// and not over the time of those who have none.
+/// Guards against schedulers that start together with a cached list and spread their first calls over the longer span
+/// of those that have none: with a list they call within `Settings::poll_quarter`.
 #[test]
-fn hundreds_have_a_cached_list_confirmed_within_a_quarter_and_their_turns() {
+fn cached_lists_of_hundreds_are_confirmed_within_a_quarter_and_the_service_time() {
     in_virtual_time(async {
         let fleet = Fleet::new(300, 10_000 * MS, 5 * MS);
         fleet.start(true);
-        // Their calls begin within 1.5 s, their turns take as long together, and a new watch holds 0.1 s.
+        // The calls begin within 1.5 s, serving 300 of them takes another 1.5 s, and a new watch is held for 0.1 s.
         sleep(3_200 * MS).await;
         let confirmed = fleet
-            .nodes
+            .schedulers
             .borrow()
             .iter()
-            .filter(|n| !n.heard.is_empty())
+            .filter(|s| !s.received.is_empty())
             .count();
         let failed = fleet
-            .nodes
+            .schedulers
             .borrow()
             .iter()
-            .filter(|n| n.standing == Standing::Failed)
+            .filter(|s| s.call_state == CallState::Failed)
             .count();
         assert_eq!(
             (confirmed, failed),
@@ -199,27 +213,31 @@
     });
 }
 
-/// All watches of a fleet break at one moment before a discovery that needs longer for one turn of each than a call
-/// may wait, and that works off what has timed out: the fleet must not keep it busy with calls that time out again.
+/// Guards against a fleet that keeps an overloaded discovery service busy with calls that time out again. All watches
+/// break at once; serving every scheduler takes longer than a call may wait, and calls that have timed out are served
+/// all the same.
 #[test]
 fn a_fleet_lets_an_overloaded_discovery_recover() {
-    for (schedulers, turn) in [(100, 60), (300, 20), (900, 7)] {
+    for (schedulers, service_ms) in [(100, 60), (300, 20), (900, 7)] {
         in_virtual_time(async move {
-            let fleet = Fleet::before_busy(schedulers, turn * MS);
+            let fleet = Fleet::with_overloadable_discovery(schedulers, service_ms * MS);
             fleet.start(true);
             sleep(30_000 * MS).await;
-            fleet.raise(|s| s.resets += 1);
+            fleet.update(|s| s.resets += 1);
             sleep(20_000 * MS).await;
-            fleet.raise(|s| s.number += 1);
-            let changed = Instant::now();
+            fleet.update(|s| s.generation += 1);
+            let changed_at = Instant::now();
             sleep(NOTIFY_LIMIT).await;
             let notified = fleet
-                .nodes
+                .schedulers
                 .borrow()
                 .iter()
-                .filter(|node| node.heard.iter().any(|(_, at)| *at >= changed))
+                .filter(|s| s.received.iter().any(|(_, at)| *at >= changed_at))
                 .count();
-            assert_eq!(notified, schedulers, "{turn} ms a turn, of {schedulers}");
+            assert_eq!(
+                notified, schedulers,
+                "notified of {schedulers} at {service_ms} ms per call"
+            );
         });
     }
 }
--- a/crates/server/src/net/discovery/tests/fleet.rs
+++ b/crates/server/src/net/discovery/tests/fleet.rs
@@ -1,7 +1,7 @@
-//! A fleet of schedulers in virtual time before a stand-in for discovery that serves in turn, resets, rejects, stops
-//! answering, goes down and moves.
+//! A fleet of schedulers in virtual time, and a simulated discovery service that serves one call at a time and can
+//! reset, reject or ignore calls, go down, or move to another address.
 //!
-//! It owns that discovery. It must never decide on a call: the facade and the watch do.
+//! The timing under test is that of the real `Facade` and `Watch`, one of each per scheduler.
 
 use std::cell::RefCell;
 use std::future::pending;
@@ -21,31 +21,31 @@
 use oakshed_core::facade::{Condition, Entry, Facade, ListKind, Micros, Seen, Settings, Span};
 use oakshed_core::interface::{Class, Effect, Scope};
 
-/// A connection that does not come up.
 fn connect_error(kind: ErrorKind) -> CallError {
     CallError::Connect(LinkError::Connect(kind.into()))
 }
 
 pub(super) const MS: Duration = Duration::from_millis(1);
-/// How long a call may wait for its turn.
-const REJECT_AFTER: Duration = Duration::from_secs(3);
-/// The same of a discovery that serves the calls that have timed out, too.
-const BUSY_REJECT_AFTER: Duration = Duration::from_secs(2);
-/// A watch that goes on within this time of its last answer takes no turn there.
-const RENEWED_WITHIN: Duration = Duration::from_millis(200);
+/// The longest that a call may wait in the queue.
+const MAX_WAIT: Duration = Duration::from_secs(3);
+/// The same for overloadable discovery.
+const OVERLOADABLE_MAX_WAIT: Duration = Duration::from_secs(2);
+/// At overloadable discovery, a call this soon after the scheduler's last answer continues a watch and is not queued.
+const WATCH_CONTINUES_WITHIN: Duration = Duration::from_millis(200);
 
+/// The simulated discovery service. The counters tell the calls under way what has happened since they began.
 #[derive(Clone, Copy, Default)]
-pub(super) struct Signal {
-    pub(super) number: u64,
-    pub(super) silenced: u64,
+pub(super) struct DiscoveryStatus {
+    pub(super) generation: u64,
+    pub(super) silences: u64,
     pub(super) resets: u64,
     pub(super) moves: u64,
-    pub(super) down: bool,
+    pub(super) is_down: bool,
 }
 
-/// How a scheduler stands with discovery.
+/// How far a scheduler has come with its current call.
 #[derive(Clone, Copy, PartialEq)]
-pub(super) enum Standing {
+pub(super) enum CallState {
     Calling,
     Answered,
     Failed,
@@ -53,43 +53,58 @@
 
 pub(super) struct Fleet {
     settings: Settings,
-    turn: Duration,
-    /// Whether a call that has timed out takes its turn all the same, and a watch that goes on takes none.
-    is_busy: bool,
-    lane: Rc<Mutex<()>>,
-    pub(super) signal: watch::Sender<Signal>,
-    began: Instant,
-    pub(super) nodes: RefCell<Vec<Node>>,
+    /// The time that discovery takes to serve one call.
+    service_time: Duration,
+    /// Whether discovery serves calls also after they have timed out, and those that continue a watch without queueing.
+    is_overloadable: bool,
+    /// Held by the call that is being served.
+    queue: Rc<Mutex<()>>,
+    pub(super) discovery: watch::Sender<DiscoveryStatus>,
+    started_at: Instant,
+    pub(super) schedulers: RefCell<Vec<SchedulerState>>,
+    /// All calls, and those for the whole list.
     pub(super) calls: RefCell<(usize, usize)>,
 }
 
 #[derive(Clone)]
-pub(super) struct Node {
-    pub(super) standing: Standing,
-    pub(super) hang: u32,
-    pub(super) refuse: u32,
-    /// Each number that came, and when.
-    pub(super) heard: Vec<(u64, Instant)>,
+pub(super) struct SchedulerState {
+    pub(super) call_state: CallState,
+    pub(super) calls_to_hang: u32,
+    pub(super) calls_to_reject: u32,
+    /// The generations received, and when.
+    pub(super) received: Vec<(u64, Instant)>,
 }
 
 /// One scheduler of the fleet.
-struct Sim {
+struct SimulatedScheduler {
     fleet: Rc<Fleet>,
-    n: usize,
+    index: usize,
     facade: RefCell<Facade>,
 }
 
 impl Fleet {
-    pub(super) fn new(schedulers: usize, ask_every: Duration, turn: Duration) -> Rc<Fleet> {
-        Fleet::before(schedulers, ask_every, turn, false)
+    pub(super) fn new(
+        schedulers: usize,
+        poll_interval: Duration,
+        service_time: Duration,
+    ) -> Rc<Fleet> {
+        Fleet::with_discovery(schedulers, poll_interval, service_time, false)
     }
 
-    /// A fleet before a discovery that works off calls also after they have timed out.
-    pub(super) fn before_busy(schedulers: usize, turn: Duration) -> Rc<Fleet> {
-        Fleet::before(schedulers, 10_000 * MS, turn, true)
+    /// Creates a fleet whose discovery serves calls also after they have timed out.
+    pub(super) fn with_overloadable_discovery(
+        schedulers: usize,
+        service_time: Duration,
+    ) -> Rc<Fleet> {
+        Fleet::with_discovery(schedulers, 10_000 * MS, service_time, true)
     }
 
-    fn before(schedulers: usize, ask_every: Duration, turn: Duration, is_busy: bool) -> Rc<Fleet> {
+    fn with_discovery(
+        schedulers: usize,
+        poll_interval: Duration,
+        service_time: Duration,
+        is_overloadable: bool,
+    ) -> Rc<Fleet> {
         let class = Class {
             latency_objective: Span::from_millis(400),
             stretch: 1.0,
@@ -103,139 +118,150 @@
         };
         let settings = Settings {
             schedulers: schedulers as u32,
-            poll_interval: Span::from_micros(ask_every.as_micros() as u64),
+            poll_interval: Span::from_micros(poll_interval.as_micros() as u64),
             list_on_request: true,
             classes: vec![class],
             ..Settings::default()
         };
-        let node = Node {
-            standing: Standing::Answered,
-            hang: 0,
-            refuse: 0,
-            heard: Vec::new(),
+        let scheduler = SchedulerState {
+            call_state: CallState::Answered,
+            calls_to_hang: 0,
+            calls_to_reject: 0,
+            received: Vec::new(),
         };
         Rc::new(Fleet {
             settings,
-            turn,
-            is_busy,
-            lane: Rc::default(),
-            signal: watch::Sender::new(Signal {
-                number: 1,
-                ..Signal::default()
+            service_time,
+            is_overloadable,
+            queue: Rc::default(),
+            discovery: watch::Sender::new(DiscoveryStatus {
+                generation: 1,
+                ..DiscoveryStatus::default()
             }),
-            began: Instant::now(),
-            nodes: RefCell::new(vec![node; schedulers]),
+            started_at: Instant::now(),
+            schedulers: RefCell::new(vec![scheduler; schedulers]),
             calls: RefCell::default(),
         })
     }
 
-    /// Starts all schedulers at one moment, with a list or without.
-    pub(super) fn start(self: &Rc<Fleet>, known: bool) {
-        for n in 0..self.settings.schedulers as usize {
+    /// Starts all schedulers at once, with a cached list or without.
+    pub(super) fn start(self: &Rc<Fleet>, has_cached_list: bool) {
+        for index in 0..self.settings.schedulers as usize {
             let facade =
-                RefCell::new(Facade::new(self.settings.clone(), n as u64).expect("usable"));
-            let sim = Sim {
+                RefCell::new(Facade::new(self.settings.clone(), index as u64).expect("usable"));
+            let scheduler = SimulatedScheduler {
                 fleet: self.clone(),
-                n,
+                index,
                 facade,
             };
             tokio::task::spawn_local(async move {
-                if known {
-                    sim.take_in(ListKind::Cached);
+                if has_cached_list {
+                    scheduler.report_list(ListKind::Cached);
                 }
-                let (mut number, mut at_once) = (known.then_some(1), false);
-                let mut signal = sim.fleet.signal.subscribe();
+                let (mut generation, mut at_once) = (has_cached_list.then_some(1), false);
+                let mut discovery = scheduler.fleet.discovery.subscribe();
+                let (settings, seed) = (&scheduler.fleet.settings, scheduler.index as u64);
                 loop {
-                    let moves = signal.borrow_and_update().moves;
+                    let moves = discovery.borrow_and_update().moves;
                     tokio::select! {
-                        _ = signal.wait_for(|s| s.moves != moves) => {}
-                        () = Watch::new(&sim, &sim.fleet.settings, sim.n as u64).run(&mut number, at_once) => {}
+                        _ = discovery.wait_for(|s| s.moves != moves) => {}
+                        () = Watch::new(&scheduler, settings, seed).run(&mut generation, at_once) => {}
                     }
-                    (number, at_once) = (None, true);
+                    (generation, at_once) = (None, true);
                 }
             });
         }
     }
 
-    pub(super) fn raise(&self, change: impl FnOnce(&mut Signal)) {
-        self.signal.send_modify(change);
+    /// Changes the state of discovery and wakes the calls that wait for a change.
+    pub(super) fn update(&self, change: impl FnOnce(&mut DiscoveryStatus)) {
+        self.discovery.send_modify(change);
     }
 
-    /// Waits for a turn, and takes it.
-    async fn turn(self: Rc<Fleet>) -> Result<(), CallError> {
+    /// Waits in discovery's queue, and then for the service time; rejects the call if it waits too long.
+    async fn queue_call(self: Rc<Fleet>) -> Result<(), CallError> {
         let rejected = || CallError::Status(StatusCode::SERVICE_UNAVAILABLE);
-        if !self.is_busy {
-            let turn = timeout(REJECT_AFTER, self.lane.lock()).await;
-            let _turn = turn.map_err(|_| rejected())?;
-            sleep(self.turn).await;
+        if !self.is_overloadable {
+            let guard = timeout(MAX_WAIT, self.queue.lock()).await;
+            let _guard = guard.map_err(|_| rejected())?;
+            sleep(self.service_time).await;
             return Ok(());
         }
+        // On a task of its own, so that the call is served also after it has timed out.
         let fleet = self.clone();
-        let turn = tokio::task::spawn_local(async move {
-            let _turn = fleet.lane.lock().await;
-            sleep(fleet.turn).await;
+        let service = tokio::task::spawn_local(async move {
+            let _guard = fleet.queue.lock().await;
+            sleep(fleet.service_time).await;
         });
-        let turn = timeout(BUSY_REJECT_AFTER, turn).await;
-        turn.map_err(|_| rejected())?.expect("a turn that ends");
+        let served = timeout(OVERLOADABLE_MAX_WAIT, service).await;
+        served
+            .map_err(|_| rejected())?
+            .expect("the task does not panic");
         Ok(())
     }
 
-    /// Discovery serves one call: for itself, as one that its caller has given up takes its turn all the
+    /// Serves one call at discovery. Runs on a task of its own: a call that its caller has cancelled is served all the
     /// same.
     async fn serve(
         self: Rc<Fleet>,
-        n: usize,
+        index: usize,
         from: Option<u64>,
         hold: Duration,
     ) -> Result<Answer, CallError> {
-        let mut signal = self.signal.subscribe();
-        let before = *signal.borrow_and_update();
-        if before.down {
+        let mut discovery = self.discovery.subscribe();
+        let before = *discovery.borrow_and_update();
+        if before.is_down {
             return Err(connect_error(ErrorKind::ConnectionRefused));
         }
-        let renewed = self.is_busy && {
-            let nodes = self.nodes.borrow();
-            let last = nodes[n].heard.last();
-            last.is_some_and(|(_, at)| at.elapsed() <= RENEWED_WITHIN)
+        let continues_watch = self.is_overloadable && {
+            let schedulers = self.schedulers.borrow();
+            let last = schedulers[index].received.last();
+            last.is_some_and(|(_, at)| at.elapsed() <= WATCH_CONTINUES_WITHIN)
         };
-        let (hangs, refuses) = {
-            let node = &mut self.nodes.borrow_mut()[n];
-            let flags = (node.hang > 0, node.hang == 0 && node.refuse > 0);
-            (node.hang, node.refuse) = (
-                node.hang - u32::from(flags.0),
-                node.refuse - u32::from(flags.1),
+        let (hangs, is_rejected) = {
+            let scheduler = &mut self.schedulers.borrow_mut()[index];
+            let flags = (
+                scheduler.calls_to_hang > 0,
+                scheduler.calls_to_hang == 0 && scheduler.calls_to_reject > 0,
+            );
+            (scheduler.calls_to_hang, scheduler.calls_to_reject) = (
+                scheduler.calls_to_hang - u32::from(flags.0),
+                scheduler.calls_to_reject - u32::from(flags.1),
             );
             flags
         };
-        if refuses {
+        if is_rejected {
             return Err(CallError::Status(StatusCode::SERVICE_UNAVAILABLE));
         }
-        let mut ends = self.signal.subscribe();
+        let mut faults = self.discovery.subscribe();
         let answer = async {
             if hangs {
                 pending::<()>().await;
             }
-            if !renewed {
-                self.clone().turn().await?;
+            if !continues_watch {
+                self.clone().queue_call().await?;
             }
-            let silenced = signal.borrow_and_update().silenced;
-            if from == Some(signal.borrow().number) {
-                let changed = |s: &Signal| Some(s.number) != from || s.silenced != silenced;
-                _ = timeout(hold, signal.wait_for(changed)).await;
-                if signal.borrow().silenced != silenced {
+            let silences = discovery.borrow_and_update().silences;
+            if from == Some(discovery.borrow().generation) {
+                let changed =
+                    |s: &DiscoveryStatus| Some(s.generation) != from || s.silences != silences;
+                _ = timeout(hold, discovery.wait_for(changed)).await;
+                if discovery.borrow().silences != silences {
                     pending::<()>().await;
                 }
             }
-            let number = signal.borrow().number;
-            let entry = if from == Some(number) { "" } else { ENTRY };
+            let generation = discovery.borrow().generation;
+            let entry = if from == Some(generation) { "" } else { ENTRY };
             let text = format!(
-                r#"{{"generation":{number},"reset":{},"instances":[{entry}]}}"#,
+                r#"{{"generation":{generation},"reset":{},"instances":[{entry}]}}"#,
                 from.is_none()
             );
             Answer::parse(text.as_bytes()).map_err(CallError::MalformedList)
         };
         tokio::select! {
-            _ = ends.wait_for(|s| s.resets != before.resets || s.down) => Err(connect_error(ErrorKind::ConnectionReset)),
+            _ = faults.wait_for(|s| s.resets != before.resets || s.is_down) => {
+                Err(connect_error(ErrorKind::ConnectionReset))
+            }
             answer = answer => answer,
         }
     }
@@ -243,17 +269,21 @@
 
 const ENTRY: &str = r#"{"instanceId":"s-1","hostPort":"127.0.0.1:9","lifecycle":"ready"}"#;
 
-impl Sim {
+/// The clock reading of the schedulers when the fleet is created.
+const START: Micros = 50_000_000;
+
+impl SimulatedScheduler {
     fn now(&self) -> Micros {
-        50_000_000 + self.fleet.began.elapsed().as_micros() as Micros
+        START + self.fleet.started_at.elapsed().as_micros() as Micros
     }
 
-    fn take_in(&self, kind: ListKind) {
-        // The cached list is to be confirmed.
-        let old = kind == ListKind::Cached;
+    /// Reports a list of one worker to the facade.
+    fn report_list(&self, kind: ListKind) {
+        // A cached list has to be confirmed before it is used.
+        let is_cached = kind == ListKind::Cached;
         let (worker, condition) = (
             "s-1".into(),
-            if old {
+            if is_cached {
                 Condition::Leaving
             } else {
                 Condition::Active
@@ -273,12 +303,12 @@
             .report(self.now(), Seen::List(kind, &[entry]));
     }
 
-    fn stands(&self, standing: Standing) {
-        self.fleet.nodes.borrow_mut()[self.n].standing = standing;
+    fn set_call_state(&self, state: CallState) {
+        self.fleet.schedulers.borrow_mut()[self.index].call_state = state;
     }
 }
 
-impl Discovery for Sim {
+impl Discovery for SimulatedScheduler {
     type Link = ();
 
     async fn call(
@@ -287,15 +317,17 @@
         from: Option<u64>,
         hold: Duration,
     ) -> Result<(Answer, ()), CallError> {
-        self.stands(Standing::Calling);
+        self.set_call_state(CallState::Calling);
         {
             let mut calls = self.fleet.calls.borrow_mut();
             *calls = (calls.0 + 1, calls.1 + usize::from(from.is_none()));
         }
         let (tx, rx) = oneshot::channel();
-        let served = self.fleet.clone().serve(self.n, from, hold);
+        let served = self.fleet.clone().serve(self.index, from, hold);
         tokio::task::spawn_local(async move { tx.send(served.await) });
-        rx.await.expect("an end").map(|answer| (answer, ()))
+        rx.await
+            .expect("the call has a result")
+            .map(|answer| (answer, ()))
     }
 
     async fn poll_requested(&self) {
@@ -304,8 +336,8 @@
             if due.subscribe {
                 return;
             }
-            let next = due.next.expect("a timer") - 50_000_000;
-            sleep_until(self.fleet.began + Duration::from_micros(next)).await;
+            let next = due.next.expect("a timer is set") - START;
+            sleep_until(self.fleet.started_at + Duration::from_micros(next)).await;
         }
     }
 
@@ -318,21 +350,21 @@
     }
 
     fn on_answer(&self, answer: &Answer) {
-        self.take_in(if answer.reset {
+        self.report_list(if answer.reset {
             ListKind::Snapshot
         } else {
             ListKind::Delta
         });
-        self.stands(Standing::Answered);
-        self.fleet.nodes.borrow_mut()[self.n]
-            .heard
+        self.set_call_state(CallState::Answered);
+        self.fleet.schedulers.borrow_mut()[self.index]
+            .received
             .push((answer.generation, Instant::now()));
     }
 
     fn on_overdue(&self) {}
 
     fn on_failure(&self, _: &CallError, overloaded: bool) {
-        self.stands(Standing::Failed);
+        self.set_call_state(CallState::Failed);
         let kind = if overloaded {
             ListKind::Overloaded
         } else {
