--- a/crates/server/src/net/workers/client.rs
+++ b/crates/server/src/net/workers/client.rs
@@ -1,6 +1,7 @@
-//! Whether the client that an attempt is made for is still connected.
+//! Cancellation of an attempt, and the check whether its client is still connected.
 //!
-//! The runtime's knowledge of a socket is as old as its last wait, so the system itself is asked.
+//! The check queries the operating system: the state of the socket in the runtime dates from the last poll of the event
+//! loop, and the process may have been paused since.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -11,7 +12,7 @@
 
 use super::super::transient::{is_transient, peek};
 
-/// A client's connection, which this does not keep open.
+/// A weak reference to a client's connection, which does not keep it open.
 #[derive(Clone)]
 pub(crate) struct ClientConnection(Weak<RefCell<TcpStream>>);
 
@@ -20,8 +21,8 @@
         ClientConnection(Rc::downgrade(stream))
     }
 
-    /// Whether the client has neither closed nor reset its connection, as the system knows it now. A client that
-    /// has only ended its sending cannot be distinguished from one that has closed: to TCP both look the same.
+    /// Whether the client has neither closed nor reset its connection, as the system knows it now. A client that has
+    /// only shut down its sending side counts as gone, because over TCP that looks the same as a close.
     fn is_open(&self) -> bool {
         let Some(stream) = self.0.upgrade() else {
             return false;
@@ -30,25 +31,26 @@
         match peek(&stream) {
             Ok(0) => false,
             Ok(_) => !has_hung_up(&stream),
-            // The system could not say: a hang-up shows all the same.
+            // The peek failed for a transient reason; a hang-up can be detected all the same.
             Err(error) if is_transient(&error) => !has_hung_up(&stream),
             Err(error) => error.kind() == io::ErrorKind::WouldBlock,
         }
     }
 }
 
-/// Whether the other side has ended its sending, also behind bytes that nobody has read yet: a peek shows only these.
+/// Whether the peer has closed its sending side. Also detects a close that follows unread bytes, of which a peek shows
+/// only the bytes.
 fn has_hung_up(stream: &TcpStream) -> bool {
-    let ended = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-    let mut sockets = [PollFd::new(stream, ended)];
-    let at_once = Timespec {
+    let hang_up = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    let mut sockets = [PollFd::new(stream, hang_up)];
+    let no_wait = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    poll(&mut sockets, Some(&at_once)).is_ok() && sockets[0].revents().intersects(ended)
+    poll(&mut sockets, Some(&no_wait)).is_ok() && sockets[0].revents().intersects(hang_up)
 }
 
-/// Whether an attempt is still wanted by whoever it is made for.
+/// The cancellation state of an attempt: cancelled explicitly, or by its client's disconnect.
 #[derive(Default)]
 pub(super) struct Cancellation {
     cancelled: Cell<bool>,
@@ -56,7 +58,7 @@
 }
 
 impl Cancellation {
-    /// `client` is `None` for what outlives its client's connection.
+    /// `client` is `None` for attempts that do not depend on a client's connection, as those of durable jobs.
     pub(super) fn new(client: Option<ClientConnection>) -> Self {
         Cancellation {
             cancelled: Cell::new(false),
--- a/crates/server/src/net/workers/deadline.rs
+++ b/crates/server/src/net/workers/deadline.rs
@@ -1,7 +1,8 @@
-//! The deadline that is sent to a worker, set anew as the head is written.
+//! The `req-deadline-ms` header of a request to a worker, updated when the header is written.
 //!
-//! A request is built before its connection takes it: the process may wait, or be paused, in between. So the
-//! field's value is replaced below hyper, by one of the same width, until its first byte has been written.
+//! The process may wait or be paused between building a request and writing it, and the worker would then be told more
+//! time than the client has left. The value is therefore overwritten in the bytes that hyper produces, in the same
+//! number of digits, until its first byte has been written.
 
 use std::borrow::Cow;
 use std::ops::Range;
@@ -10,29 +11,29 @@
 
 use super::super::forwarded_request::remaining_ms;
 
-/// What stands before the value in the head, as hyper writes it.
-const FIELD: &[u8] = b"\r\nreq-deadline-ms: ";
-/// More digits than any number of milliseconds has.
-const MOST_DIGITS: usize = 20;
+/// The bytes before the value, as hyper writes the header.
+const PREFIX: &[u8] = b"\r\nreq-deadline-ms: ";
+/// The number of digits of `u64::MAX`.
+const MAX_DIGITS: usize = 20;
 
-/// The deadline field of one attempt's head.
+/// The deadline header of one attempt.
 pub(super) struct DeadlineField {
     deadline: Micros,
-    /// Where its value stands, counted from the request's first byte.
-    place: Option<Range<usize>>,
-    digits: [u8; MOST_DIGITS],
+    /// The byte range of the value, counted from the request's first byte.
+    value_range: Option<Range<usize>>,
+    digits: [u8; MAX_DIGITS],
 }
 
 impl DeadlineField {
     pub(super) fn new(deadline: Micros) -> Self {
         DeadlineField {
             deadline,
-            place: None,
-            digits: [b'0'; MOST_DIGITS],
+            value_range: None,
+            digits: [b'0'; MAX_DIGITS],
         }
     }
 
-    /// The bytes that are to be written in place of `bytes`, which begin at `offset` in the request.
+    /// Returns `bytes`, which begin at `offset` in the request, with the remaining time as of `now`.
     pub(super) fn update<'a>(
         &mut self,
         now: Micros,
@@ -40,30 +41,31 @@
         bytes: &'a [u8],
     ) -> Cow<'a, [u8]> {
         if offset == 0 {
-            self.place = find_value(bytes);
+            self.value_range = find_value(bytes);
         }
-        let Some(place) = self.place.clone() else {
+        let Some(range) = self.value_range.clone() else {
             return Cow::Borrowed(bytes);
         };
-        if offset <= place.start {
-            self.set_digits(remaining_ms(self.deadline, now), place.len());
+        if offset <= range.start {
+            self.set_digits(remaining_ms(self.deadline, now), range.len());
         }
-        let written = offset..offset + bytes.len();
-        let common = place.start.max(written.start)..place.end.min(written.end);
-        if common.is_empty() {
+        let chunk = offset..offset + bytes.len();
+        let overlap = range.start.max(chunk.start)..range.end.min(chunk.end);
+        if overlap.is_empty() {
             return Cow::Borrowed(bytes);
         }
-        let new = &self.digits[common.start - place.start..common.end - place.start];
-        let within = common.start - offset..common.end - offset;
-        if bytes[within.clone()] == *new {
+        let digits = &self.digits[overlap.start - range.start..overlap.end - range.start];
+        let target = overlap.start - offset..overlap.end - offset;
+        if bytes[target.clone()] == *digits {
             return Cow::Borrowed(bytes);
         }
-        let mut changed = bytes.to_vec();
-        changed[within].copy_from_slice(new);
-        Cow::Owned(changed)
+        let mut updated = bytes.to_vec();
+        updated[target].copy_from_slice(digits);
+        Cow::Owned(updated)
     }
 
-    /// Sets the value in so many digits; zeros lead where it has fewer. It never has more: time only goes by.
+    /// Formats the value with leading zeros. It never needs more than `width` digits, because the remaining time only
+    /// decreases after the request was built.
     fn set_digits(&mut self, value: u64, width: usize) {
         let mut rest = value;
         for digit in self.digits[..width].iter_mut().rev() {
@@ -73,17 +75,17 @@
     }
 }
 
-/// Where the value of the field stands in what begins with a head.
+/// Finds the byte range of the value in the beginning of a request.
 fn find_value(bytes: &[u8]) -> Option<Range<usize>> {
     let start = bytes
-        .windows(FIELD.len())
-        .position(|window| window == FIELD)?
-        + FIELD.len();
+        .windows(PREFIX.len())
+        .position(|window| window == PREFIX)?
+        + PREFIX.len();
     let digits = bytes[start..]
         .iter()
         .take_while(|byte| byte.is_ascii_digit())
         .count();
-    (1..=MOST_DIGITS)
+    (1..=MAX_DIGITS)
         .contains(&digits)
         .then_some(start..start + digits)
 }
