--- a/crates/server/src/net/workers/attempt.rs
+++ b/crates/server/src/net/workers/attempt.rs
@@ -1,7 +1,7 @@
-//! An attempt at a worker, from its connection to its end.
+//! One attempt to run a request at a worker, from connecting to the end of the answer.
 //!
-//! It owns the proof of whether a request was written in full. It must never send a request a second time on
-//! its own, send to a worker that is not listed as ready, or call an attempt unsent where that is indeterminate.
+//! A request is written at most once per attempt; retries are the facade's decision. An attempt that failed is reported
+//! as never run only where the count of written bytes proves that the worker cannot have received the whole request.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -20,33 +20,33 @@
 use super::super::forwarded_request::ForwardedRequest;
 use super::super::Net;
 use super::client::{Cancellation, ClientConnection};
-use super::fault::is_local;
+use super::eligible_address;
+use super::fault::is_local_fault;
 use super::link::{Link, LinkError, Socket};
-use super::open_address;
-use super::stream::{load_in, LONGEST_LINE};
+use super::stream::{load_from_headers, MAX_LINE_BYTES};
 use oakshed_core::facade::{Ending, Micros, Report};
 
-/// How long the rest of an answer may take until its connection is given up.
-const REST: Duration = Duration::from_millis(500);
+/// The time limit for reading an answer to its end after the result is known.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 
 static SRV_DECLINED: HeaderName = HeaderName::from_static("srv-declined");
 
-/// How many bytes hyper makes of a request.
-pub(super) fn size_of(request: &Request<Full<Bytes>>, body: usize) -> u64 {
+/// The number of bytes that hyper writes for a request with a body of this length.
+pub(super) fn encoded_len(request: &Request<Full<Bytes>>, body: usize) -> u64 {
     let target = request
         .uri()
         .path_and_query()
         .map_or(1, |t| t.as_str().len());
-    let line = request.method().as_str().len() + 1 + target + " HTTP/1.1\r\n".len();
-    let fields: usize = request
+    let request_line = request.method().as_str().len() + 1 + target + " HTTP/1.1\r\n".len();
+    let headers: usize = request
         .headers()
         .iter()
         .map(|(n, v)| n.as_str().len() + v.len() + ": \r\n".len())
         .sum();
-    (line + fields + "\r\n".len() + body) as u64
+    (request_line + headers + "\r\n".len() + body) as u64
 }
 
-/// An attempt on its way, as its request's handler sees it.
+/// A handle to an attempt that is under way.
 pub(crate) struct Attempt {
     task: AbortHandle,
     cancellation: Rc<Cancellation>,
@@ -54,31 +54,32 @@
 }
 
 impl Attempt {
-    /// The result, once the facade has said to serve it.
+    /// Takes the result, once the facade has decided to serve it.
     pub(crate) async fn result(&mut self) -> Option<Bytes> {
         self.result.take()?.await.ok()
     }
 
-    /// Whoever it is for has disconnected. Where attempts may not be cancelled, one that is out goes on; one that has
-    /// not begun, as it is still being dialled, must not begin any more.
+    /// Prevents the attempt from being begun, because its client has disconnected. One that is already being written
+    /// goes on: not every class allows attempts to be cancelled.
     pub(crate) fn cancel(&self) {
         self.cancellation.cancel();
     }
 
-    /// Gives the attempt up: its connection is closed.
+    /// Aborts the attempt and closes its connection.
     pub(crate) fn stop(&self) {
         self.cancel();
         self.task.abort();
     }
 }
 
-/// What a request is known to have written, wherever its attempt ends.
+/// How much of an attempt's request has been written: the socket, and the value of its byte count at the end of the
+/// request. `None` until the request is passed to the connection.
 #[derive(Default)]
-pub(super) struct Sent(pub(super) RefCell<Option<(Rc<Socket>, u64)>>);
+pub(super) struct WriteProgress(pub(super) RefCell<Option<(Rc<Socket>, u64)>>);
 
-impl Sent {
-    /// Whether the last byte may have been written.
-    pub(super) fn in_full(&self) -> bool {
+impl WriteProgress {
+    /// Whether the system has taken the last byte, so that the worker may have the whole request.
+    pub(super) fn is_complete(&self) -> bool {
         self.0
             .borrow()
             .as_ref()
@@ -86,37 +87,38 @@
     }
 }
 
-/// Is notified of the start, progress and end of an attempt: whoever it is for.
+/// Is notified of the start, progress and end of an attempt. Implemented by those that start attempts.
 pub(crate) trait AttemptObserver {
-    /// Its job has started, or goes on.
+    /// The worker reports that the job has started (`started`) or is still running.
     fn alive(self, net: &Net, started: bool);
 
-    /// It has ended: how, with what result, and with what its worker said of its load.
+    /// The attempt has ended. `load` is the load report that came with the answer.
     fn ended(self, net: &Rc<Net>, ending: Ending, result: Option<Bytes>, load: Option<Report>);
 }
 
-/// The limits of an attempt.
+/// The deadlines of an attempt.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptTimes {
-    /// Its answer has to be there.
+    /// When the answer must have arrived.
     pub until: Micros,
-    /// Its request has to be written in full.
+    /// When the request must have been written in full.
     pub write_deadline: Micros,
 }
 
-/// What an attempt is made of.
+/// The state of an attempt that its task works with.
 pub(super) struct Dispatch<W> {
     pub(super) net: Rc<Net>,
     pub(super) forwarded: Rc<ForwardedRequest>,
     pub(super) observer: W,
+    /// The worker's name.
     to: Rc<str>,
     times: AttemptTimes,
     cancellation: Rc<Cancellation>,
-    sent: Sent,
+    progress: WriteProgress,
 }
 
-/// Begins an attempt. It reports its own end, whether or not its handler still waits. It is made for a client that is
-/// still connected at its first byte, where one is named.
+/// Starts an attempt at the worker `to` on a task of its own, which reports the end to `observer` even if the returned
+/// handle is dropped. If a `client` is given, nothing is written unless it is still connected at the first byte.
 pub(crate) fn start<W: AttemptObserver + Copy + 'static>(
     net: &Rc<Net>,
     forwarded: &Rc<ForwardedRequest>,
@@ -138,7 +140,7 @@
             write_deadline: times.write_deadline.min(until),
         },
         cancellation: cancellation.clone(),
-        sent: Sent::default(),
+        progress: WriteProgress::default(),
     };
     let task = tokio::task::spawn_local(dispatch.run(tx));
     Attempt {
@@ -149,34 +151,33 @@
 }
 
 impl<W: AttemptObserver + Copy> Dispatch<W> {
-    /// Makes the attempt and reports its end; a request's handler takes the result by `result`.
+    /// Makes the attempt and reports its end. The result is also sent to `result`, for the `Attempt` handle.
     async fn run(self, result: oneshot::Sender<Bytes>) {
-        let ended = tokio::select! {
+        let end = tokio::select! {
             biased;
-            ended = self.exchange() => ended,
+            end = self.exchange() => end,
             ending = self.time_out() => ending.into(),
         };
-        // Dropped and Expired are for what may have run; what was not written in full never did.
-        let ending = match ended.ending {
-            Ending::Dropped | Ending::Expired if !self.sent.in_full() => Ending::DialFailed,
+        // Dropped and Expired mean that the job may have run. Without the whole request it cannot have.
+        let ending = match end.ending {
+            Ending::Dropped | Ending::Expired if !self.progress.is_complete() => Ending::DialFailed,
             ending => ending,
         };
-        // A request's handler takes the result from here, once the decisions say to serve it.
-        if let Some(bytes) = ended.result.clone() {
+        // Sent before the observer is notified, so that it is there when the facade decides to serve it.
+        if let Some(bytes) = end.result.clone() {
             _ = result.send(bytes);
         }
-        self.observer
-            .ended(&self.net, ending, ended.result, ended.load);
+        self.observer.ended(&self.net, ending, end.result, end.load);
         let Dispatch {
             net, forwarded, to, ..
         } = self;
-        drop(forwarded); // what is left is the connection's affair
-        if let Some((link, body)) = ended.rest {
-            _ = timeout(REST, finish(&net, &to, link, body)).await;
+        drop(forwarded); // frees the request's id and memory, which the rest does not need
+        if let Some((link, body)) = end.reusable {
+            _ = timeout(DRAIN_TIMEOUT, drain(&net, &to, link, body)).await;
         }
     }
 
-    /// Returns once the attempt is out of time.
+    /// Waits until one of the attempt's deadlines has passed.
     async fn time_out(&self) -> Ending {
         let AttemptTimes {
             until,
@@ -184,8 +185,8 @@
         } = self.times;
         let clock = &self.net.clock;
         tokio::time::sleep_until(clock.instant(write_deadline)).await;
-        // Guards against a client that waits for an attempt that cannot run any more.
-        if write_deadline < until && !self.sent.in_full() {
+        // Ends the attempt as soon as it can no longer run, so that its client does not wait for it in vain.
+        if write_deadline < until && !self.progress.is_complete() {
             return Ending::Unused;
         }
         tokio::time::sleep_until(clock.instant(until)).await;
@@ -193,28 +194,29 @@
     }
 }
 
-/// How an attempt ended, its result, and what is left of its connection where that is still good.
-pub(super) struct Ended {
+/// The end of an attempt.
+pub(super) struct AttemptEnd {
     pub(super) ending: Ending,
     pub(super) result: Option<Bytes>,
     pub(super) load: Option<Report>,
-    pub(super) rest: Option<(Link, Incoming)>,
+    /// The connection, if it can be used again once the remaining body has been read.
+    pub(super) reusable: Option<(Link, Incoming)>,
 }
 
-impl From<Ending> for Ended {
+impl From<Ending> for AttemptEnd {
     fn from(ending: Ending) -> Self {
-        Ended {
+        AttemptEnd {
             ending,
             result: None,
             load: None,
-            rest: None,
+            reusable: None,
         }
     }
 }
 
 impl<W: AttemptObserver + Copy> Dispatch<W> {
     /// Connects, writes the request, and reads the answer.
-    async fn exchange(&self) -> Ended {
+    async fn exchange(&self) -> AttemptEnd {
         let net = &self.net;
         let mut link = match connect(net, &self.to).await {
             Ok(link) => link,
@@ -223,56 +225,56 @@
         let Ok(request) = self.forwarded.request(net.clock.now()) else {
             return Ending::Unused.into();
         };
-        let end = self.guard(&link, &request);
+        let end = self.arm_write_guard(&link, &request);
         let Ok(response) = link.sender.send_request(request).await else {
-            return self.unanswered(&link).into();
+            return self.classify_lost_connection(&link).into();
         };
-        // A worker starts once the last byte has come: one that answers before is not sent the rest.
-        if !self.sent.in_full() {
+        // The worker answered before it had the whole request, without which no job starts. The rest is not sent.
+        if !self.progress.is_complete() {
             net.counters.workers.resets.increment();
             return Ending::Dropped.into();
         }
         net.counters.check_invariant(
             link.socket.written.get() == end,
-            "a request is as long as reckoned",
+            "the computed length of a request is the number of bytes written",
         );
         let (head, body) = response.into_parts();
         if head.status != StatusCode::OK {
-            return unsuccessful(&head);
+            return classify_error_status(&head);
         }
         self.read_stream(link, body).await
     }
 
-    /// Lets the request pass the write guard; returns how much the connection will have written at its end.
-    fn guard(&self, link: &Link, request: &Request<Full<Bytes>>) -> u64 {
-        let size = size_of(request, self.forwarded.body.len());
+    /// Sets up the write guard for the request; returns the socket's byte count at the end of the request.
+    fn arm_write_guard(&self, link: &Link, request: &Request<Full<Bytes>>) -> u64 {
+        let size = encoded_len(request, self.forwarded.body.len());
         let job = (self.forwarded.deadline, self.cancellation.clone());
-        let by = self.times.write_deadline;
-        let end = link.guard_request(&self.net, &self.to, size, by, Some(job));
-        *self.sent.0.borrow_mut() = Some((link.socket.clone(), end));
+        let write_deadline = self.times.write_deadline;
+        let end = link.guard_request(&self.net, &self.to, size, write_deadline, Some(job));
+        *self.progress.0.borrow_mut() = Some((link.socket.clone(), end));
         end
     }
 
-    /// How an attempt has ended whose connection failed before the head of an answer.
-    fn unanswered(&self, link: &Link) -> Ending {
+    /// The ending of an attempt whose connection failed before the response headers arrived.
+    fn classify_lost_connection(&self, link: &Link) -> Ending {
         let net = &self.net;
         let counters = &net.counters.workers;
-        // Closed to it meanwhile, or too late: what is not written whole never ran.
-        if link.socket.shut.get() {
+        // The write guard stopped the request before it was complete, so it never ran.
+        if link.socket.is_write_denied.get() {
             counters.drained_before_send.increment();
             return Ending::Unused;
         }
         counters.resets.increment();
         if let Some(idle) = link.idle {
             counters.idle_resets.increment();
-            net.workers.cut_idle_limit(idle);
+            net.workers.reduce_idle_limit(idle);
         }
         Ending::Dropped
     }
 }
 
-/// What an answer with another status than 200 says.
-fn unsuccessful(head: &Parts) -> Ended {
+/// The end of an attempt whose answer has a status other than 200.
+fn classify_error_status(head: &Parts) -> AttemptEnd {
     let declined = head.headers.get(&SRV_DECLINED).is_some_and(|v| v == "1");
     let busy = matches!(
         head.status,
@@ -283,29 +285,29 @@
     } else {
         Ending::Error
     };
-    // It bears no id: said once more, late, it would pass for the next request's answer, and as a proof that
-    // this one never ran. So nothing follows on this connection.
-    Ended {
-        load: load_in(&head.headers),
+    // The connection is not reused. Such an answer has no request id: a late duplicate of it would pass for the answer
+    // to the next request on the connection, and for proof that this next request never ran.
+    AttemptEnd {
+        load: load_from_headers(&head.headers),
         ..ending.into()
     }
 }
 
-/// An idle connection, or a new one. Its failure says what the attempt ends with.
+/// Takes an idle connection to a worker or opens a new one. The error is the ending of an attempt that cannot connect.
 pub(super) async fn connect(net: &Net, to: &str) -> Result<Link, Ending> {
-    let address = open_address(net, to).ok_or(Ending::Unused)?;
+    let address = eligible_address(net, to).ok_or(Ending::Unused)?;
     if let Some(link) = net.workers.take_idle(&net.counters.workers, to) {
         net.counters.workers.reused.increment();
         return Ok(link);
     }
-    let Some(slot) = net.workers.slot(net.socket_share()) else {
+    let Some(slot) = net.workers.reserve_slot(net.socket_share()) else {
         net.counters.workers.no_socket.increment();
         return Err(Ending::LocalFault);
     };
     net.counters.workers.dials.increment();
-    match timeout(net.workers.dial_limit, Link::open(address, Some(slot))).await {
+    match timeout(net.workers.connect_timeout, Link::open(address, Some(slot))).await {
         Ok(Ok(link)) => Ok(link),
-        Ok(Err(LinkError::Connect(error))) if is_local(&error) => {
+        Ok(Err(LinkError::Connect(error))) if is_local_fault(&error) => {
             net.counters.workers.local_faults.increment();
             Err(Ending::LocalFault)
         }
@@ -313,16 +315,16 @@
     }
 }
 
-/// Reads an answer to its end, so that its connection can be used again.
-async fn finish(net: &Net, to: &str, mut link: Link, mut body: Incoming) {
-    let mut left = LONGEST_LINE;
+/// Reads an answer to its end, so that its connection can be used again. A longer remainder than one line is not read.
+async fn drain(net: &Net, to: &str, mut link: Link, mut body: Incoming) {
+    let mut left = MAX_LINE_BYTES;
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { return };
         let read = frame.data_ref().map_or(0, Buf::remaining);
-        let Some(rest) = left.checked_sub(read) else {
+        let Some(remaining) = left.checked_sub(read) else {
             return;
         };
-        left = rest;
+        left = remaining;
     }
     if link.sender.ready().await.is_ok() {
         net.workers.put_back(to, link);
--- a/crates/server/src/net/workers/fault.rs
+++ b/crates/server/src/net/workers/fault.rs
@@ -1,15 +1,14 @@
-//! Which failures of a connection are this machine's.
+//! Tells local causes of a failed connect, such as a lack of descriptors, from those at the worker or on the network.
 //!
-//! It owns that distinction. It must never count as this machine's what a worker, or the way to it, may be to blame
-//! for.
+//! A cause that may lie at the worker or on the network is never classified as local.
 
 use std::io;
 
 use rustix::io::Errno;
 
-/// Whether a connection could not be opened for a fault of this machine: no descriptor, no port or no memory for it,
-/// or a signal. All of these pass, and tell nothing of the other side.
-pub(super) fn is_local(error: &io::Error) -> bool {
+/// Whether a connection could not be opened for lack of a descriptor, port or memory on this machine, or because of a
+/// signal. All of these are temporary and show nothing about the peer.
+pub(super) fn is_local_fault(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error().map(Errno::from_raw_os_error),
         Some(
--- a/crates/server/src/net/workers/link.rs
+++ b/crates/server/src/net/workers/link.rs
@@ -1,7 +1,7 @@
-//! A connection to a worker, or to discovery.
+//! An HTTP/1 connection to a worker or to discovery, with a count of the bytes written to its socket.
 //!
-//! It owns the socket, the count of the bytes that the system has taken, and the slot in the budget. It must
-//! never count as written what the system has not taken, or keep a socket open once it is dropped.
+//! Bytes are counted when the system takes them, not when hyper buffers them, so the count proves what cannot have
+//! reached the peer. Dropping a connection closes its socket and frees its slot in the socket budget.
 
 use std::borrow::Cow;
 use std::cell::{Cell, RefCell};
@@ -25,51 +25,52 @@
 use super::super::{end_sending, Net};
 use super::client::Cancellation;
 use super::deadline::DeadlineField;
-use super::fault::is_local;
-use super::stream::LONGEST_LINE;
-use super::write_guard::{begin_by, WriteGuard};
+use super::fault::is_local_fault;
+use super::stream::MAX_LINE_BYTES;
+use super::write_guard::{begin_deadline, WriteGuard};
 use oakshed_core::facade::Micros;
 
-/// The pause after a fault of this machine, before jitter.
+/// The pause after a local fault, before jitter.
 const LOCAL_FAULT_PAUSE: Duration = Duration::from_millis(10);
 
-/// Counts an open socket for as long as it lives.
-pub(super) struct Slot(Rc<Cell<usize>>);
+/// A place in the socket budget, which is freed on drop.
+pub(super) struct SocketSlot(Rc<Cell<usize>>);
 
-impl Slot {
+impl SocketSlot {
     pub(super) fn new(open: &Rc<Cell<usize>>) -> Self {
         open.set(open.get() + 1);
-        Slot(open.clone())
+        SocketSlot(open.clone())
     }
 }
 
-impl Drop for Slot {
+impl Drop for SocketSlot {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
-/// A socket, with a count of the bytes that the system has taken from us. Counting here, below
-/// hyper, is the proof of whether all of a request can have arrived.
+/// A socket, with the state that its users share with hyper's side of the connection.
 pub(super) struct Socket {
     pub(super) stream: RefCell<TcpStream>,
+    /// The number of bytes that the system has taken. A request can have arrived in full only if this has reached its
+    /// end.
     pub(super) written: Cell<u64>,
-    /// What the present attempt has to pass, until it is written whole.
+    /// The check on the writes of the current request, until that is written in full.
     pub(super) write_guard: RefCell<Option<WriteGuard>>,
-    /// It was closed: nothing more leaves on this connection.
-    pub(super) shut: Cell<bool>,
-    /// Something was read, by hyper, since this was last set back.
+    /// The write guard has refused a write: nothing more is written on this connection.
+    pub(super) is_write_denied: Cell<bool>,
+    /// Hyper has read bytes since this was last cleared, which may be an update that is not applied yet.
     pub(super) has_unread_update: Cell<bool>,
-    _slot: Option<Slot>,
+    _slot: Option<SocketSlot>,
 }
 
 impl Socket {
-    /// How much of the next byte lies unread in the system.
+    /// Peeks at the next byte: 1 if there is one, 0 at the end of the stream.
     pub(super) fn peek(&self) -> io::Result<usize> {
         peek(&self.stream.borrow())
     }
 
-    /// Whether bytes lie unread in the system, or may: it cannot always say.
+    /// Whether there are unread bytes in the socket's receive buffer. A transient failure of the check counts as yes.
     pub(super) fn may_have_unread_bytes(&self) -> bool {
         match self.peek() {
             Ok(unread) => unread > 0,
@@ -78,7 +79,7 @@
     }
 }
 
-/// What hyper reads from and writes to.
+/// The stream that hyper reads from and writes to.
 struct Io {
     socket: Rc<Socket>,
     read_retry: TransientRetry,
@@ -117,13 +118,13 @@
         } = &mut *self;
         let mut write_guard = socket.write_guard.borrow_mut();
         if let Some(write_guard) = &mut *write_guard {
-            if socket.shut.get() || !ready!(write_guard.poll(socket.written.get(), cx)) {
-                socket.shut.set(true);
+            if socket.is_write_denied.get() || !ready!(write_guard.poll(socket.written.get(), cx)) {
+                socket.is_write_denied.set(true);
                 return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
             }
         }
         let bytes = match &mut *write_guard {
-            Some(write_guard) => write_guard.update(socket.written.get(), buf),
+            Some(write_guard) => write_guard.update_deadline(socket.written.get(), buf),
             None => Cow::Borrowed(buf),
         };
         let mut stream = socket.stream.borrow_mut();
@@ -145,38 +146,41 @@
     }
 }
 
-/// Why a connection was not opened.
+/// The reason why a connection could not be opened.
 #[derive(Debug, Error)]
 pub(crate) enum LinkError {
-    /// It did not come up.
+    /// The TCP connection could not be established.
     #[error(transparent)]
     Connect(#[from] io::Error),
-    /// HTTP could not begin on it.
+    /// The HTTP handshake failed.
     #[error(transparent)]
     Handshake(#[from] hyper::Error),
 }
 
-/// A connection that carries one request at a time. Dropping it closes it.
+/// An HTTP/1 connection, which carries one request at a time. Dropping it closes the socket.
 pub(crate) struct Link {
     pub(super) address: SocketAddr,
     pub(crate) sender: SendRequest<Full<Bytes>>,
     pub(super) socket: Rc<Socket>,
     task: JoinHandle<()>,
-    /// How long it had been idle when it was last taken; `None` for a new one.
+    /// How long the connection was idle before it was last taken from the pool; `None` if it is new.
     pub(super) idle: Option<Micros>,
 }
 
 impl Link {
-    /// Opens a connection; `slot` counts it where that is wanted.
-    pub(super) async fn open(address: SocketAddr, slot: Option<Slot>) -> Result<Link, LinkError> {
+    /// Opens a connection. `slot` is its place in the socket budget; `None` if the connection is not counted.
+    pub(super) async fn open(
+        address: SocketAddr,
+        slot: Option<SocketSlot>,
+    ) -> Result<Link, LinkError> {
         let stream = TcpStream::connect(address).await?;
-        // A connection that answers later than it could is still a good one.
+        // Ignored on failure: without TCP_NODELAY the connection is slower, but works.
         _ = stream.set_nodelay(true);
         let socket = Rc::new(Socket {
             stream: RefCell::new(stream),
             written: Cell::new(0),
             write_guard: RefCell::default(),
-            shut: Cell::new(false),
+            is_write_denied: Cell::new(false),
             has_unread_update: Cell::new(false),
             _slot: slot,
         });
@@ -185,8 +189,8 @@
             read_retry: TransientRetry::default(),
             write_retry: TransientRetry::default(),
         });
-        let form = Builder::new().max_buf_size(LONGEST_LINE).handshake(io);
-        let (sender, connection) = form.await?;
+        let handshake = Builder::new().max_buf_size(MAX_LINE_BYTES).handshake(io);
+        let (sender, connection) = handshake.await?;
         let task = tokio::task::spawn_local(async move { _ = connection.await });
         Ok(Link {
             address,
@@ -197,14 +201,14 @@
         })
     }
 
-    /// The next request, of this size, has to pass the write guard: as a job with a deadline, for somebody who may
-    /// cancel it, or as what is none. Returns how much the connection will have written at its end.
+    /// Sets up the write guard for the next request, which is `size` bytes long. `job` is the deadline to send and the
+    /// cancellation to respect if the request starts a job. Returns the value of `Socket::written` at its end.
     pub(super) fn guard_request(
         &self,
         net: &Rc<Net>,
         to: &Rc<str>,
         size: u64,
-        by: Micros,
+        write_deadline: Micros,
         job: Option<(Micros, Rc<Cancellation>)>,
     ) -> u64 {
         let start = self.socket.written.get();
@@ -213,28 +217,28 @@
             Some((deadline, cancellation)) => (Some(DeadlineField::new(deadline)), cancellation),
             None => (None, Rc::default()),
         };
-        let begin_by = begin_by(net.clock.now(), by);
+        let begin_deadline = begin_deadline(net.clock.now(), write_deadline);
         *self.socket.write_guard.borrow_mut() = Some(WriteGuard {
             net: net.clone(),
             to: to.clone(),
             address: self.address,
             start,
             end,
-            begin_by,
-            by,
+            begin_deadline,
+            write_deadline,
             cancellation,
             deadline,
-            turns: None,
-            turn: None,
+            yields_left: None,
+            current_yield: None,
         });
         end
     }
 
-    /// Opens a connection that no budget counts, however often that fails for a fault of this machine.
+    /// Opens a connection outside the socket budget. Retries for as long as it fails because of local faults.
     pub(crate) async fn dial(address: SocketAddr) -> Result<Link, LinkError> {
         loop {
             match Link::open(address, None).await {
-                Err(LinkError::Connect(error)) if is_local(&error) => {
+                Err(LinkError::Connect(error)) if is_local_fault(&error) => {
                     sleep(LOCAL_FAULT_PAUSE.mul_f64(0.5 + fastrand::f64())).await;
                 }
                 opened => return opened,
@@ -242,8 +246,8 @@
         }
     }
 
-    /// Whether an idle connection has ended. Guards against one that the other side has closed
-    /// while hyper does not know yet: a request written to it would count as sent.
+    /// Whether an idle connection is closed or has unexpected data. The socket itself is checked too, because hyper may
+    /// not have noticed yet that the peer has closed it, and a request written to it would count as sent.
     pub(crate) fn is_dead(&self) -> bool {
         self.sender.is_closed()
             || !self
--- a/crates/server/src/net/workers/mod.rs
+++ b/crates/server/src/net/workers/mod.rs
@@ -1,11 +1,13 @@
-//! The workers: their addresses and the idle connections to them.
+//! The worker client: the table of workers with their addresses, and the pool of connections to them.
 //!
-//! It owns the table of both, and the budget of sockets; `link` owns a connection, `attempt` what goes over one,
-//! `fault` whose fault a failed connection is, `write_guard` the check before its bytes are written, `client` and
-//! `deadline` what that look asks and sets, `stream` the form of a job's stream and `stream_reader` its reading,
-//! `probe` what is asked that is no job. It must never send to a worker that is not listed as ready what asks for
-//! anything new, and never know for whom an attempt is: who starts one is notified through `AttemptObserver`. Of the
-//! network's parts it uses `forwarded_request` and `answers` alone.
+//! - `attempt` sends a request over a connection (`link`); `stream_reader` reads the job stream that `stream` defines.
+//! - `write_guard` checks each write immediately before it is made, with the help of `client` (is the client still
+//!   connected?) and `deadline` (the remaining time sent to the worker).
+//! - `probe` makes calls that start no job, and `fault` recognizes local causes of failed connections.
+//!
+//! New work goes only to workers that are listed as ready. This module does not depend on its callers, which follow
+//! their attempts through `AttemptObserver`; of its sibling modules it uses the shared state, `forwarded_request`,
+//! `answers` and the socket helpers.
 
 mod attempt;
 mod client;
@@ -29,7 +31,7 @@
 use super::counters::WorkerCounters;
 use super::{Clock, Net};
 use crate::list::UpdateKind;
-use link::{Slot, Socket};
+use link::{Socket, SocketSlot};
 use oakshed_core::facade::{Condition, Entry, Micros, Settings, Span};
 
 pub(crate) use attempt::{start, Attempt, AttemptObserver, AttemptTimes};
@@ -37,82 +39,81 @@
 pub(crate) use link::{Link, LinkError};
 pub(crate) use probe::{consult, probe};
 
-/// The longest that a dial may take where the settings don't say.
-const DIAL: Duration = Duration::from_secs(1);
-/// In what time the span for which connections may be idle doubles again after it was cut.
-const REGAIN: Micros = 20_000_000;
-/// The least that it is cut to, in microseconds.
+/// The time limit for connecting if the settings have none.
+const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// The time in which a reduced idle limit doubles again, in microseconds.
+const IDLE_LIMIT_DOUBLING_TIME: Micros = 20_000_000;
+/// The lower bound of a reduced idle limit, in microseconds.
 const MIN_IDLE_LIMIT: Micros = 10_000;
-/// Between two checks of the idle connections.
-const SWEEP: Duration = Duration::from_millis(250);
-/// So many workers that are not ready are retained beside those that are.
+/// The interval between two checks for expired idle connections.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Workers that are not ready are removed from the table once they outnumber the ready ones by more than this.
 const MAX_UNREADY: usize = 4_096;
 
 struct Worker {
     address: SocketAddr,
     ready: bool,
-    /// Idle connections and since when, the newest last.
+    /// Idle connections and the time since when they are idle, newest last.
     idle: Vec<(Micros, Link)>,
 }
 
-/// How long an idle connection was last considered safe.
+/// An idle limit that was reduced after an idle connection was reset.
 #[derive(Clone, Copy)]
-struct SafeIdle {
-    span: Micros,
-    /// When it was cut to that.
-    cut_at: Micros,
+struct ReducedIdleLimit {
+    limit: Micros,
+    reduced_at: Micros,
 }
 
 /// All workers that discovery has named, and the connections to them.
 pub(crate) struct Workers {
     clock: Clock,
-    /// The most that a connection may be idle.
+    /// The upper bound of the idle limit: half of the time after which the workers close idle connections.
     max_idle: Micros,
-    /// How long a dial may take.
-    dial_limit: Duration,
-    all: RefCell<FxHashMap<Rc<str>, Worker>>,
-    /// How many of them are ready.
+    connect_timeout: Duration,
+    by_name: RefCell<FxHashMap<Rc<str>, Worker>>,
+    /// The number of ready workers.
     ready: Cell<usize>,
-    open: Rc<Cell<usize>>,
-    /// Attempts that were written whole.
+    /// The number of sockets that are open or being opened.
+    open_sockets: Rc<Cell<usize>>,
+    /// The number of attempts that were written in full.
     attempts: Cell<u64>,
-    /// The connections on which an update of the list may come now.
+    /// The connections on which an update of the endpoint list may arrive.
     watches: RefCell<Vec<Rc<Socket>>>,
-    /// Set where a connection that had been idle was reset.
-    safe_idle: Cell<Option<SafeIdle>>,
+    /// `None` until an idle connection has been reset.
+    reduced_idle_limit: Cell<Option<ReducedIdleLimit>>,
 }
 
 impl Workers {
-    /// No workers yet, under these settings.
+    /// Creates an empty table.
     pub(super) fn new(clock: Clock, settings: &Settings) -> Workers {
         Workers {
             clock,
             max_idle: (settings.idle_close / 2).as_micros(),
-            // Prevents settings without a limit, under which no dial would succeed.
-            dial_limit: match settings.connect_timeout {
-                Span::ZERO => DIAL,
+            // Zero means that no limit is set, and as a time-out would make every connection fail.
+            connect_timeout: match settings.connect_timeout {
+                Span::ZERO => DEFAULT_CONNECT_TIMEOUT,
                 limit => limit.as_duration(),
             },
-            all: RefCell::default(),
+            by_name: RefCell::default(),
             ready: Cell::new(0),
-            open: Rc::default(),
+            open_sockets: Rc::default(),
             attempts: Cell::new(0),
             watches: RefCell::default(),
-            safe_idle: Cell::new(None),
+            reduced_idle_limit: Cell::new(None),
         }
     }
 
-    /// Applies an update of the endpoint list; who is not in a snapshot has left. A delta costs as much as it
-    /// names, however many workers there are.
+    /// Applies an update of the endpoint list. Workers that a snapshot does not name are no longer ready. The cost of a
+    /// delta depends on its own length only, not on the number of workers.
     pub(crate) fn update<'a>(
         &self,
         kind: UpdateKind,
         list: impl Iterator<Item = (&'a Entry, SocketAddr)>,
     ) {
-        let mut all = self.all.borrow_mut();
+        let mut by_name = self.by_name.borrow_mut();
         let mut ready = self.ready.get();
         if kind == UpdateKind::Snapshot {
-            for worker in all.values_mut() {
+            for worker in by_name.values_mut() {
                 worker.ready = false;
             }
             ready = 0;
@@ -123,7 +124,7 @@
                 ready: false,
                 idle: Vec::new(),
             };
-            let worker = all.entry(entry.worker.clone()).or_insert_with(new);
+            let worker = by_name.entry(entry.worker.clone()).or_insert_with(new);
             if worker.address != address {
                 worker.idle.clear();
             }
@@ -136,14 +137,14 @@
             }
         }
         if kind == UpdateKind::Snapshot {
-            for worker in all.values_mut().filter(|worker| !worker.ready) {
+            for worker in by_name.values_mut().filter(|worker| !worker.ready) {
                 worker.idle.clear();
             }
         }
         self.ready.set(ready);
-        // Guards against a fleet whose machines are replaced for months, each with a new id.
-        if all.len() > 2 * ready + MAX_UNREADY {
-            all.retain(|_, worker| worker.ready);
+        // Bounds the table where machines are replaced over months, each with a new id.
+        if by_name.len() > 2 * ready + MAX_UNREADY {
+            by_name.retain(|_, worker| worker.ready);
         }
     }
 
@@ -151,36 +152,37 @@
         self.ready.get()
     }
 
-    pub(crate) fn any_ready(&self, which: impl Fn(&str) -> bool) -> bool {
-        self.all
+    /// Whether a ready worker's name satisfies the predicate.
+    pub(crate) fn any_ready(&self, predicate: impl Fn(&str) -> bool) -> bool {
+        self.by_name
             .borrow()
             .iter()
-            .any(|(name, worker)| worker.ready && which(name))
+            .any(|(name, worker)| worker.ready && predicate(name))
     }
 
-    /// Whether something new may go to a worker, as far as the list is concerned.
+    /// Whether the endpoint list allows new work to be sent to a worker.
     pub(crate) fn is_ready(&self, name: &str) -> bool {
-        self.address(name).is_some()
+        self.ready_address(name).is_some()
     }
 
-    /// Sockets to workers that are open or being opened.
+    /// The number of sockets to workers that are open or being opened.
     pub(crate) fn sockets(&self) -> usize {
-        self.open.get()
+        self.open_sockets.get()
     }
 
-    /// Attempts that were written whole, whatever became of them.
+    /// The number of attempts whose requests were written in full, whatever their outcome.
     pub(crate) fn attempts(&self) -> u64 {
         self.attempts.get()
     }
 
-    /// Updates of the list come on this connection for as long as the result lives.
+    /// Registers a connection on which updates of the endpoint list arrive, until the returned guard is dropped.
     pub(crate) fn track_watch(&self, link: &Link) -> OpenWatch<'_> {
         link.socket.has_unread_update.set(false);
         self.watches.borrow_mut().push(link.socket.clone());
         OpenWatch(self, link.socket.clone())
     }
 
-    /// Whether an update of the list has come that is not applied yet.
+    /// Whether an update of the endpoint list has arrived, or may have, that is not applied yet.
     fn has_unread_update(&self) -> bool {
         self.watches
             .borrow()
@@ -188,23 +190,23 @@
             .any(|s| s.has_unread_update.get() || s.may_have_unread_bytes())
     }
 
-    /// Where a worker was last, ready or not: only what asks it for nothing new goes there.
+    /// The last known address of a worker, ready or not. New work must not be sent there.
     fn last_address(&self, name: &str) -> Option<SocketAddr> {
-        self.all.borrow().get(name).map(|worker| worker.address)
+        self.by_name.borrow().get(name).map(|worker| worker.address)
     }
 
-    fn address(&self, name: &str) -> Option<SocketAddr> {
-        self.all
+    fn ready_address(&self, name: &str) -> Option<SocketAddr> {
+        self.by_name
             .borrow()
             .get(name)
             .filter(|worker| worker.ready)
             .map(|worker| worker.address)
     }
 
-    /// The newest idle connection to a worker that is still good.
+    /// Takes the newest idle connection to a worker that is still usable.
     fn take_idle(&self, counters: &WorkerCounters, name: &str) -> Option<Link> {
-        let mut all = self.all.borrow_mut();
-        let worker = all.get_mut(name)?;
+        let mut by_name = self.by_name.borrow_mut();
+        let worker = by_name.get_mut(name)?;
         while let Some((since, mut link)) = worker.idle.pop() {
             let idle = self.clock.now().saturating_sub(since);
             if idle < self.idle_limit() && !link.is_dead() && link.sender.is_ready() {
@@ -216,9 +218,10 @@
         None
     }
 
+    /// Returns a connection to the pool, or closes it if the worker is no longer ready or has another address.
     fn put_back(&self, name: &str, link: Link) {
         if let Some(worker) = self
-            .all
+            .by_name
             .borrow_mut()
             .get_mut(name)
             .filter(|worker| worker.ready && worker.address == link.address)
@@ -227,50 +230,52 @@
         }
     }
 
-    /// A slot for one more socket of so many: where there is none, the longest idle connection is evicted.
-    fn slot(&self, limit: usize) -> Option<Slot> {
-        if self.open.get() >= limit && !self.close_oldest() {
+    /// Reserves a socket within the budget `limit`. If the budget is used up, the connection that has been idle for
+    /// longest is closed to make room.
+    fn reserve_slot(&self, limit: usize) -> Option<SocketSlot> {
+        if self.open_sockets.get() >= limit && !self.close_oldest() {
             return None;
         }
-        Some(Slot::new(&self.open))
+        Some(SocketSlot::new(&self.open_sockets))
     }
 
-    /// Closes the connection that has been idle for longest; tells whether there was one.
+    /// Closes the connection that has been idle for longest. Returns false if there is no idle connection.
     pub(crate) fn close_oldest(&self) -> bool {
-        let mut all = self.all.borrow_mut();
-        let oldest = all
+        let mut by_name = self.by_name.borrow_mut();
+        let oldest = by_name
             .values_mut()
             .filter(|worker| !worker.idle.is_empty())
             .min_by_key(|worker| worker.idle[0].0);
         oldest.map(|worker| worker.idle.remove(0)).is_some()
     }
 
-    /// How long a connection may be idle, in microseconds: half of what the other side allows, or less for a while
-    /// where one that had been idle was reset. Prevents whatever lies between and forgets connections sooner
-    /// than the settings say from making a transfer indeterminate, and so failed.
+    /// How long a connection may be idle and be used again, in microseconds: half of the time that workers allow, and
+    /// less for a while after an idle connection was reset. A device on the path may forget connections sooner than the
+    /// settings say, and a request written to such a connection cannot be repeated safely, so it may fail.
     fn idle_limit(&self) -> Micros {
-        let Some(SafeIdle { span, cut_at }) = self.safe_idle.get() else {
+        let Some(ReducedIdleLimit { limit, reduced_at }) = self.reduced_idle_limit.get() else {
             return self.max_idle;
         };
-        let doublings = self.clock.now().saturating_sub(cut_at) as f64 / REGAIN as f64;
+        let elapsed = self.clock.now().saturating_sub(reduced_at);
+        let doublings = elapsed as f64 / IDLE_LIMIT_DOUBLING_TIME as f64;
         self.max_idle
-            .min((span as f64 * doublings.exp2()) as Micros)
+            .min((limit as f64 * doublings.exp2()) as Micros)
     }
 
-    /// A connection was reset that had been idle for so long.
-    fn cut_idle_limit(&self, idle: Micros) {
-        let span = self.idle_limit().min(idle) / 2;
-        self.safe_idle.set(Some(SafeIdle {
-            span: span.max(MIN_IDLE_LIMIT),
-            cut_at: self.clock.now(),
+    /// Reduces the idle limit after a connection was reset that had been idle for this time.
+    fn reduce_idle_limit(&self, idle: Micros) {
+        let limit = self.idle_limit().min(idle) / 2;
+        self.reduced_idle_limit.set(Some(ReducedIdleLimit {
+            limit: limit.max(MIN_IDLE_LIMIT),
+            reduced_at: self.clock.now(),
         }));
     }
 
-    /// Closes connections that have been idle for long enough.
+    /// Closes the connections that have reached the idle limit or were closed by the worker.
     fn close_expired(&self) {
         let now = self.clock.now();
         let limit = self.idle_limit();
-        for worker in self.all.borrow_mut().values_mut() {
+        for worker in self.by_name.borrow_mut().values_mut() {
             worker
                 .idle
                 .retain(|(since, link)| now < since + limit && !link.sender.is_closed());
@@ -278,7 +283,8 @@
     }
 }
 
-/// A call for the list under way. Its end is that of the turn in which what came is taken in.
+/// A call for the endpoint list that is under way. It is dropped in the same poll of the task in which the answer is
+/// applied.
 pub(crate) struct OpenWatch<'a>(&'a Workers, Rc<Socket>);
 
 impl Drop for OpenWatch<'_> {
@@ -290,17 +296,17 @@
     }
 }
 
-/// Where something new may go: a worker that is listed as ready, and that operators have not taken out.
-fn open_address(net: &Net, to: &str) -> Option<SocketAddr> {
+/// The address of a worker, if new work may be sent there: it is listed as ready and not excluded by an operator.
+fn eligible_address(net: &Net, to: &str) -> Option<SocketAddr> {
     net.workers
-        .address(to)
+        .ready_address(to)
         .filter(|_| !net.facade.borrow().is_excluded(to))
 }
 
-/// Closes connections that have been idle for long enough, for as long as the process runs.
+/// Closes expired idle connections at regular intervals, for as long as the process runs.
 pub(crate) async fn sweep(net: Rc<Net>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(SWEEP_INTERVAL).await;
         net.workers.close_expired();
     }
 }
--- a/crates/server/src/net/workers/probe.rs
+++ b/crates/server/src/net/workers/probe.rs
@@ -1,7 +1,6 @@
-//! What a worker is asked that is no job: its load, and what it knows of leases.
+//! Calls to workers that start no job: probes for their load, and queries about leases.
 //!
-//! It owns these calls and the reading of their answers. It must never bring a job, or wait without bound for
-//! a load.
+//! A probe has a time limit of its own. The caller of `consult` sets the limit for the answer.
 
 use std::rc::Rc;
 
@@ -13,41 +12,52 @@
 
 use super::super::answers::LEASE_TOKEN;
 use super::super::Net;
-use super::attempt::{connect, size_of};
+use super::attempt::{connect, encoded_len};
 use super::link::Link;
-use super::stream::{load_in, load_of, LoadForm, LONGEST_LINE};
+use super::stream::{load_from_headers, parse_load, LoadForm, MAX_LINE_BYTES};
 use oakshed_core::facade::{Ending, Micros, Report, Seen};
 
-/// Asks a worker for its load, where the decisions want it.
+/// Probes a worker for its load and reports the outcome to the facade.
 pub(crate) async fn probe(net: Rc<Net>, to: Rc<str>) {
-    let limit = 2 * net.workers.dial_limit;
-    let by = net.clock.now().saturating_add(limit.as_micros() as Micros);
-    match timeout(limit, probe_load(&net, &to, by)).await {
+    let limit = 2 * net.workers.connect_timeout;
+    let deadline = net.clock.now().saturating_add(limit.as_micros() as Micros);
+    match timeout(limit, probe_load(&net, &to, deadline)).await {
         Ok(Err(Ending::LocalFault)) => net.report(Seen::NotProbed(&to)),
         Ok(Ok(load)) => net.report(Seen::Probed(&to, load.is_some(), load)),
         Ok(Err(_)) | Err(_) => net.report(Seen::Probed(&to, false, None)),
     }
 }
 
-/// Its load, where it reports one; why it could not be probed.
-async fn probe_load(net: &Rc<Net>, to: &Rc<str>, by: Micros) -> Result<Option<Report>, Ending> {
+/// Connects to a worker and requests its load, which is `None` if it reports none. The error tells why there is no
+/// connection.
+async fn probe_load(
+    net: &Rc<Net>,
+    to: &Rc<str>,
+    deadline: Micros,
+) -> Result<Option<Report>, Ending> {
     let link = connect(net, to).await?;
-    Ok(request_load(net, to, by, link).await)
+    Ok(request_load(net, to, deadline, link).await)
 }
 
-async fn request_load(net: &Rc<Net>, to: &Rc<str>, by: Micros, mut link: Link) -> Option<Report> {
+/// Requests the load report, which may be in a header or in a JSON or text body.
+async fn request_load(
+    net: &Rc<Net>,
+    to: &Rc<str>,
+    deadline: Micros,
+    mut link: Link,
+) -> Option<Report> {
     let host = link.address.to_string();
     let request = Request::get("/status/load")
         .header(HOST, host)
         .body(Full::default())
         .ok()?;
-    link.guard_request(net, to, size_of(&request, 0), by, None);
+    link.guard_request(net, to, encoded_len(&request, 0), deadline, None);
     let response = link.sender.send_request(request).await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
     }
-    let in_head = load_in(response.headers());
-    let body = http_body_util::Limited::new(response.into_body(), LONGEST_LINE)
+    let in_headers = load_from_headers(response.headers());
+    let body = http_body_util::Limited::new(response.into_body(), MAX_LINE_BYTES)
         .collect()
         .await
         .ok()?
@@ -60,13 +70,13 @@
             .ok()
             .map(Report::from)
     };
-    in_head
+    in_headers
         .or_else(in_json)
-        .or_else(|| std::str::from_utf8(&body).ok().map(load_of))
+        .or_else(|| std::str::from_utf8(&body).ok().map(parse_load))
 }
 
-/// Asks a worker something that is no job, on a connection of its own; tells its answer's body where
-/// that is a 200. It need not be ready: a draining one still knows of what it has.
+/// Sends a worker a query about leases, on a new connection, and returns the body of the answer if its status is 200.
+/// The worker need not be ready: one that is draining still knows its leases.
 pub(crate) async fn consult(
     net: &Net,
     to: &str,
@@ -75,8 +85,8 @@
     body: Bytes,
 ) -> Option<Bytes> {
     let address = net.workers.last_address(to)?;
-    let slot = net.workers.slot(net.socket_share())?;
-    let mut link = timeout(net.workers.dial_limit, Link::open(address, Some(slot)))
+    let slot = net.workers.reserve_slot(net.socket_share())?;
+    let mut link = timeout(net.workers.connect_timeout, Link::open(address, Some(slot)))
         .await
         .ok()?
         .ok()?;
@@ -89,7 +99,7 @@
     if response.status() != StatusCode::OK {
         return None;
     }
-    let body = http_body_util::Limited::new(response.into_body(), 2 * LONGEST_LINE)
+    let body = http_body_util::Limited::new(response.into_body(), 2 * MAX_LINE_BYTES)
         .collect()
         .await;
     Some(body.ok()?.to_bytes())
--- a/crates/server/src/net/workers/stream.rs
+++ b/crates/server/src/net/workers/stream.rs
@@ -1,7 +1,6 @@
-//! The form of a job's stream, and of what workers say of their load.
+//! The wire formats that workers send: the lines of a job stream, and load reports.
 //!
-//! It owns the reading of both, and the longest line. It must never act on what it reads: it uses no other
-//! part.
+//! This module only parses; it depends on no other part of the server.
 
 use std::borrow::Cow;
 
@@ -11,13 +10,13 @@
 use serde::Deserialize;
 use serde_json::value::RawValue;
 
-/// The longest line of a job's stream, and the most of an answer that is buffered before it is read: no body
-/// on the platform is longer. Guards against heads without bound, as many as there are connections.
-pub(super) const LONGEST_LINE: usize = 64 << 10;
+/// The size limit of a line of a job stream, and of hyper's buffer for each connection, which bounds the memory that
+/// response headers can take. No body on the platform is longer.
+pub(super) const MAX_LINE_BYTES: usize = 64 << 10;
 
 static SRV_LOAD: HeaderName = HeaderName::from_static("srv-load");
 
-/// One line of a job's stream.
+/// One line of a job stream.
 #[derive(Deserialize)]
 pub(super) struct Line<'a> {
     #[serde(borrow)]
@@ -29,7 +28,7 @@
     pub(super) load: Option<LoadForm>,
 }
 
-/// A result's bytes: the text of a string, or any other value as it stands.
+/// The bytes of a result: the contents of a JSON string, or the JSON text of any other value.
 pub(super) fn result_bytes(result: &RawValue) -> Option<Bytes> {
     let text = result.get();
     if !text.starts_with('"') {
@@ -38,7 +37,7 @@
     serde_json::from_str::<String>(text).ok().map(Bytes::from)
 }
 
-/// A load report; what is absent or no number is left out.
+/// The JSON form of a load report. Every field is optional.
 #[derive(Default, Deserialize)]
 #[serde(default)]
 pub(super) struct LoadForm {
@@ -67,8 +66,9 @@
     }
 }
 
-/// A report in its text form: `TEXT inflight=7, queue=2`.
-pub(super) fn load_of(text: &str) -> Report {
+/// Parses the text form of a load report: `TEXT inflight=7, queue=2`. Unknown names and values that are not numbers are
+/// ignored.
+pub(super) fn parse_load(text: &str) -> Report {
     let mut form = LoadForm::default();
     for (name, value) in text
         .split([' ', ','])
@@ -86,6 +86,7 @@
     form.into()
 }
 
-pub(super) fn load_in(headers: &HeaderMap) -> Option<Report> {
-    headers.get(&SRV_LOAD)?.to_str().ok().map(load_of)
+/// The load report of the `srv-load` header.
+pub(super) fn load_from_headers(headers: &HeaderMap) -> Option<Report> {
+    headers.get(&SRV_LOAD)?.to_str().ok().map(parse_load)
 }
--- a/crates/server/src/net/workers/stream_reader.rs
+++ b/crates/server/src/net/workers/stream_reader.rs
@@ -1,7 +1,7 @@
-//! The reading of a job's stream, line by line, up to its final line.
+//! Reads a job stream line by line up to its final line, and decides what each line means for the attempt.
 //!
-//! It owns what each line means for the attempt. It must never believe a line of another request, or buffer a line
-//! without bound.
+//! A stream with a line that is too long, malformed or for another request is discarded, and the attempt counts as
+//! dropped.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -9,25 +9,25 @@
 
 use super::super::forwarded_request::ForwardedRequest;
 use super::super::Net;
-use super::attempt::{AttemptObserver, Dispatch, Ended};
+use super::attempt::{AttemptEnd, AttemptObserver, Dispatch};
 use super::link::Link;
-use super::stream::{result_bytes, Line, LONGEST_LINE};
+use super::stream::{result_bytes, Line, MAX_LINE_BYTES};
 use oakshed_core::facade::{Ending, Report};
 
 impl<W: AttemptObserver + Copy> Dispatch<W> {
-    /// Reads the lines of a job's stream up to the final one.
-    pub(super) async fn read_stream(&self, link: Link, mut body: Incoming) -> Ended {
+    /// Reads the lines of a job stream up to the final one.
+    pub(super) async fn read_stream(&self, link: Link, mut body: Incoming) -> AttemptEnd {
         let mut buffer = BytesMut::new();
-        let mut begun = false;
+        let mut has_started = false;
         while let Some(Ok(frame)) = body.frame().await {
             let Ok(data) = frame.into_data() else {
                 continue;
             };
             buffer.extend_from_slice(&data);
             while let Some(line) = next_line(&mut buffer) {
-                match read_line(&self.net, &self.forwarded, &line, begun) {
+                match read_line(&self.net, &self.forwarded, &line, has_started) {
                     LineMeaning::Alive { started } => {
-                        begun = true;
+                        has_started = true;
                         self.observer.alive(&self.net, started);
                     }
                     LineMeaning::Unknown => {}
@@ -37,16 +37,16 @@
                         result,
                         load,
                     } => {
-                        return Ended {
+                        return AttemptEnd {
                             ending,
                             result,
                             load,
-                            rest: Some((link, body)),
+                            reusable: Some((link, body)),
                         }
                     }
                 }
             }
-            if buffer.len() > LONGEST_LINE {
+            if buffer.len() > MAX_LINE_BYTES {
                 self.net.counters.workers.malformed_lines.increment();
                 return Ending::Dropped.into();
             }
@@ -56,7 +56,7 @@
     }
 }
 
-/// Takes the next line that is not empty out of the buffer, where there is one to its end.
+/// Removes the next complete line that is not blank from the buffer.
 fn next_line(buffer: &mut BytesMut) -> Option<BytesMut> {
     loop {
         let line_end = buffer.iter().position(|byte| *byte == b'\n')?;
@@ -67,9 +67,9 @@
     }
 }
 
-/// What a line of a job's stream says.
+/// The meaning of a line of a job stream.
 enum LineMeaning {
-    /// The job has started, or goes on.
+    /// The job has started, or is still running.
     Alive { started: bool },
     /// The job has ended.
     Final {
@@ -77,19 +77,24 @@
         result: Option<Bytes>,
         load: Option<Report>,
     },
-    /// A state that a later version may send.
+    /// A state that this version does not know, which is ignored.
     Unknown,
-    /// Malformed, or of another request: nothing of this stream is believed.
+    /// The line is malformed or for another request, so the stream is not trusted.
     Unusable,
 }
 
-/// Reads one line; `begun` says whether the job was said to run before it.
-fn read_line(net: &Net, forwarded: &ForwardedRequest, text: &[u8], begun: bool) -> LineMeaning {
+/// Parses one line. `has_started` says whether an earlier line reported the job as started or running.
+fn read_line(
+    net: &Net,
+    forwarded: &ForwardedRequest,
+    text: &[u8],
+    has_started: bool,
+) -> LineMeaning {
     let Ok(line) = serde_json::from_slice::<Line>(text) else {
         net.counters.workers.malformed_lines.increment();
         return LineMeaning::Unusable;
     };
-    // Only what a worker made for this very request may be served.
+    // A result for another request must never be served.
     if line.id.as_bytes() != forwarded.id.as_bytes() {
         net.counters.workers.wrong_id_lines.increment();
         return LineMeaning::Unusable;
@@ -107,8 +112,8 @@
             Ending::Delivered
         }
         "failed" => Ending::Error,
-        "returned" if !begun => Ending::Declined,
-        // Handed back though it was said to run: indeterminate.
+        "returned" if !has_started => Ending::Declined,
+        // Returned after the worker had reported it as started: it may have run.
         "returned" => Ending::Dropped,
         "lost" => {
             net.counters.workers.lost_jobs.increment();
--- a/crates/server/src/net/workers/tests.rs
+++ b/crates/server/src/net/workers/tests.rs
@@ -1,7 +1,7 @@
-//! Tests of what no socket test can reach: a request written in part, a connection that ends unseen, a process that is
-//! paused between the building of a request and its write.
+//! Tests of cases that cannot be brought about from outside the process: a request written in part, a connection closed
+//! before hyper notices, and a process paused between building a request and writing it.
 //!
-//! It owns the table and the connections it tests, on loopback ports. It must never need a worker's answer.
+//! They use loopback sockets, and no test needs an answer of a worker.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -20,15 +20,15 @@
 
 use super::super::forwarded_request::ForwardedRequest;
 use super::super::{Clock, Net};
-use super::attempt::{size_of, Sent};
+use super::attempt::{encoded_len, WriteProgress};
 use super::client::{Cancellation, ClientConnection};
 use super::link::Link;
 use crate::config::Config;
 use crate::list::UpdateKind;
 use oakshed_core::facade::{Condition, Entry, Facade};
 
-/// Guards against a cut-off request that counts as sent, which a transfer pays for with a failure, and
-/// against one that counts as unsent though all of it was written, which would run it twice.
+/// A partly written request that counted as sent would make a transfer fail without need; a complete one that counted
+/// as unsent would be run twice.
 #[test]
 fn a_partly_written_request_is_distinguished_from_a_complete_one() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -51,10 +51,10 @@
             .header(HOST, "x")
             .header(CONTENT_LENGTH, body.len());
         let request = request.body(Full::new(body.clone())).expect("a request");
-        let end = size_of(&request, body.len());
-        let sent = Sent(RefCell::new(Some((link.socket.clone(), end))));
+        let end = encoded_len(&request, body.len());
+        let progress = WriteProgress(RefCell::new(Some((link.socket.clone(), end))));
         let mut response = std::pin::pin!(link.sender.send_request(request));
-        // The peer reads nothing: what the system takes comes to a stand.
+        // The peer reads nothing, so that the socket buffers fill up and writing stops.
         let mut last = 0;
         while last == 0 || link.socket.written.get() > last {
             last = link.socket.written.get();
@@ -62,22 +62,25 @@
                 .await
                 .is_err());
         }
-        assert!(last < end && !sent.in_full(), "{last} of {end} bytes");
+        assert!(
+            last < end && !progress.is_complete(),
+            "{last} of {end} bytes"
+        );
         std::thread::spawn(move || std::io::copy(&mut peer, &mut std::io::sink()));
         let start = std::time::Instant::now();
-        while !sent.in_full() {
+        while !progress.is_complete() {
             assert!(
                 start.elapsed() < Duration::from_secs(20),
                 "never written in full"
             );
             _ = timeout(Duration::from_millis(10), response.as_mut()).await;
         }
-        assert_eq!(link.socket.written.get(), end, "it is as long as reckoned");
+        assert_eq!(link.socket.written.get(), end, "the computed length");
     });
 }
 
-/// A reused connection may have ended without hyper knowing yet: a transfer written to
-/// it would be indeterminate, and failed.
+/// The peer may close an idle connection before hyper notices. A transfer written to it would be indeterminate, and so
+/// fail.
 #[test]
 fn a_closed_connection_is_detected_before_hyper_knows() {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -91,28 +94,28 @@
         link.sender.ready().await.expect("ready");
         assert!(!link.is_dead());
         drop(listener.accept().expect("accepted"));
-        // Nothing is awaited from here on, so that hyper has no chance to read.
+        // Nothing is awaited from here on, so that hyper cannot read from the socket.
         let start = std::time::Instant::now();
         while !link.is_dead() {
             assert!(
                 start.elapsed() < Duration::from_secs(20),
-                "its end was never noticed"
+                "the close was not detected"
             );
         }
         assert!(!link.sender.is_closed());
-        let net = net_with(address);
+        let net = net_with_worker(address);
         net.workers.put_back("s-1", link);
         assert!(
             net.workers
                 .take_idle(&net.counters.workers, "s-1")
                 .is_none(),
-            "it is used again"
+            "a closed connection is reused"
         );
         assert_eq!(net.counters.workers.dead_idle.get(), 1);
     });
 }
 
-/// What the parts share, without a listener or a task.
+/// The server's shared state, without a listener or tasks.
 fn net() -> Rc<Net> {
     let path = oakshed_standin::config("127.0.0.1:9".parse().expect("an address"), "null", 1_024);
     let var = |name: &str| {
@@ -127,8 +130,8 @@
     Rc::new(Net::new(config, Clock::new(), facade, None))
 }
 
-/// The same, with one worker in its list.
-fn net_with(address: SocketAddr) -> Rc<Net> {
+/// The same, with one worker in the endpoint list.
+fn net_with_worker(address: SocketAddr) -> Rc<Net> {
     let net = net();
     let (worker, condition) = ("s-1".into(), Condition::Active);
     let entry = Entry {
@@ -145,8 +148,8 @@
     net
 }
 
-/// Runs a test's network part on this thread.
-fn on_this_thread(test: impl std::future::Future<Output = ()>) {
+/// Runs a future on this thread, with a runtime of its own.
+fn block_on_local(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -154,7 +157,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-/// What goes to a worker for a client that waits so long yet.
+/// A request to a worker whose client waits for `wait` from now.
 fn forwarded(net: &Net, wait: Duration) -> ForwardedRequest {
     let headers = HeaderMap::from_iter([(HOST, HeaderValue::from_static("x"))]);
     let (target, id) = (
@@ -174,52 +177,46 @@
     }
 }
 
-/// Builds a request and sends it after a moment in which the process is paused; returns whether it went out.
+/// Builds a request, runs `pause` in place of a pause of the process, and sends the request. Returns whether it was
+/// written.
 async fn send_after_pause(
     net: &Rc<Net>,
     link: &mut Link,
     forwarded: &ForwardedRequest,
     cancellation: Cancellation,
-    held_up: impl FnOnce(),
+    pause: impl FnOnce(),
 ) -> bool {
     let request = forwarded.request(net.clock.now()).expect("a request");
-    let size = size_of(&request, forwarded.body.len());
+    let size = encoded_len(&request, forwarded.body.len());
     let job = Some((forwarded.deadline, Rc::new(cancellation)));
     let end = link.guard_request(net, &"s-1".into(), size, forwarded.deadline, job);
     let response = link.sender.send_request(request);
-    held_up();
-    _ = timeout(Duration::from_millis(100), response).await; // nobody answers
+    pause();
+    _ = timeout(Duration::from_millis(100), response).await; // no worker answers
     link.socket.written.get() == end
 }
 
-/// Guards against a worker that is sent the time which its client had when the request was built.
+/// The worker must be told the time that its client has left when the request is written, not when it was built.
 #[test]
 fn the_deadline_sent_is_what_is_left_as_the_head_is_written() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
-    on_this_thread(async {
-        let net = net_with(address);
-        // In as many digits as before, and in fewer.
+    block_on_local(async {
+        let net = net_with_worker(address);
+        // The value after the pause has as many digits as before, or fewer.
         for wait in [5_000, 1_100, 130] {
             let mut link = Link::dial(address).await.expect("a connection");
             let (peer, _) = listener.accept().expect("accepted");
             let forwarded = forwarded(&net, Duration::from_millis(wait));
-            let held_up = || std::thread::sleep(Duration::from_millis(wait.min(400) / 2));
+            let pause = || std::thread::sleep(Duration::from_millis(wait.min(400) / 2));
             let left_before = forwarded.deadline - net.clock.now();
             assert!(
-                send_after_pause(
-                    &net,
-                    &mut link,
-                    &forwarded,
-                    Cancellation::default(),
-                    held_up
-                )
-                .await
+                send_after_pause(&net, &mut link, &forwarded, Cancellation::default(), pause).await
             );
             let message = Message::read(&mut BufReader::new(peer)).expect("a request");
             let sent: u64 = message
                 .field("req-deadline-ms")
-                .expect("a time")
+                .expect("a deadline")
                 .parse()
                 .expect("a number");
             let most = left_before / 1_000 - wait.min(400) / 2;
@@ -229,42 +226,36 @@
     });
 }
 
-/// Guards against an attempt that begins over 0.1 s after its client has given up, where the process is paused for
-/// 0.15 s right after its look at the clock: with under 50 ms left nothing begins.
+/// Guards against an attempt that begins more than 0.1 s after its client has given up, because the process is paused
+/// for 0.15 s right after it has checked the clock. With less than 50 ms left, nothing is begun.
 #[test]
-fn nothing_begins_so_late_that_a_paused_process_would_write_after_the_grace() {
+fn attempt_is_not_begun_if_a_pause_could_delay_its_write_beyond_the_grace() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
-    on_this_thread(async {
-        let net = net_with(address);
+    block_on_local(async {
+        let net = net_with_worker(address);
         for (spent, begins) in [(0, true), (470, false)] {
             let mut link = Link::dial(address).await.expect("a connection");
             let forwarded = forwarded(&net, Duration::from_millis(500));
-            let held_up = || std::thread::sleep(Duration::from_millis(spent));
-            let began = send_after_pause(
-                &net,
-                &mut link,
-                &forwarded,
-                Cancellation::default(),
-                held_up,
-            )
-            .await;
+            let pause = || std::thread::sleep(Duration::from_millis(spent));
+            let began =
+                send_after_pause(&net, &mut link, &forwarded, Cancellation::default(), pause).await;
             assert_eq!(began, begins, "after {spent} ms of 500");
         }
     });
 }
 
-/// Guards against an attempt that begins for a client whose close the runtime does not know yet.
+/// The client may close its connection before the runtime notices; no attempt is begun for it then.
 #[test]
 fn nothing_is_written_for_a_client_that_disconnected_while_the_process_was_paused() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("its address");
     let clients = TcpListener::bind("127.0.0.1:0").expect("a port");
     type Disconnect = fn(std::net::TcpStream);
-    let ways: [(&str, Disconnect, bool); 6] = [
+    let cases: [(&str, Disconnect, bool); 6] = [
         ("stays", std::mem::forget, true),
         (
-            "sends ahead and stays",
+            "sends another request and stays",
             |mut client| {
                 client.write_all(b"POST /").expect("written");
                 std::mem::forget(client);
@@ -273,7 +264,7 @@
         ),
         ("closes", drop, false),
         (
-            "ends its sending",
+            "shuts down its sending side",
             |client| {
                 client.shutdown(Shutdown::Write).expect("ended");
                 std::mem::forget(client);
@@ -290,16 +281,16 @@
             false,
         ),
         (
-            "sends ahead and closes",
+            "sends another request and closes",
             |mut client| client.write_all(b"POST /").expect("written"),
             false,
         ),
     ];
-    on_this_thread(async {
-        let net = net_with(address);
-        for (name, leave, begins) in ways {
-            let client =
-                std::net::TcpStream::connect(clients.local_addr().expect("it")).expect("connected");
+    block_on_local(async {
+        let net = net_with_worker(address);
+        for (name, disconnect, begins) in cases {
+            let client = std::net::TcpStream::connect(clients.local_addr().expect("its address"))
+                .expect("connected");
             let (accepted, _) = clients.accept().expect("accepted");
             accepted.set_nonblocking(true).expect("set");
             let stream = Rc::new(RefCell::new(
@@ -309,22 +300,21 @@
             let mut link = Link::dial(address).await.expect("a connection");
             let (mut peer, _) = listener.accept().expect("accepted");
             let forwarded = forwarded(&net, Duration::from_secs(5));
-            let held_up = || {
-                leave(client);
+            let pause = || {
+                disconnect(client);
                 until(name, || cancellation().is_cancelled() != begins);
             };
-            let began =
-                send_after_pause(&net, &mut link, &forwarded, cancellation(), held_up).await;
+            let began = send_after_pause(&net, &mut link, &forwarded, cancellation(), pause).await;
             drop(link);
-            // The connection's end needs this thread.
-            let came = tokio::task::spawn_blocking(move || {
-                let mut came = Vec::new();
-                peer.read_to_end(&mut came).expect("all of it");
-                came
+            // On another thread, because this one has to close the connection.
+            let received = tokio::task::spawn_blocking(move || {
+                let mut received = Vec::new();
+                peer.read_to_end(&mut received).expect("the end of stream");
+                received
             });
-            let came = came.await.expect("read");
+            let received = received.await.expect("read");
             assert_eq!(
-                (began, !came.is_empty()),
+                (began, !received.is_empty()),
                 (begins, begins),
                 "a client that {name}"
             );
--- a/crates/server/src/net/workers/write_guard.rs
+++ b/crates/server/src/net/workers/write_guard.rs
@@ -1,8 +1,8 @@
-//! The pre-write check: whether the bytes of an attempt may still be written.
+//! The check, immediately before each write to a socket, whether the bytes of a request may still be written.
 //!
-//! It owns what is asked at its first byte and at each further one: however long the dial took, the process
-//! stood still, or the list came in the same turn of the loop. It must never write what is closed, or keep
-//! anything waiting beyond its turns.
+//! Connecting may have taken long, the process may have been paused, or an update of the endpoint list may have arrived
+//! in the same iteration of the event loop. Before the first byte the worker must still be eligible and the request not
+//! cancelled; before every byte its deadline must not have passed.
 
 use std::borrow::Cow;
 use std::future::Future;
@@ -16,80 +16,89 @@
 use super::super::Net;
 use super::client::Cancellation;
 use super::deadline::DeadlineField;
-use super::open_address;
+use super::eligible_address;
 use oakshed_core::facade::{Micros, LONGEST_STALL};
 
-/// Turns of the loop that an unread update of the list is given to be read and applied: hyper and the watch hand
-/// it to one another some times. Bounded, as half an answer may be all that has come.
-const TURNS: u32 = 8;
+/// How often a write yields to let an unread update of the endpoint list be read and applied, for which hyper and the
+/// watch need several polls. Bounded, because only a part of the update may have arrived.
+const MAX_YIELDS: u32 = 8;
 
-/// How long after its client has given up an attempt may still begin.
+/// How long after its client has given up an attempt may still begin, in microseconds.
 const BEGIN_GRACE: Micros = 100_000;
-/// An attempt has at least the time there is, divided by this, to begin in: guards against margins that leave it none.
-const LEAST_DIVISOR: Micros = 2;
+/// The safety margin takes at most the remaining time divided by this, so that short deadlines leave time to begin.
+const MARGIN_DIVISOR: Micros = 2;
 
-/// Until when an attempt may begin that is made now and has until `by`: a process that is paused right after its
-/// reading of the clock is still in time then.
-pub(super) fn begin_by(now: Micros, by: Micros) -> Micros {
-    let left = by.saturating_sub(now);
-    by - (LONGEST_STALL.as_micros() - BEGIN_GRACE).min(left / LEAST_DIVISOR)
+/// The time by which an attempt made at `now` must begin: if the process is paused for `LONGEST_STALL` right after it
+/// has checked the clock, the first byte is still written within `BEGIN_GRACE` of `write_deadline`.
+pub(super) fn begin_deadline(now: Micros, write_deadline: Micros) -> Micros {
+    let left = write_deadline.saturating_sub(now);
+    write_deadline - (LONGEST_STALL.as_micros() - BEGIN_GRACE).min(left / MARGIN_DIVISOR)
 }
 
-/// What the bytes of one attempt have to pass.
+/// The conditions for writing one request.
 pub(super) struct WriteGuard {
     pub(super) net: Rc<Net>,
+    /// The worker's name.
     pub(super) to: Rc<str>,
     pub(super) address: SocketAddr,
-    /// How many bytes its connection had written before it, and where it ends.
+    /// The socket's byte count at the start of the request.
     pub(super) start: u64,
+    /// The socket's byte count at the end of the request.
     pub(super) end: u64,
-    /// Its first byte leaves before then, and nothing more does from `by` on.
-    pub(super) begin_by: Micros,
-    pub(super) by: Micros,
-    /// It does not begin once whoever it is for wants it no more.
+    /// The first byte must be written before this time.
+    pub(super) begin_deadline: Micros,
+    /// No byte is written from this time on.
+    pub(super) write_deadline: Micros,
+    /// A cancelled request is not begun.
     pub(super) cancellation: Rc<Cancellation>,
-    /// The deadline that is sent, for a job; what else there is has none. A job is counted once it is written whole.
+    /// The deadline header of a job; `None` for other calls, which are not counted as attempts either.
     pub(super) deadline: Option<DeadlineField>,
-    pub(super) turns: Option<u32>,
-    pub(super) turn: Option<Pin<Box<dyn Future<Output = ()>>>>,
+    /// How many times to yield before the first byte; `None` until that is determined.
+    pub(super) yields_left: Option<u32>,
+    pub(super) current_yield: Option<Pin<Box<dyn Future<Output = ()>>>>,
 }
 
 impl WriteGuard {
-    /// Whether the next byte may leave, where the connection has written so many.
+    /// Whether the next byte may be written, given the socket's byte count.
     pub(super) fn poll(&mut self, written: u64, cx: &mut Context<'_>) -> Poll<bool> {
         let first = written == self.start;
         if first {
-            // Once for each attempt: an update may lie there unread, and counts as notified.
-            let unread = || {
+            // An update that has arrived counts as notified even if it is unread, so it is applied first. Checked once
+            // for each request.
+            let yields_needed = || {
                 if self.net.workers.has_unread_update() {
-                    TURNS
+                    MAX_YIELDS
                 } else {
                     0
                 }
             };
-            let mut turns = self.turns.unwrap_or_else(unread);
-            self.turns = Some(turns);
-            while turns > 0 {
+            let mut yields_left = self.yields_left.unwrap_or_else(yields_needed);
+            self.yields_left = Some(yields_left);
+            while yields_left > 0 {
                 ready!(self
-                    .turn
+                    .current_yield
                     .get_or_insert_with(|| Box::pin(yield_now()))
                     .as_mut()
                     .poll(cx));
-                turns -= 1;
-                self.turn = None;
-                self.turns = Some(turns);
+                yields_left -= 1;
+                self.current_yield = None;
+                self.yields_left = Some(yields_left);
             }
         }
-        // The client last: nothing is closer to the write.
-        let listed = || open_address(&self.net, &self.to) == Some(self.address);
-        let begins = || listed() && !self.cancellation.is_cancelled();
-        let limit = if first { self.begin_by } else { self.by };
-        Poll::Ready(self.net.clock.now() < limit && (!first || begins()))
+        // The client's connection is checked last, as close to the write as possible.
+        let is_eligible = || eligible_address(&self.net, &self.to) == Some(self.address);
+        let may_begin = || is_eligible() && !self.cancellation.is_cancelled();
+        let limit = if first {
+            self.begin_deadline
+        } else {
+            self.write_deadline
+        };
+        Poll::Ready(self.net.clock.now() < limit && (!first || may_begin()))
     }
 
-    /// What is to be written in place of these bytes, where the connection has written so many: the deadline is that
-    /// of this moment.
-    pub(super) fn update<'a>(&mut self, written: u64, bytes: &'a [u8]) -> Cow<'a, [u8]> {
+    /// Returns the bytes to write in place of `bytes`, given the socket's byte count: the deadline header is updated to
+    /// the time that remains now.
+    pub(super) fn update_deadline<'a>(&mut self, written: u64, bytes: &'a [u8]) -> Cow<'a, [u8]> {
         match &mut self.deadline {
             Some(field) => {
                 field.update(self.net.clock.now(), (written - self.start) as usize, bytes)
@@ -98,7 +107,7 @@
         }
     }
 
-    /// It is written whole.
+    /// Called when the request has been written in full; counts it if it is a job.
     pub(super) fn complete(self) {
         let attempts = &self.net.workers.attempts;
         attempts.set(attempts.get() + u64::from(self.deadline.is_some()));
