--- a/crates/server/src/net/discovery/tests.rs
+++ b/crates/server/src/net/discovery/tests.rs
@@ -155,8 +155,8 @@
     });
 }
 
-/// Guards against schedulers that start together without a list and overload discovery, which serves one call at a
-/// time: they would be ready late, and fetch the whole list several times each.
+/// Schedulers that start together without a list may overload discovery, which serves one call at a time. They would be
+/// ready late, and fetch the whole list several times each.
 #[test]
 fn nine_in_ten_of_hundreds_have_a_list_within_ten_seconds() {
     for service_ms in [5, 20] {
@@ -184,8 +184,8 @@
     }
 }
 
-/// Guards against schedulers that start together with a cached list and spread their first calls over the longer span
-/// of those that have none: with a list they call within `Settings::poll_quarter`.
+/// Schedulers that start with a cached list must spread their first calls over `Settings::poll_quarter`, not over the
+/// longer span of those that have no list.
 #[test]
 fn cached_lists_of_hundreds_are_confirmed_within_a_quarter_and_the_service_time() {
     in_virtual_time(async {
