--- a/crates/server/src/net/workers/probe.rs
+++ b/crates/server/src/net/workers/probe.rs
@@ -1,4 +1,4 @@
-//! Calls to workers that start no job: probes for their load, and queries about leases.
+//! Calls to workers that start no job: probes for their load, and calls to their lease endpoints.
 //!
 //! A probe has a time limit of its own. The caller of `consult` sets the limit for the answer.
 
@@ -75,8 +75,8 @@
         .or_else(|| std::str::from_utf8(&body).ok().map(parse_load))
 }
 
-/// Sends a worker a query about leases, on a new connection, and returns the body of the answer if its status is 200.
-/// The worker need not be ready: one that is draining still knows its leases.
+/// Calls a lease endpoint of a worker on a new connection, and returns the body of the answer if its status is 200. The
+/// worker need not be ready: one that is draining still knows its leases.
 pub(crate) async fn consult(
     net: &Net,
     to: &str,
