--- a/crates/server/src/net/front/lingering_close.rs
+++ b/crates/server/src/net/front/lingering_close.rs
@@ -1,7 +1,8 @@
-//! The end of a connection that was accepted: the one way in which each is closed, a client's or an operator's.
+//! Closes an accepted connection without losing the response that was written last.
 //!
-//! It owns what is done between the last byte of ours and the close. It must never pass on what it reads, or
-//! wait for a client without bound.
+//! Closing a socket with unread bytes resets the connection, which can destroy a response that is still in transit. So
+//! after the last write the sending side is shut down, and input is read and discarded for a bounded time until the
+//! client closes too. Connections of clients and of operators are closed this way.
 
 use std::io;
 use std::time::Duration;
@@ -13,49 +14,49 @@
 use super::super::reader::MOST_THROWN_AWAY;
 use super::super::transient::is_transient;
 
-/// For how long a client is still read from once nothing more is sent to it.
-const LINGER: Duration = Duration::from_millis(200);
-/// The pause before a call that failed for a moment is repeated.
-const PAUSE: Duration = Duration::from_millis(1);
+/// The longest time for which input is discarded before the connection is closed.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+/// The delay before a read or write is retried after a transient error.
+const RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// Says what is still to be said, ends sending, reads on until the client ends too, and lets the connection go then;
-/// `by` at the latest. What is read is thrown away: the client sees the end without an answer, and sends it anew
-/// elsewhere. Guards against a close over unread bytes, which resets the connection, and takes along an answer that
-/// is still on its way.
+/// Writes `final_response`, shuts down the sending side, then discards input until the client closes the connection or
+/// the time is over, at `by` at the latest. A client whose request is discarded sees the connection end without a
+/// response and can send the request again elsewhere.
 pub(crate) async fn lingering_close(
     stream: &TcpStream,
     final_response: &[u8],
     by: Option<Instant>,
 ) {
-    let limit = Instant::now() + LINGER;
-    let whole = async {
+    let limit = Instant::now() + LINGER_TIMEOUT;
+    let close = async {
         write_all(stream, final_response).await;
-        // Where the client has disconnected meanwhile there is nothing to end.
+        // Fails if the client has disconnected meanwhile; there is nothing left to shut down then.
         _ = end_sending(stream);
-        throw_away(stream).await;
+        discard_input(stream).await;
     };
-    _ = tokio::time::timeout_at(by.map_or(limit, |by| by.min(limit)), whole).await;
+    _ = tokio::time::timeout_at(by.map_or(limit, |by| by.min(limit)), close).await;
 }
 
-/// Writes all of it, in as many pieces as the system takes, unless the connection fails.
-async fn write_all(stream: &TcpStream, mut text: &[u8]) {
-    while !text.is_empty() && stream.writable().await.is_ok() {
-        match stream.try_write(text) {
-            Ok(written) => text = &text[written..],
-            Err(e) if is_transient(&e) => sleep(PAUSE).await,
+/// Writes all bytes, or as many as possible before the connection fails.
+async fn write_all(stream: &TcpStream, mut bytes: &[u8]) {
+    while !bytes.is_empty() && stream.writable().await.is_ok() {
+        match stream.try_write(bytes) {
+            Ok(written) => bytes = &bytes[written..],
+            Err(e) if is_transient(&e) => sleep(RETRY_DELAY).await,
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
             Err(_) => return,
         }
     }
 }
 
-async fn throw_away(stream: &TcpStream) {
+/// Reads and discards input until its end, an error, or the limit on discarded bytes.
+async fn discard_input(stream: &TcpStream) {
     let mut buffer = vec![0; 16 << 10];
-    let mut left = MOST_THROWN_AWAY;
+    let mut remaining = MOST_THROWN_AWAY;
     while stream.readable().await.is_ok() {
         match stream.try_read(&mut buffer) {
-            Ok(n) if (1..left).contains(&n) => left -= n,
-            Err(e) if is_transient(&e) => sleep(PAUSE).await,
+            Ok(n) if (1..remaining).contains(&n) => remaining -= n,
+            Err(e) if is_transient(&e) => sleep(RETRY_DELAY).await,
             Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
             _ => return,
         }
