--- a/crates/server/src/net/durable/clients.rs
+++ b/crates/server/src/net/durable/clients.rs
@@ -1,7 +1,7 @@
-//! The clients of durable jobs: their submissions, queries of a job, and its cancellation.
+//! Serves client requests for durable jobs: submission, status queries and cancellation.
 //!
-//! It owns the form of their requests and answers. It must never promise what is not durable, or decide what
-//! a job gets.
+//! A response never reports a job as accepted or answered before the records that prove this are on disk. What happens
+//! to a job is decided by the state machine in `oakshed_jobs` and the scheduler.
 
 use std::rc::Rc;
 
@@ -21,17 +21,19 @@
 use super::super::Net;
 use super::{Durable, JobUpdate};
 
-/// How long after its deadline a client waits for the answer to become durable.
-const LAST_SYNC: Micros = 1_000_000;
-/// The longest that a query of a job waits, in seconds.
-const LONGEST_WAIT: u64 = 60;
+/// How long after the deadline a response waits for the answer to become durable, in microseconds.
+const SYNC_GRACE: Micros = 1_000_000;
+/// The longest that a status query waits, in seconds.
+const MAX_WAIT_S: u64 = 60;
 
 static PREFER: HeaderName = HeaderName::from_static("prefer");
 static PREFERENCE_APPLIED: HeaderName = HeaderName::from_static("preference-applied");
 
-/// What a client's fields say of its job, beside what every request's do.
+/// The options in the header fields of a client's request that apply only to durable jobs.
 pub(in super::super) struct JobOptions {
+    /// `Prefer: respond-async`: the client waits only until the job is accepted.
     detached: bool,
+    /// `Prefer: wait=N`: how long a status query waits, in seconds.
     wait: Option<u64>,
     owner: Vec<u8>,
     key: Option<Vec<u8>>,
@@ -46,11 +48,11 @@
             owner: bytes(&REQ_OWNER).unwrap_or_default(),
             key: bytes(&IDEMPOTENCY_KEY),
         };
-        let all = fields
+        let prefer = fields
             .get_all(&PREFER)
             .iter()
             .filter_map(|v| v.to_str().ok());
-        for preference in all.flat_map(|v| v.split(',')).map(str::trim) {
+        for preference in prefer.flat_map(|v| v.split(',')).map(str::trim) {
             let (name, value) = preference.split_once('=').unwrap_or((preference, ""));
             match name.trim().to_ascii_lowercase().as_str() {
                 "respond-async" => options.detached = true,
@@ -62,7 +64,8 @@
     }
 }
 
-fn answer(settings: &Settings, answer: Answer) -> Response<Full<Bytes>> {
+/// Returns the response to the submission of a finished job.
+fn answer_response(settings: &Settings, answer: Answer) -> Response<Full<Bytes>> {
     match answer {
         Answer::Served(result) => Response::new(Full::new(result.into())),
         Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed\n"),
@@ -71,8 +74,8 @@
     }
 }
 
-/// A client's job, from its arrival to its answer.
-pub(in super::super) async fn handle(
+/// Submits a client's job, and waits for its answer or, if it is detached, until it is accepted.
+pub(in super::super) async fn submit_and_wait(
     net: &Rc<Net>,
     job: &Job,
     forwarded: ForwardedRequest,
@@ -94,24 +97,24 @@
     let id = JobId::of(&options.owner, key);
     let payload = job_payload(&net.config.names, job, &forwarded);
     let now = net.clock.now();
-    let left = forwarded.deadline.saturating_sub(now);
+    let remaining = forwarded.deadline.saturating_sub(now);
     let submitted = {
         let facade = &mut net.facade.borrow_mut();
         let mut jobs = durable.jobs.borrow_mut();
-        jobs.submit(now, id, payload, left, options.detached, facade)
+        jobs.submit(now, id, payload, remaining, options.detached, facade)
     };
-    if let Some(response) = immediate_answer(net, submitted) {
+    if let Some(response) = immediate_response(net, submitted) {
         return response;
     }
     if options.detached && durable.jobs.borrow().is_durable(id) {
-        return accepted(id);
+        return accepted_response(id);
     }
-    durable.settle(net);
+    durable.process_output(net);
     let limits = WaitLimits::new(net, now, forwarded.deadline);
     await_answer(net, durable, id, options.detached, limits).await
 }
 
-/// What is recorded of a client's job.
+/// Returns the part of a client's job that is recorded.
 fn job_payload(names: &Names, job: &Job, forwarded: &ForwardedRequest) -> JobPayload {
     let fields = forwarded
         .headers
@@ -131,11 +134,11 @@
     }
 }
 
-/// The answer to a job that is over already, or is not taken; none where it is open.
-fn immediate_answer(net: &Net, submitted: Submitted) -> Option<Response<Full<Bytes>>> {
+/// Returns the response to a submission of a finished or rejected job, or `None` if the job is open.
+fn immediate_response(net: &Net, submitted: Submitted) -> Option<Response<Full<Bytes>>> {
     let settings = &net.config.settings;
     match submitted {
-        Submitted::Over(over) => Some(answer(settings, over)),
+        Submitted::Over(answer) => Some(answer_response(settings, answer)),
         Submitted::Conflict => {
             net.counters.clients.bad_requests.increment();
             Some(plain(
@@ -143,28 +146,29 @@
                 "this key belongs to another payload\n",
             ))
         }
-        Submitted::Busy => Some(busy(settings)),
+        Submitted::Busy => Some(busy_response(settings)),
         Submitted::Open => None,
     }
 }
 
-/// The answer while no further job is taken.
-fn busy(settings: &Settings) -> Response<Full<Bytes>> {
+/// Returns the rejection while no further jobs are accepted. Unlike other rejections it always has a `Retry-After`.
+fn busy_response(settings: &Settings) -> Response<Full<Bytes>> {
     let wait = (settings.max_retry_after / 2).as_micros();
-    let mut busy = rejection(settings.retry_after.then_some(wait));
-    if !busy.headers().contains_key(RETRY_AFTER) {
-        busy.headers_mut()
+    let mut response = rejection(settings.retry_after.then_some(wait));
+    if !response.headers().contains_key(RETRY_AFTER) {
+        response
+            .headers_mut()
             .insert(RETRY_AFTER, HeaderValue::from_static("1"));
     }
-    busy
+    response
 }
 
-/// Until when a client waits for its answer.
+/// How long the response to a submission waits.
 struct WaitLimits {
-    /// Its time is over.
+    /// The deadline of the job.
     deadline: Instant,
-    /// The answer was not durable in time.
-    last: Instant,
+    /// The end of the additional wait for an answer that is being written to disk.
+    sync_deadline: Instant,
 }
 
 impl WaitLimits {
@@ -172,20 +176,20 @@
         let instant = |at| net.clock.instant(net.shutdown.bounded(arrived, at));
         WaitLimits {
             deadline: instant(deadline),
-            last: instant(deadline.saturating_add(LAST_SYNC)),
+            sync_deadline: instant(deadline.saturating_add(SYNC_GRACE)),
         }
     }
 
-    /// Its time may be longer than this process has.
-    fn cut_by_shutdown(&mut self, net: &Net) {
+    /// Shortens the limits to the time that a shutdown leaves this process.
+    fn limit_to_shutdown(&mut self, net: &Net) {
         if let Some(last_answer) = net.shutdown.last_answer() {
-            self.last = self.last.min(last_answer);
+            self.sync_deadline = self.sync_deadline.min(last_answer);
         }
-        self.deadline = self.deadline.min(self.last);
+        self.deadline = self.deadline.min(self.sync_deadline);
     }
 }
 
-/// Waits until the job has its answer, or is accepted where its client wants no more, or its client's time is over.
+/// Waits until the job has its answer, is accepted if it is detached, or the limits are over; returns the response.
 async fn await_answer(
     net: &Net,
     durable: &Durable,
@@ -194,52 +198,56 @@
     mut limits: WaitLimits,
 ) -> Response<Full<Bytes>> {
     let mut closing = net.shutdown.closing.subscribe();
-    let mut stopping = false;
+    let mut shutting_down = false;
     loop {
         let update = durable.wait_for(id, detached);
         let outcome = tokio::select! {
             biased;
             outcome = timeout_at(limits.deadline, update) => outcome,
-            _ = closing.wait_for(|closing| *closing), if !stopping => {
-                stopping = true;
-                limits.cut_by_shutdown(net);
+            _ = closing.wait_for(|closing| *closing), if !shutting_down => {
+                shutting_down = true;
+                limits.limit_to_shutdown(net);
                 continue;
             }
         };
         match outcome {
-            Ok(Ok(JobUpdate::Answer(over))) => return answer(&net.config.settings, over),
-            Ok(Ok(JobUpdate::Accepted)) if detached => return accepted(id),
+            Ok(Ok(JobUpdate::Answer(answer))) => {
+                return answer_response(&net.config.settings, answer)
+            }
+            Ok(Ok(JobUpdate::Accepted)) if detached => return accepted_response(id),
             Ok(_) => {}
-            // Its time is over, and its answer is on the way to the disk.
-            Err(_) if limits.deadline < limits.last && !durable.outage.get() => {
-                limits.deadline = limits.last;
+            // The deadline is over, but the answer may be on its way to the disk.
+            Err(_) if limits.deadline < limits.sync_deadline && !durable.outage.get() => {
+                limits.deadline = limits.sync_deadline;
             }
-            // The disk fails, or the program ends: the job's answer is still to come, once it is durable or
-            // from a later life. Nothing is promised here.
-            Err(_) => return undecided(id),
+            // The answer is not durable in time, as the disk fails or the process ends. It is available later, perhaps
+            // only from the next process, so the response says nothing about the outcome.
+            Err(_) => return undecided_response(id),
         }
     }
 }
 
-/// The answer where nothing is decided in time.
-fn undecided(id: JobId) -> Response<Full<Bytes>> {
+/// Returns the response to a submission whose job has no durable answer in time.
+fn undecided_response(id: JobId) -> Response<Full<Bytes>> {
     let mut response = plain(
         StatusCode::GATEWAY_TIMEOUT,
         "undecided; ask again with the same key\n",
     );
-    locate(&mut response, id);
+    set_location(&mut response, id);
     response
 }
 
-fn locate(response: &mut Response<Full<Bytes>>, id: JobId) {
-    if let Ok(at) = HeaderValue::try_from(format!("/jobs/{id}")) {
-        response.headers_mut().insert(LOCATION, at);
+/// Sets the `Location` field to the job's path.
+fn set_location(response: &mut Response<Full<Bytes>>, id: JobId) {
+    if let Ok(path) = HeaderValue::try_from(format!("/jobs/{id}")) {
+        response.headers_mut().insert(LOCATION, path);
     }
 }
 
-fn accepted(id: JobId) -> Response<Full<Bytes>> {
+/// Returns the response to a detached submission whose job is durable.
+fn accepted_response(id: JobId) -> Response<Full<Bytes>> {
     let mut response = plain(StatusCode::ACCEPTED, "accepted\n");
-    locate(&mut response, id);
+    set_location(&mut response, id);
     response.headers_mut().insert(
         &PREFERENCE_APPLIED,
         HeaderValue::from_static("respond-async"),
@@ -247,60 +255,62 @@
     response
 }
 
-/// `/jobs/ID`: a job's state, or its cancellation.
-pub(in super::super) async fn job(net: &Rc<Net>, head: &Parts) -> Response<Full<Bytes>> {
+/// Serves `/jobs/ID`: `GET` returns the status of a job, `DELETE` cancels it.
+pub(in super::super) async fn serve_job_path(net: &Rc<Net>, head: &Parts) -> Response<Full<Bytes>> {
     let path = head.uri.path();
     let id = path
         .strip_prefix("/jobs/")
         .and_then(|id| id.parse::<JobId>().ok());
     let (Some(durable), Some(id)) = (&net.durable, id) else {
-        return unknown();
+        return not_found();
     };
     match head.method {
         Method::GET | Method::HEAD => {
             let wait = JobOptions::read(&head.headers).wait.unwrap_or(0);
-            await_state(net, durable, id, wait.min(LONGEST_WAIT)).await
+            await_status(net, durable, id, wait.min(MAX_WAIT_S)).await
         }
         Method::DELETE => cancel(net, durable, id),
         _ => not_allowed("GET, HEAD, DELETE"),
     }
 }
 
-fn unknown() -> Response<Full<Bytes>> {
+fn not_found() -> Response<Full<Bytes>> {
     plain(StatusCode::NOT_FOUND, "no such job\n")
 }
 
-/// A job's state, once it is over or `wait` seconds have passed.
-async fn await_state(net: &Net, durable: &Durable, id: JobId, wait: u64) -> Response<Full<Bytes>> {
+/// Returns a job's status once the job is finished or `wait` seconds have passed.
+async fn await_status(net: &Net, durable: &Durable, id: JobId, wait: u64) -> Response<Full<Bytes>> {
     let now = net.clock.now();
     let end = net.shutdown.bounded(now, now + wait * 1_000_000);
     let limit = net.clock.instant(end);
     loop {
         let view = durable.jobs.borrow().view(id);
-        let Some(view) = view else { return unknown() };
+        let Some(view) = view else {
+            return not_found();
+        };
         if view.answer.is_some() || Instant::now() >= limit {
-            return show(&net.config.settings, id, &view);
+            return status_response(&net.config.settings, id, &view);
         }
         _ = timeout_at(limit, durable.wait_for(id, false)).await;
     }
 }
 
-/// Cancels a job that was not sent yet.
+/// Cancels a job that has not been sent to a worker yet.
 fn cancel(net: &Rc<Net>, durable: &Durable, id: JobId) -> Response<Full<Bytes>> {
     let cancelled = {
         let facade = &mut net.facade.borrow_mut();
         let mut jobs = durable.jobs.borrow_mut();
         jobs.cancel(net.clock.now(), id, facade)
     };
-    durable.settle(net);
+    durable.process_output(net);
     match cancelled {
-        None => unknown(),
+        None => not_found(),
         Some(false) => plain(StatusCode::CONFLICT, "it was sent, or is over\n"),
         Some(true) => plain(StatusCode::OK, "withdrawn\n"),
     }
 }
 
-fn show(
+fn status_response(
     settings: &Settings,
     id: JobId,
     view: &oakshed_jobs::machine::View,
@@ -314,13 +324,17 @@
         Some(Answer::Rejected(_)) => ("refused", None),
         Some(Answer::Cancelled) => ("withdrawn", None),
     };
-    let outcome = view
-        .outcome
-        .map(|o| if o == Outcome::Ran { "ran" } else { "never" });
+    let outcome = view.outcome.map(|outcome| {
+        if outcome == Outcome::Ran {
+            "ran"
+        } else {
+            "never"
+        }
+    });
     let in_doubt: Vec<_> = view
         .indeterminate
         .iter()
-        .map(|l| serde_json::json!({"worker": l.worker, "token": l.token}))
+        .map(|lease| serde_json::json!({"worker": lease.worker, "token": lease.token}))
         .collect();
     let text = serde_json::json!({
         "id": id.to_string(), "state": state, "attempts": view.attempts, "result": result,
--- a/crates/server/src/net/durable/error.rs
+++ b/crates/server/src/net/durable/error.rs
@@ -1,4 +1,4 @@
-//! Why the store of durable jobs cannot be opened.
+//! The errors of opening the store of durable jobs.
 
 use std::io;
 use std::path::PathBuf;
@@ -9,16 +9,16 @@
 /// Why the store of durable jobs cannot be opened.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// Its directory or its log cannot be used.
+    /// The directory or the log in it cannot be opened.
     #[error("jobs.dir {}: {error}", directory.display())]
     Log {
         /// The directory.
         directory: PathBuf,
-        /// What failed.
+        /// The cause.
         #[source]
         error: LogError,
     },
-    /// The thread that writes cannot be started.
+    /// The thread that writes the log cannot be started.
     #[error(transparent)]
     Thread(#[from] io::Error),
 }
--- a/crates/server/src/net/durable/fence.rs
+++ b/crates/server/src/net/durable/fence.rs
@@ -1,6 +1,7 @@
-//! What a worker is asked of a lease, and the form of its answer (docs/leases.md).
+//! Sends fence calls to workers and parses their replies.
 //!
-//! It owns the parsing of that answer. It must never take for an answer on one job what is said of another.
+//! A fence tells a worker to start no attempt of a job with a token up to the given one, and asks what became of the
+//! job there (docs/leases.md). A reply that names another job, or that cannot be parsed, counts as no reply.
 
 use std::borrow::Cow;
 
@@ -11,23 +12,24 @@
 
 use super::super::{workers, Net};
 
-/// What a worker says to a fence.
+/// The body of a worker's reply.
 #[derive(Deserialize)]
-struct FenceForm<'a> {
+struct FenceBody<'a> {
     id: Cow<'a, str>,
     state: Cow<'a, str>,
     since_ms: u64,
     result: Option<String>,
 }
 
+/// Fences a job's attempts up to `token` at a worker; returns its reply, or `None` if no usable one came.
 pub(super) async fn fence(net: &Net, worker: &str, id: JobId, token: u64) -> Option<FenceReply> {
     let path = format!("/leases/{id}/fence");
     let body = workers::consult(net, worker, &path, token, Bytes::new()).await?;
-    let form: FenceForm = serde_json::from_slice(&body).ok()?;
-    if form.id != id.to_string() {
+    let reply: FenceBody = serde_json::from_slice(&body).ok()?;
+    if reply.id != id.to_string() {
         return None;
     }
-    let status = match (&*form.state, form.result) {
+    let status = match (&*reply.state, reply.result) {
         ("never", _) => FenceStatus::Never,
         ("running", _) => FenceStatus::Running,
         ("done", Some(result)) => FenceStatus::Done(result.into_bytes()),
@@ -36,6 +38,6 @@
     };
     Some(FenceReply {
         status,
-        since_ms: form.since_ms,
+        since_ms: reply.since_ms,
     })
 }
--- a/crates/server/src/net/durable/mod.rs
+++ b/crates/server/src/net/durable/mod.rs
@@ -1,9 +1,9 @@
-//! Durable jobs on the network: the shell around `oakshed_jobs`.
+//! Connects the state machine of durable jobs in `oakshed_jobs` to the network and the disk.
 //!
-//! It owns the opening of the store, the attempts under way, and the carrying out of the machine's effects;
-//! `run` owns its time and the store's events, `observer` what is reported to it, `fence` the form of what workers say
-//! of leases (docs/leases.md), `clients` the form of what clients say of jobs. It must never decide anything, carry
-//! out what the machine has not let out, or know of the front.
+//! This file opens the store, appends the machine's records to it and performs the machine's effects. `run` drives the
+//! machine, `observer` reports attempts and endpoint lists to it, `fence` asks workers about leases, and `clients`
+//! serves the clients' requests. All decisions are the machine's; an effect is performed only after the machine has
+//! returned it. Nothing here depends on `front`.
 
 mod clients;
 mod error;
@@ -21,7 +21,7 @@
 use hyper::http::uri::PathAndQuery;
 use hyper::Method;
 use oakshed_core::facade::Micros;
-use oakshed_core::interface::Effect as Kind;
+use oakshed_core::interface::Effect as ClassEffect;
 use oakshed_jobs::disk::{self, Disk};
 use oakshed_jobs::group_commit::{GroupCommit, StoreEvent};
 use oakshed_jobs::log::{encode_all, Log, LogError, Recovered, TornTail};
@@ -38,74 +38,79 @@
 use super::workers::{self, Attempt, AttemptTimes};
 use super::Net;
 use crate::config::Config;
-use crate::operator::Jobs as Entry;
+use crate::operator::Jobs as JobSettings;
 use fence::fence;
 use observer::JobAttempt;
 
-pub(super) use clients::{handle, job, JobOptions};
+pub(super) use clients::{serve_job_path, submit_and_wait, JobOptions};
 pub use error::StoreError;
 pub(super) use observer::on_list;
 pub(super) use run::run;
 
-/// Fences at once; further ones are sent later.
-const FENCES: usize = 64;
-/// How long a worker may take to answer a fence.
-const FENCE_LIMIT: Duration = Duration::from_millis(1_000);
-/// How long a start tries to open the store where the system fails.
-const START_LIMIT: Duration = Duration::from_secs(3);
-/// Safe results that are listed for a worker; beyond, it drops them by age.
+/// The most fence calls in progress; further ones are retried later.
+const MAX_CONCURRENT_FENCES: usize = 64;
+/// How long a worker may take to answer a call about leases.
+const FENCE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// How long opening the store is retried after transient faults.
+const OPEN_LIMIT: Duration = Duration::from_secs(3);
+/// The most safe results that are collected for one worker. It is not notified of further ones and drops them by age.
 const MAX_SAFE_RESULTS: usize = 10_000;
 
-/// What those who wait for a job are notified of.
+/// A notification to those who wait for a job.
 #[derive(Clone)]
 enum JobUpdate {
     Accepted,
     Answer(Answer),
 }
 
-/// Someone who waits for what becomes of a job.
+/// A client's request that waits for a job.
 struct Waiter {
-    to: oneshot::Sender<JobUpdate>,
-    /// Enough that the job is durable. Whoever waits for the answer is not woken for less: both may become
-    /// durable by the same sync, and the answer would come while nobody waits.
+    sender: oneshot::Sender<JobUpdate>,
+    /// Whether it waits only until the job is durable. Other waiters are not woken then: the answer may become durable
+    /// in the same sync, and would be missed between two waits.
     until_accepted: bool,
 }
 
-/// The durable jobs, and all that is under way for them.
+/// The durable jobs of this scheduler with their store, attempts and waiting clients.
 pub(crate) struct Durable {
     jobs: RefCell<Jobs>,
-    group: GroupCommit,
+    group_commit: GroupCommit,
     dir: std::path::PathBuf,
     leases: bool,
     lease_ms: u64,
     max_payload: usize,
-    waiting: RefCell<FxHashMap<JobId, Vec<Waiter>>>,
+    waiters: RefCell<FxHashMap<JobId, Vec<Waiter>>>,
+    /// The attempts in progress, by job and fencing token.
     attempts: RefCell<FxHashMap<(JobId, u64), Attempt>>,
-    safe: RefCell<SafeAt>,
-    fencing: Cell<usize>,
-    synced: Cell<u64>,
+    safe_results: RefCell<SafeResults>,
+    fences_in_progress: Cell<usize>,
+    /// The number of the last durable record.
+    last_synced: Cell<u64>,
+    /// Wakes [`run()`] after the state machine has changed.
     changed: Notify,
-    /// Records cannot be made durable for now.
+    /// Whether the disk fails, so that no records become durable for now.
     outage: Cell<bool>,
-    syncs: Cell<(u64, u64, Duration)>,
-    full: Cell<bool>,
+    /// The number of syncs, the records in them, and the time that they took.
+    sync_totals: Cell<(u64, u64, Duration)>,
+    /// Whether the disk has no space for another segment.
+    disk_full: Cell<bool>,
 }
 
-/// Results that are safe, by the worker that may drop them.
-type SafeAt = FxHashMap<Rc<str>, Vec<(JobId, u64)>>;
-/// Where the store's events come, where there is a store.
+/// Results that are durable here, by the worker that may drop its copies of them.
+type SafeResults = FxHashMap<Rc<str>, Vec<(JobId, u64)>>;
+/// The events of the store, if there is one.
 type StoreEvents = Option<mpsc::UnboundedReceiver<StoreEvent>>;
 
-/// Opens the store, where the operators have switched durable jobs on.
+/// Opens the store and restores the jobs in it, if durable jobs are enabled.
 pub(super) fn open(
     config: &Config,
     now: Micros,
 ) -> Result<(Option<Durable>, StoreEvents), StoreError> {
-    let Some(file) = &config.operator.jobs else {
+    let Some(settings) = &config.operator.jobs else {
         return Ok((None, None));
     };
     let start = Instant::now();
-    let (log, recovered) = open_log(file)?;
+    let (log, recovered) = open_log(settings)?;
     let next = log.next();
     let records = recovered.records.len();
     let names = Names {
@@ -113,7 +118,7 @@
         tenants: config.names.tenants.clone(),
     };
     let jobs = Jobs::restore(
-        limits(config, file),
+        limits(config, settings),
         names,
         recovered.records,
         next,
@@ -122,47 +127,48 @@
     );
     log_restored(&jobs, records, start.elapsed());
     let (tx, rx) = mpsc::unbounded_channel();
-    let group = GroupCommit::start(log, move |event| _ = tx.send(event))?;
+    let group_commit = GroupCommit::start(log, move |event| _ = tx.send(event))?;
     let durable = Durable {
         jobs: RefCell::new(jobs),
-        group,
-        dir: file.dir.clone(),
-        leases: file.leases,
-        lease_ms: file.lease_ms,
-        max_payload: file.max_payload_kb << 10,
-        waiting: RefCell::default(),
+        group_commit,
+        dir: settings.dir.clone(),
+        leases: settings.leases,
+        lease_ms: settings.lease_ms,
+        max_payload: settings.max_payload_kb << 10,
+        waiters: RefCell::default(),
         attempts: RefCell::default(),
-        safe: RefCell::default(),
-        fencing: Cell::new(0),
-        synced: Cell::new(next - 1),
+        safe_results: RefCell::default(),
+        fences_in_progress: Cell::new(0),
+        last_synced: Cell::new(next - 1),
         changed: Notify::new(),
         outage: Cell::new(false),
-        syncs: Cell::default(),
-        full: Cell::new(false),
+        sync_totals: Cell::default(),
+        disk_full: Cell::new(false),
     };
     Ok((Some(durable), Some(rx)))
 }
 
-/// Opens the log in the operators' directory, for a while also where the system fails.
-fn open_log(file: &Entry) -> Result<(Log<Disk>, Recovered), StoreError> {
+/// Opens the log in the configured directory. Transient faults are retried for up to [`OPEN_LIMIT`]; the first one is
+/// logged.
+fn open_log(settings: &JobSettings) -> Result<(Log<Disk>, Recovered), StoreError> {
     let mut faults = 0;
     let note_fault = |fault: &LogError| {
         faults += 1;
         if faults == 1 {
             warn!(
                 "store: {fault}; retrying for up to {} s",
-                START_LIMIT.as_secs()
+                OPEN_LIMIT.as_secs()
             );
         }
     };
     let opened = open_within(
-        START_LIMIT,
-        file.segment_mb << 20,
-        || Disk::lock(&file.dir),
+        OPEN_LIMIT,
+        settings.segment_mb << 20,
+        || Disk::lock(&settings.dir),
         note_fault,
     );
     let (log, recovered) = opened.map_err(|error| StoreError::Log {
-        directory: file.dir.clone(),
+        directory: settings.dir.clone(),
         error,
     })?;
     if let Some(TornTail { file: name, offset }) = &recovered.torn_tail {
@@ -174,18 +180,18 @@
     Ok((log, recovered))
 }
 
-/// The limits that the operators have set.
-fn limits(config: &Config, file: &Entry) -> Limits {
-    // No answer may be forgotten while a keyed job could still be sent again.
+/// Returns the limits of the state machine by the operators' settings.
+fn limits(config: &Config, settings: &JobSettings) -> Limits {
+    // Answers are retained at least for the longest deduplication window, while a keyed job could still be sent again.
     let windows = config.settings.classes.iter().map(|class| class.window);
     let window = windows.max().unwrap_or_default().as_micros();
     Limits {
-        leases: file.leases,
-        lease: file.lease_ms * 1_000,
-        retention: (file.keep_answers_s * 1_000_000).max(window),
-        max_open: file.max_open,
-        max_jobs: file.max_kept,
-        max_bytes: file.max_kept_mb << 20,
+        leases: settings.leases,
+        lease: settings.lease_ms * 1_000,
+        retention: (settings.keep_answers_s * 1_000_000).max(window),
+        max_open: settings.max_open,
+        max_jobs: settings.max_kept,
+        max_bytes: settings.max_kept_mb << 20,
     }
 }
 
@@ -206,46 +212,47 @@
 }
 
 impl Durable {
-    /// Carries out what the machine wants, and hands its records to the store.
-    fn settle(&self, net: &Rc<Net>) {
+    /// Performs the pending effects of the state machine and appends its new records to the log.
+    fn process_output(&self, net: &Rc<Net>) {
         loop {
             let effect = self.jobs.borrow_mut().effect();
             let Some(effect) = effect else { break };
-            self.carry_out(net, effect);
+            self.perform(net, effect);
         }
         let (first, records) = self.jobs.borrow_mut().records();
         if records.is_empty() {
             return;
         }
-        let (frames, lengths) = encode_all(first, self.synced.get(), &records);
-        self.group
+        let (frames, lengths) = encode_all(first, self.last_synced.get(), &records);
+        self.group_commit
             .append(frames, lengths, first + records.len() as u64 - 1);
     }
 
+    /// Notifies the waiters of a job. Those who wait for the answer stay registered when the job is only accepted.
     fn notify(&self, id: JobId, update: &JobUpdate) {
-        let mut waiting = self.waiting.borrow_mut();
-        let Some(mut waiters) = waiting.remove(&id) else {
+        let mut all_waiters = self.waiters.borrow_mut();
+        let Some(mut waiters) = all_waiters.remove(&id) else {
             return;
         };
         if matches!(update, JobUpdate::Accepted) {
-            let (accepted, others) = waiters
+            let (until_accepted, others) = waiters
                 .into_iter()
                 .partition(|waiter| waiter.until_accepted);
-            waiters = accepted;
+            waiters = until_accepted;
             if !Vec::is_empty(&others) {
-                waiting.insert(id, others);
+                all_waiters.insert(id, others);
             }
         }
         for waiter in waiters {
-            _ = waiter.to.send(update.clone());
+            _ = waiter.sender.send(update.clone());
         }
     }
 
-    fn carry_out(&self, net: &Rc<Net>, effect: Effect) {
+    fn perform(&self, net: &Rc<Net>, effect: Effect) {
         match effect {
             Effect::Accepted(id) => self.notify(id, &JobUpdate::Accepted),
             Effect::Answer(id, answer) => self.notify(id, &JobUpdate::Answer(answer)),
-            Effect::Trim(low) => self.group.trim(low),
+            Effect::Trim(low) => self.group_commit.trim(low),
             Effect::Stop { id, token } => {
                 let attempt = self.attempts.borrow_mut().remove(&(id, token));
                 if let Some(attempt) = attempt {
@@ -275,25 +282,28 @@
                 worker,
                 confirmed,
             } => self.start_fence(net, id, token, worker, confirmed),
-            Effect::Safe { id, token, worker } => self.note_safe(id, token, worker),
+            Effect::Safe { id, token, worker } => self.record_safe_result(id, token, worker),
         }
     }
 
-    /// Asks a worker what became of a lease, on a task of its own. Beyond the limit of such calls it counts as asked
-    /// without an answer, and is asked later.
+    /// Fences a lease at a worker, on a task of its own. Beyond [`MAX_CONCURRENT_FENCES`], no call is made: the fence
+    /// counts as unanswered, and the state machine retries it later.
     fn start_fence(&self, net: &Rc<Net>, id: JobId, token: u64, worker: Rc<str>, confirmed: bool) {
-        let has_capacity = self.fencing.get() < FENCES;
+        let has_capacity = self.fences_in_progress.get() < MAX_CONCURRENT_FENCES;
         let calls = usize::from(has_capacity);
-        self.fencing.set(self.fencing.get() + calls);
+        self.fences_in_progress
+            .set(self.fences_in_progress.get() + calls);
         let net = net.clone();
         tokio::task::spawn_local(async move {
             let mut reply = None;
             if has_capacity {
                 let call = fence(&net, &worker, id, token);
-                reply = timeout(FENCE_LIMIT, call).await.ok().flatten();
+                reply = timeout(FENCE_TIMEOUT, call).await.ok().flatten();
             }
             let Some(durable) = &net.durable else { return };
-            durable.fencing.set(durable.fencing.get() - calls);
+            durable
+                .fences_in_progress
+                .set(durable.fences_in_progress.get() - calls);
             let facade = &mut net.facade.borrow_mut();
             let mut jobs = durable.jobs.borrow_mut();
             jobs.on_fenced(net.clock.now(), id, token, reply, confirmed, facade);
@@ -301,16 +311,16 @@
         });
     }
 
-    /// A result is safe: its worker may drop it.
-    fn note_safe(&self, id: JobId, token: u64, worker: Rc<str>) {
-        let mut safe = self.safe.borrow_mut();
-        let results = safe.entry(worker).or_default();
+    /// Adds a result to those that the next maintenance run reports to its worker as safe to drop.
+    fn record_safe_result(&self, id: JobId, token: u64, worker: Rc<str>) {
+        let mut safe_results = self.safe_results.borrow_mut();
+        let results = safe_results.entry(worker).or_default();
         if results.len() < MAX_SAFE_RESULTS {
             results.push((id, token));
         }
     }
 
-    /// What goes to a worker: the client's job, and the lease where the worker knows what that is.
+    /// Returns the request for an attempt: the recorded job, and the lease if workers support leases.
     fn forwarded_request(
         &self,
         id: JobId,
@@ -340,7 +350,7 @@
         for (name, value) in &payload.fields {
             let name = HeaderName::try_from(name);
             let value = HeaderValue::from_bytes(value);
-            // Both were read from a request once, and are as good as then.
+            // Both were valid in the client's request, so nothing is skipped here.
             if let (Ok(name), Ok(value)) = (name, value) {
                 headers.append(name, value);
             }
@@ -355,29 +365,31 @@
         headers
     }
 
+    /// Returns a receiver of the job's answer or, with `until_accepted`, of its acceptance if that comes first.
     fn wait_for(&self, id: JobId, until_accepted: bool) -> oneshot::Receiver<JobUpdate> {
         let (tx, rx) = oneshot::channel();
-        let mut waiting = self.waiting.borrow_mut();
-        let list = waiting.entry(id).or_default();
-        // Those that have disconnected since.
-        list.retain(|waiter| !waiter.to.is_closed());
+        let mut all_waiters = self.waiters.borrow_mut();
+        let list = all_waiters.entry(id).or_default();
+        // Removes waiters whose clients have disconnected.
+        list.retain(|waiter| !waiter.sender.is_closed());
         list.push(Waiter {
-            to: tx,
+            sender: tx,
             until_accepted,
         });
         rx
     }
 }
 
-/// Whether any class may be sent again at all where leases are unknown: logged once at the start.
+/// Returns a notice for the log if jobs of a class must not run twice and workers do not support leases: a broken
+/// connection then leaves it unknown whether such a job ran.
 pub(super) fn advice(config: &Config) -> Option<&'static str> {
     let jobs = config.operator.jobs.as_ref()?;
     let strict = config
         .settings
         .classes
         .iter()
-        .any(|c| c.effect == Kind::Unsafe);
+        .any(|c| c.effect == ClassEffect::Unsafe);
     (strict && !jobs.leases).then_some(
-        "workers speak no leases: a job that must not run twice is indeterminate when its connection breaks",
+        "workers do not support leases: a job that must not run twice becomes indeterminate if its connection breaks",
     )
 }
--- a/crates/server/src/net/durable/observer.rs
+++ b/crates/server/src/net/durable/observer.rs
@@ -1,6 +1,6 @@
-//! What is observed of durable jobs: their attempts' starts and ends, and updates of the list.
+//! Reports attempt events and endpoint list updates to the state machine of durable jobs.
 //!
-//! It owns the reporting of these to the machine. It must never draw a conclusion of its own.
+//! Events are passed on as they are seen; only the state machine judges what they prove.
 
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
 use super::super::workers::AttemptObserver;
 use super::super::Net;
 
-/// A durable job's attempt, by its token.
+/// Reports the events of an attempt, which is identified by its job and its fencing token.
 #[derive(Clone, Copy)]
 pub(super) struct JobAttempt(pub(super) JobId, pub(super) u64);
 
@@ -31,7 +31,7 @@
     fn ended(self, net: &Rc<Net>, ending: Ending, result: Option<Bytes>, load: Option<Report>) {
         let JobAttempt(id, token) = self;
         let Some(durable) = &net.durable else { return };
-        // Its task goes on with what is left of the connection: it is forgotten, not stopped.
+        // Removed without being stopped: its task still reads the rest of the response from the connection.
         durable.attempts.borrow_mut().remove(&(id, token));
         let end = result.map_or(End::Other(ending), |result| End::Result(result.to_vec()));
         let now = net.clock.now();
@@ -39,19 +39,19 @@
             .jobs
             .borrow_mut()
             .on_ended(now, id, token, end, load, &mut net.facade.borrow_mut());
-        durable.settle(net);
+        durable.process_output(net);
     }
 }
 
-/// The endpoint list has changed.
+/// Reports a new or changed endpoint list.
 pub(in super::super) fn on_list(net: &Rc<Net>, entries: &[Entry], kind: ListKind) {
     let Some(durable) = &net.durable else { return };
-    let fresh = matches!(kind, ListKind::Snapshot | ListKind::Delta);
+    let confirmed = matches!(kind, ListKind::Snapshot | ListKind::Delta);
     let starts = entries.iter().map(|e| (&e.worker, e.online_since / 1_000));
     let now = net.clock.now();
     durable
         .jobs
         .borrow_mut()
-        .on_list(now, starts, fresh, &mut net.facade.borrow_mut());
-    durable.settle(net);
+        .on_list(now, starts, confirmed, &mut net.facade.borrow_mut());
+    durable.process_output(net);
 }
--- a/crates/server/src/net/durable/run.rs
+++ b/crates/server/src/net/durable/run.rs
@@ -1,7 +1,4 @@
-//! What keeps the machine of durable jobs going.
-//!
-//! It owns the timer, the store's events, and the chores now and then. It must never touch a job
-//! past the machine.
+//! Drives the state machine of durable jobs: its timer, the events of the store, and periodic maintenance.
 
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
@@ -15,19 +12,19 @@
 use tracing::{info, warn};
 
 use super::super::{workers, Net};
-use super::{Durable, StoreEvents, FENCE_LIMIT};
+use super::{Durable, StoreEvents, FENCE_TIMEOUT};
 
-/// Between two checks of what operators want settled, of free space, and of results that are safe.
-const CHORES: Duration = Duration::from_millis(500);
-/// Safe results that a worker is notified of at once.
-const SAFE_AT_ONCE: usize = 1_000;
+/// The interval between two runs of [`maintain`].
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
+/// The most safe results that a worker is notified of in one call.
+const MAX_SAFE_RESULTS_PER_CALL: usize = 1_000;
 
-/// Keeps the machine going: the store's events, time, and what others have woken it for.
+/// Advances the state machine whenever its timer is due, the store reports an event, or another task has changed it.
 pub(in super::super) async fn run(net: Rc<Net>, events: StoreEvents) {
     let (Some(durable), Some(mut events)) = (&net.durable, events) else {
         return;
     };
-    tokio::task::spawn_local(chores(net.clone()));
+    tokio::task::spawn_local(maintain(net.clone()));
     let mut sleep: Pin<Box<Sleep>> = Box::pin(tokio::time::sleep(Duration::ZERO));
     loop {
         let mut changed = std::pin::pin!(durable.changed.notified());
@@ -43,7 +40,7 @@
                     .jobs
                     .borrow_mut()
                     .tick(now, &mut net.facade.borrow_mut(), cx.waker());
-            durable.settle(&net);
+            durable.process_output(&net);
             if woken {
                 return Poll::Ready(());
             }
@@ -57,6 +54,7 @@
     }
 }
 
+/// Reports an event of the store to the state machine, and logs changes of the store's condition.
 fn on_store_event(net: &Rc<Net>, durable: &Durable, event: StoreEvent) {
     let now = net.clock.now();
     let mut jobs = durable.jobs.borrow_mut();
@@ -67,28 +65,28 @@
             took,
             records,
         } => {
-            durable.synced.set(number);
-            let (n, all, time) = durable.syncs.get();
+            durable.last_synced.set(number);
+            let (syncs, synced_records, time) = durable.sync_totals.get();
             durable
-                .syncs
-                .set((n + 1, all + records as u64, time + took));
+                .sync_totals
+                .set((syncs + 1, synced_records + records as u64, time + took));
             jobs.on_synced(now, number, &mut facade);
         }
         StoreEvent::Capacity(has_capacity) => {
-            if durable.full.replace(!has_capacity) == has_capacity {
+            if durable.disk_full.replace(!has_capacity) == has_capacity {
                 if has_capacity {
                     info!("store: space is available again; new jobs are accepted");
                 } else {
                     warn!(
-                        "store: no space for a further segment; new jobs are rejected until there is"
+                        "store: no space for another segment; new jobs are rejected until space is available"
                     );
                 }
             }
             jobs.set_disk_full(!has_capacity);
         }
-        StoreEvent::OutageBegan(why) => {
+        StoreEvent::OutageBegan(error) => {
             durable.outage.set(true);
-            warn!(error = %why, "store: {why}; accepted jobs wait for the disk, the write is retried");
+            warn!(%error, "store: {error}; accepted jobs wait for the disk while the write is retried");
         }
         StoreEvent::OutageEnded { lasted } => {
             durable.outage.set(false);
@@ -98,20 +96,21 @@
                 "store: the disk works again after {ms} ms; nothing is lost"
             );
         }
-        StoreEvent::TrimFailed(why) => warn!(error = %why, "store: {why}; retrying"),
+        StoreEvent::TrimFailed(error) => warn!(%error, "store: {error}; retrying"),
     }
 }
 
-/// What is looked after now and then.
-async fn chores(net: Rc<Net>) {
+/// Periodically checks a full disk for free space, applies the settlements that operators have left in the store's
+/// directory, and notifies workers of the results that are safe.
+async fn maintain(net: Rc<Net>) {
     let Some(durable) = &net.durable else { return };
     loop {
-        tokio::time::sleep(CHORES).await;
-        if durable.full.get() {
-            durable.group.check_capacity();
+        tokio::time::sleep(MAINTENANCE_INTERVAL).await;
+        if durable.disk_full.get() {
+            durable.group_commit.check_capacity();
         }
         for Settlement { path, id, outcome } in disk::settlements(&durable.dir) {
-            // The file is removed only once the settlement is on disk: at the next check, when nothing is left to settle.
+            // The file is removed only by a later run, once the settlement is durable and nothing is left to settle.
             if durable
                 .jobs
                 .borrow_mut()
@@ -124,17 +123,17 @@
                 _ = std::fs::remove_file(path);
             }
         }
-        let safe = std::mem::take(&mut *durable.safe.borrow_mut());
-        for (worker, list) in safe {
+        let safe_results = std::mem::take(&mut *durable.safe_results.borrow_mut());
+        for (worker, results) in safe_results {
             let net = net.clone();
             tokio::task::spawn_local(async move {
-                for part in list.chunks(SAFE_AT_ONCE) {
-                    let text: String = part
+                for chunk in results.chunks(MAX_SAFE_RESULTS_PER_CALL) {
+                    let lines: String = chunk
                         .iter()
                         .map(|(id, token)| format!("{id} {token}\n"))
                         .collect();
-                    let call = workers::consult(&net, &worker, "/leases/safe", 0, text.into());
-                    _ = tokio::time::timeout(FENCE_LIMIT, call).await;
+                    let call = workers::consult(&net, &worker, "/leases/safe", 0, lines.into());
+                    _ = tokio::time::timeout(FENCE_TIMEOUT, call).await;
                 }
             });
         }
--- a/crates/server/src/net/durable/summary.rs
+++ b/crates/server/src/net/durable/summary.rs
@@ -1,4 +1,4 @@
-//! The figures of durable jobs in the summary that is logged.
+//! The counters and sizes of durable jobs for the summary line in the log.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 use super::Durable;
 
-/// The counts of durable jobs, and the store's.
+/// The counters of durable jobs and of the store.
 pub(in super::super) struct JobsSummary {
     counts: Counts,
     sizes: Sizes,
@@ -16,10 +16,10 @@
 }
 
 impl Durable {
-    /// The figures as they are now.
+    /// Returns the current values.
     pub(in super::super) fn summary(&self) -> JobsSummary {
         let jobs = self.jobs.borrow();
-        let (syncs, synced_records, time) = self.syncs.get();
+        let (syncs, synced_records, time) = self.sync_totals.get();
         JobsSummary {
             counts: jobs.counts(),
             sizes: jobs.sizes(),
@@ -30,7 +30,7 @@
     }
 }
 
-/// The figures with the names that operators know.
+/// Formats the values under the names that operators' tools read.
 impl fmt::Display for JobsSummary {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let counts = &self.counts;
--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -39,7 +39,7 @@
         };
     }
     if net.durable.is_some() && head.uri.path().starts_with("/jobs/") {
-        return durable::job(net, &head).await;
+        return durable::serve_job_path(net, &head).await;
     }
     let class = class_of(&net.config.names, &head);
     let taken = Taken {
@@ -101,7 +101,7 @@
     client.known.set(true);
     client.idle_since.set(None);
     if net.durable.is_some() {
-        return durable::handle(net, &job, forwarded, &options).await;
+        return durable::submit_and_wait(net, &job, forwarded, &options).await;
     }
     if !reservation.claim(&forwarded.id) {
         net.counters.clients.bad_requests.increment();
