--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -19,7 +19,7 @@
 use super::super::workers::{self, Attempt, AttemptObserver, AttemptTimes, ClientConnection};
 use super::super::Net;
 use super::clients::Client;
-use super::request::{class_of, read};
+use super::request::{class_of, read_request};
 use oakshed_core::facade::{Ending, Handle, Job, Micros, Report, Seen, Step};
 use oakshed_core::figures::{End, Entry};
 
@@ -88,14 +88,14 @@
     (head, body): (Parts, Incoming),
 ) -> Response<Full<Bytes>> {
     let options = durable::JobOptions::read(&head.headers);
-    let (job, forwarded, mut reservation) = match read(net, taken.class, arrived, head, body).await
-    {
-        Ok(read) => read,
-        Err(error) => {
-            net.counters.clients.bad_requests.increment();
-            return error.answer(&net.config.settings, client);
-        }
-    };
+    let (job, forwarded, mut reservation) =
+        match read_request(net, taken.class, arrived, head, body).await {
+            Ok(read) => read,
+            Err(error) => {
+                net.counters.clients.bad_requests.increment();
+                return error.answer(&net.config.settings, client);
+            }
+        };
     client.intake.arrived();
     taken.arrived();
     client.known.set(true);
--- a/crates/server/src/net/front/request.rs
+++ b/crates/server/src/net/front/request.rs
@@ -1,7 +1,8 @@
-//! The reading of a request: what of it the decisions need and what a worker gets.
+//! Reads and validates a client request by the platform's client protocol.
 //!
-//! It owns the platform's client protocol, its limits and its error answers. It must never let what is malformed
-//! reach a worker, or buffer more bodies than memory is reserved for.
+//! A valid request yields the attributes that the scheduler decides by and the request that is forwarded to a worker.
+//! An invalid one is answered here with an error and never reaches a worker. Memory for a body is reserved before the
+//! body is read.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -28,77 +29,78 @@
 use oakshed_core::names;
 use oakshed_wire::Names;
 
-/// The largest body of a request.
-const LARGEST_BODY: usize = 64 << 10;
-/// The longest `Req-Id`.
-const LONGEST_ID: usize = 128;
-/// How long a body may take to arrive: its client then gets an answer, before the whole is overdue.
-const BODY_WAIT: Duration = ARRIVAL.saturating_sub(Duration::from_millis(200));
+/// The largest request body, in bytes.
+const MAX_BODY: usize = 64 << 10;
+/// The longest `Req-Id`, in bytes.
+const MAX_ID_LENGTH: usize = 128;
+/// How long a body may take to arrive. Shorter than the time for the whole request, so that the client gets a response
+/// before its connection is closed as overdue.
+const BODY_TIMEOUT: Duration = ARRIVAL.saturating_sub(Duration::from_millis(200));
 
-/// The class that a path names.
+/// Returns the class that the first path segment names.
 pub(super) fn class_of(names: &Names, head: &Parts) -> Option<usize> {
     let class = head.uri.path().split('/').nth(1);
     names.classes.iter().position(|c| Some(c.as_str()) == class)
 }
 
-/// Why a request is answered here, without a worker.
+/// Why a request is answered with an error before the scheduler sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestError {
     /// The target has no path.
     NoPath,
     /// The path names no class.
     UnknownClass,
-    /// The path goes on behind what the request concerns.
+    /// The path has segments after the class and the key.
     UnknownPath,
-    /// The method is another one than POST.
+    /// The method is not POST.
     NotPost,
-    /// `Req-Kind` is another class than the path's.
+    /// `Req-Kind` differs from the class in the path.
     WrongKind,
-    /// There is no `Req-Id`, more than one, or one that cannot be passed on.
-    UnusableId,
-    /// A keyed class's request has no `Idempotency-Key`.
+    /// `Req-Id` is missing, empty, repeated, too long or not graphic ASCII.
+    InvalidId,
+    /// The class requires an `Idempotency-Key`, and there is none.
     NoIdempotencyKey,
     /// `Req-Deadline-Ms` is not a whole number.
-    UnusableDeadline,
-    /// The body is over [`LARGEST_BODY`].
+    InvalidDeadline,
+    /// The body is larger than [`MAX_BODY`].
     BodyTooLarge,
-    /// The memory for bodies is reserved by other requests.
+    /// Other requests have reserved the memory for bodies.
     NoMemory,
-    /// The body did not come in time.
+    /// The body did not arrive in time.
     BodyTimeout,
     /// The body is malformed, or its connection failed.
-    BrokenBody,
-    /// There is no `Host`.
+    UnreadableBody,
+    /// There is no `Host` field.
     NoHost,
 }
 
 impl RequestError {
-    /// Whether nothing can follow on the connection, as what is left of the body is not read.
+    /// Whether the connection has to close after the response because part of the body may be left unread.
     fn ends_connection(self) -> bool {
         matches!(
             self,
             RequestError::BodyTooLarge
                 | RequestError::NoMemory
                 | RequestError::BodyTimeout
-                | RequestError::BrokenBody
+                | RequestError::UnreadableBody
         )
     }
 
-    /// The answer to the client, after which the connection may have to end.
+    /// Returns the response, and marks the request as the connection's last where nothing can follow it.
     pub(super) fn answer(self, settings: &Settings, client: &Client) -> Response<Full<Bytes>> {
         if self.ends_connection() {
             client.intake.last.set(true);
         }
-        let bad = |text| plain(StatusCode::BAD_REQUEST, text);
+        let bad_request = |text| plain(StatusCode::BAD_REQUEST, text);
         match self {
-            RequestError::NoPath => bad("no path\n"),
+            RequestError::NoPath => bad_request("no path\n"),
             RequestError::UnknownClass => plain(StatusCode::NOT_FOUND, "no such class\n"),
             RequestError::UnknownPath => plain(StatusCode::NOT_FOUND, "no such path\n"),
             RequestError::NotPost => not_allowed("POST"),
-            RequestError::WrongKind => bad("Req-Kind is not the path's class\n"),
-            RequestError::UnusableId => bad("no usable Req-Id\n"),
-            RequestError::NoIdempotencyKey => bad("no Idempotency-Key\n"),
-            RequestError::UnusableDeadline => bad("Req-Deadline-Ms is not a whole number\n"),
+            RequestError::WrongKind => bad_request("Req-Kind is not the path's class\n"),
+            RequestError::InvalidId => bad_request("no usable Req-Id\n"),
+            RequestError::NoIdempotencyKey => bad_request("no Idempotency-Key\n"),
+            RequestError::InvalidDeadline => bad_request("Req-Deadline-Ms is not a whole number\n"),
             RequestError::BodyTooLarge => plain(StatusCode::PAYLOAD_TOO_LARGE, "body too large\n"),
             RequestError::NoMemory => {
                 let wait = (settings.max_retry_after / 2).as_micros();
@@ -107,15 +109,14 @@
             RequestError::BodyTimeout => {
                 plain(StatusCode::REQUEST_TIMEOUT, "the body never came\n")
             }
-            RequestError::BrokenBody => bad("broken body\n"),
-            RequestError::NoHost => bad("no Host\n"),
+            RequestError::UnreadableBody => bad_request("broken body\n"),
+            RequestError::NoHost => bad_request("no Host\n"),
         }
     }
 }
 
-/// Takes out of a request what the decisions need and keeps the rest as it came. What no worker
-/// should see is answered here.
-pub(super) async fn read(
+/// Reads a request; returns the scheduler's view of it, the request to forward, and the memory reserved for its body.
+pub(super) async fn read_request(
     net: &Rc<Net>,
     class: Option<usize>,
     arrived: Micros,
@@ -125,23 +126,24 @@
     let Some(target) = head.uri.path_and_query().cloned() else {
         return Err(RequestError::NoPath);
     };
-    let (class, key) = checked_path(&target, class)?;
+    let (class, key) = parse_path(&target, class)?;
     if head.method != Method::POST {
         return Err(RequestError::NotPost);
     }
     let mut fields = head.headers;
-    let id = checked_fields(&net.config, class, &fields)?;
-    let deadline = arrived + time_left(&net.config.settings, class, &fields)?;
-    let mut job = job(&net.config.names, class, key, &fields);
+    let id = validated_id(&net.config, class, &fields)?;
+    let deadline = arrived + client_timeout(&net.config.settings, class, &fields)?;
+    let mut job = scheduler_job(&net.config.names, class, key, &fields);
     let reservation = reserve(net, &body)?;
     let body = read_body(&net.clock, deadline, body).await?;
     let now = net.clock.now();
     job.remaining = deadline.saturating_sub(now);
-    let headers = forwarded_fields(&mut fields);
+    let headers = take_forwarded_fields(&mut fields);
     if !headers.contains_key(HOST) {
         return Err(RequestError::NoHost);
     }
-    // A durable job outlives a stop; only its client's wait is cut. A request has arrived with its last byte.
+    // A durable job outlives a shutdown, which limits only its client's wait. `now` is the time of arrival here: a
+    // request has arrived only with its last byte.
     let deadline = if net.durable.is_some() {
         deadline
     } else {
@@ -159,13 +161,13 @@
     Ok((job, forwarded, reservation))
 }
 
-/// Reserves memory for a body, which may be too large for any.
+/// Reserves memory for a body: its declared length, or [`MAX_BODY`] if that is not known.
 fn reserve(net: &Net, body: &Incoming) -> Result<Reservation, RequestError> {
     let size = body.size_hint();
-    if size.lower() > LARGEST_BODY as u64 {
+    if size.lower() > MAX_BODY as u64 {
         return Err(RequestError::BodyTooLarge);
     }
-    let expected = size.exact().map_or(LARGEST_BODY, |length| length as usize);
+    let expected = size.exact().map_or(MAX_BODY, |length| length as usize);
     let reservation = Reservation::for_body(
         &net.open_requests,
         net.config.memory,
@@ -178,24 +180,24 @@
     reservation.ok_or(RequestError::NoMemory)
 }
 
-/// The class, and the number of what the request concerns, where its path goes on after the class.
-fn checked_path(
+/// Parses a path of the form `/CLASS` or `/CLASS/KEY`; returns the class, and the hash of the key if there is one.
+fn parse_path(
     target: &PathAndQuery,
     class: Option<usize>,
 ) -> Result<(usize, Option<u64>), RequestError> {
-    let mut parts = target.path().split('/').skip(2);
+    let mut segments = target.path().split('/').skip(2);
     let Some(class) = class else {
         return Err(RequestError::UnknownClass);
     };
-    let key = parts.next().filter(|key| !key.is_empty());
-    if parts.next().is_some() {
+    let key = segments.next().filter(|key| !key.is_empty());
+    if segments.next().is_some() {
         return Err(RequestError::UnknownPath);
     }
     Ok((class, key.map(names::number_of)))
 }
 
-/// The request's id, where it has one and its other fields are those of its class.
-fn checked_fields(
+/// Validates `Req-Kind`, `Req-Id` and `Idempotency-Key`; returns the id.
+fn validated_id(
     config: &Config,
     class: usize,
     fields: &HeaderMap,
@@ -207,11 +209,11 @@
         return Err(RequestError::WrongKind);
     }
     let usable = |id: &HeaderValue| {
-        (1..=LONGEST_ID).contains(&id.len()) && id.as_bytes().iter().all(u8::is_ascii_graphic)
+        (1..=MAX_ID_LENGTH).contains(&id.len()) && id.as_bytes().iter().all(u8::is_ascii_graphic)
     };
     let mut ids = fields.get_all(&REQ_ID).iter();
     let (Some(id), None) = (ids.next().filter(|id| usable(id)).cloned(), ids.next()) else {
-        return Err(RequestError::UnusableId);
+        return Err(RequestError::InvalidId);
     };
     let keyed = config.settings.classes[class].effect == Effect::Keyed;
     if keyed && !fields.contains_key(&IDEMPOTENCY_KEY) {
@@ -220,35 +222,36 @@
     Ok(id)
 }
 
-fn text<'a>(fields: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
+/// Returns the value of a field if it is visible ASCII.
+fn field_text<'a>(fields: &'a HeaderMap, name: &HeaderName) -> Option<&'a str> {
     fields.get(name).and_then(|value| value.to_str().ok())
 }
 
-/// How long the client waits, in microseconds: the time of the class at most.
-fn time_left(
+/// Returns how long the client waits, in microseconds: its `Req-Deadline-Ms`, at most the deadline of the class.
+fn client_timeout(
     settings: &Settings,
     class: usize,
     fields: &HeaderMap,
 ) -> Result<Micros, RequestError> {
     let longest = settings.classes[class].deadline.as_micros();
-    match text(fields, &REQ_DEADLINE) {
-        // A number too large for any clock is a number; the class's time is the longest anyway.
+    match field_text(fields, &REQ_DEADLINE) {
+        // Digits that overflow a u64 are still a whole number, and are limited by the deadline of the class anyway.
         Some(digits) if !digits.is_empty() && digits.bytes().all(|b| b.is_ascii_digit()) => {
-            let wait = digits.parse::<u64>();
-            Ok(wait.map_or(longest, |ms| ms.saturating_mul(1_000).min(longest)))
+            let timeout = digits.parse::<u64>();
+            Ok(timeout.map_or(longest, |ms| ms.saturating_mul(1_000).min(longest)))
         }
         None if !fields.contains_key(&REQ_DEADLINE) => Ok(longest),
-        _ => Err(RequestError::UnusableDeadline),
+        _ => Err(RequestError::InvalidDeadline),
     }
 }
 
-/// What the decisions need of a request, but for the time that is left.
-fn job(names: &Names, class: usize, key: Option<u64>, fields: &HeaderMap) -> Job {
+/// Returns the scheduler's view of a request, without the remaining time.
+fn scheduler_job(names: &Names, class: usize, key: Option<u64>, fields: &HeaderMap) -> Job {
     let tenants = &names.tenants;
-    let tenant =
-        text(fields, &REQ_OWNER).and_then(|owner| tenants.iter().position(|name| name == owner));
+    let tenant = field_text(fields, &REQ_OWNER)
+        .and_then(|owner| tenants.iter().position(|name| name == owner));
     let extra = |name: &str| {
-        let mut pairs = text(fields, &REQ_EXTRA)?
+        let mut pairs = field_text(fields, &REQ_EXTRA)?
             .split(',')
             .filter_map(|pair| pair.split_once('='));
         pairs
@@ -270,22 +273,22 @@
     }
 }
 
-/// The whole body, where it comes in time.
+/// Reads the whole body until the deadline, at most for [`BODY_TIMEOUT`].
 async fn read_body(clock: &Clock, deadline: Micros, body: Incoming) -> Result<Bytes, RequestError> {
-    let body = Limited::new(body, LARGEST_BODY).collect();
-    let by = clock
+    let body = Limited::new(body, MAX_BODY).collect();
+    let time_limit = clock
         .instant(deadline)
-        .min(tokio::time::Instant::now() + BODY_WAIT);
-    match tokio::time::timeout_at(by, body).await {
+        .min(tokio::time::Instant::now() + BODY_TIMEOUT);
+    match tokio::time::timeout_at(time_limit, body).await {
         Err(_) => Err(RequestError::BodyTimeout),
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => Err(RequestError::BodyTooLarge),
-        Ok(Err(_)) => Err(RequestError::BrokenBody),
+        Ok(Err(_)) => Err(RequestError::UnreadableBody),
     }
 }
 
-/// The fields that a worker gets as they came.
-fn forwarded_fields(fields: &mut HeaderMap) -> HeaderMap {
+/// Takes out the fields that are forwarded to the worker unchanged.
+fn take_forwarded_fields(fields: &mut HeaderMap) -> HeaderMap {
     let mut headers = HeaderMap::with_capacity(8);
     for name in [
         HOST,
