--- a/crates/server/src/net/front/accept.rs
+++ b/crates/server/src/net/front/accept.rs
@@ -1,7 +1,7 @@
-//! What follows an error of accept(2).
+//! Classifies errors of accept(2) and backs off after them.
 //!
-//! It owns the kinds of these errors, and for how long accepting backs off after one. It must never give up the
-//! listener, or close a connection in use so that another one is accepted.
+//! No error ends the accept loop. If this process stays out of descriptors, idle connections are closed to free some;
+//! connections in use are left open.
 
 use std::io;
 use std::rc::Rc;
@@ -13,24 +13,26 @@
 use super::super::Net;
 use super::clients::Clients;
 
-/// The first pause after an error; it doubles with each further one in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(1);
-const LONGEST_PAUSE: Duration = Duration::from_millis(20);
-const MOST_DOUBLINGS: u32 = 5;
-/// So many failed connections in a row are passed over at once. Guards against spinning on an error that stays.
-const WITHOUT_PAUSE: u32 = 16;
-/// So many errors in a row for want of our own descriptors let an idle connection be closed.
-const BEFORE_CLOSING: u32 = 3;
+/// The delay after the first error; it doubles with each consecutive error.
+const INITIAL_DELAY: Duration = Duration::from_millis(1);
+const MAX_DELAY: Duration = Duration::from_millis(20);
+/// Keeps the shift of `INITIAL_DELAY` from overflowing.
+const MAX_DOUBLINGS: u32 = 5;
+/// Up to this number of consecutive errors, failed connections cause no delay. The limit prevents a busy loop on a
+/// persistent error.
+const MAX_WITHOUT_DELAY: u32 = 16;
+/// From this number of consecutive errors on, running out of descriptors closes an idle connection.
+const ERRORS_BEFORE_CLOSING: u32 = 3;
 
-/// What an error of accept(2) says.
+/// The cause of an error of accept(2).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum AcceptError {
-    /// The connection failed before it was accepted, or a signal came: the next one may be good.
+    /// The pending connection failed, or a signal interrupted the call; the next call may succeed.
     Connection,
-    /// The system is short of descriptors or memory, or did not allow it. It passes without our doing.
+    /// The system is out of descriptors or memory, or did not permit the call. This process can only wait.
     System,
-    /// This process has no descriptor left.
-    OwnLimit,
+    /// This process has reached its limit on descriptors.
+    ProcessLimit,
 }
 
 impl AcceptError {
@@ -48,31 +50,31 @@
                 | Errno::HOSTDOWN
                 | Errno::HOSTUNREACH,
             ) => AcceptError::Connection,
-            Some(Errno::MFILE) => AcceptError::OwnLimit,
+            Some(Errno::MFILE) => AcceptError::ProcessLimit,
             _ => AcceptError::System,
         }
     }
 }
 
-/// The errors since a connection was last accepted.
+/// Exponential backoff over the errors since the last accepted connection.
 #[derive(Default)]
 pub(super) struct AcceptBackoff {
-    in_a_row: u32,
+    consecutive_errors: u32,
 }
 
 impl AcceptBackoff {
-    /// A connection was accepted.
+    /// Called after each accepted connection.
     pub(super) fn reset(&mut self) {
-        self.in_a_row = 0;
+        self.consecutive_errors = 0;
     }
 
-    /// Counts an error, waits as long as it asks for, and lets an idle connection go where our own descriptors have
-    /// run out and stay so.
-    pub(super) async fn failed(&mut self, net: &Rc<Net>, clients: &Clients, error: &io::Error) {
+    /// Counts an error and sleeps for the backoff delay. If this process stays out of descriptors, also closes an idle
+    /// connection.
+    pub(super) async fn on_error(&mut self, net: &Rc<Net>, clients: &Clients, error: &io::Error) {
         let kind = AcceptError::of(error);
-        let before = self.in_a_row;
-        self.in_a_row = before.saturating_add(1);
-        if kind == AcceptError::Connection && before < WITHOUT_PAUSE {
+        let previous_errors = self.consecutive_errors;
+        self.consecutive_errors = previous_errors.saturating_add(1);
+        if kind == AcceptError::Connection && previous_errors < MAX_WITHOUT_DELAY {
             return;
         }
         net.counters.clients.accept_errors.increment();
@@ -80,11 +82,12 @@
         if errors.is_power_of_two() {
             warn!(errors, %error, "accept failed {errors} times: {error}");
         }
-        let pause = FIRST_PAUSE * (1 << before.min(MOST_DOUBLINGS));
-        tokio::time::sleep(pause.min(LONGEST_PAUSE)).await;
-        // An idle connection to a worker is missed by nobody; a client may be about to use its own.
-        let lacking = kind == AcceptError::OwnLimit && self.in_a_row >= BEFORE_CLOSING;
-        if lacking && !net.workers.close_oldest() {
+        let delay = INITIAL_DELAY * (1 << previous_errors.min(MAX_DOUBLINGS));
+        tokio::time::sleep(delay.min(MAX_DELAY)).await;
+        // Connections to workers go first: they can be reopened, whereas a client may be about to use its own.
+        let out_of_descriptors =
+            kind == AcceptError::ProcessLimit && self.consecutive_errors >= ERRORS_BEFORE_CLOSING;
+        if out_of_descriptors && !net.workers.close_oldest() {
             clients.close_idle(net.clock.now());
         }
     }
--- a/crates/server/src/net/front/clients.rs
+++ b/crates/server/src/net/front/clients.rs
@@ -1,7 +1,7 @@
-//! The clients' connections, and which of them is evicted.
+//! The table of client connections, and the choice of those to evict.
 //!
-//! It owns the table of them and what is known of each. It must never evict one whose request
-//! is taken or still comes in; only what is overdue goes all the same.
+//! A connection is not evicted while a request on it is being processed, or while a request arrives or a response is
+//! written and makes progress. A connection whose request or response takes too long in all is closed regardless.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -13,97 +13,116 @@
 use super::super::reader::Intake;
 use super::super::Net;
 
-/// The time that a new connection has to bring a request before it is the first to be evicted, in
-/// microseconds.
-const GRACE: Micros = 200_000;
-/// A connection that nothing has come on for so long is idle, and its client hardly about to use it.
-const IDLE: Micros = 1_000_000;
-/// So many connections that end may hold descriptors beside the clients' share, out of the reserve for what is on
-/// its way from closed to gone. Further ones give up the rest of their time as soon as others want in.
-const LINGERING_CONNECTIONS: usize = 4;
-/// Between two looks at what is overdue.
-const SWEEP: Duration = Duration::from_millis(250);
+/// How long a new connection has to send its first request before it ranks first for eviction, and how long a used one
+/// must have been idle before [`Clients::limit_idle`] closes it; in microseconds.
+const GRACE_PERIOD: Micros = 200_000;
+/// How long a connection must have been idle to be closed when descriptors run out, in microseconds. Its client is
+/// then unlikely to be about to use it.
+const IDLE_THRESHOLD: Micros = 1_000_000;
+/// How many lingering connections may hold descriptors beyond the clients' share. These come out of the reserve for
+/// connections that are being closed. Beyond this number, the oldest is closed early when a new connection needs its
+/// place.
+const LINGERING_ALLOWANCE: usize = 4;
+/// The interval between two checks for overdue connections.
+const OVERDUE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// A client's connection.
+/// The state of a client's connection.
 pub(super) struct Client {
-    /// Since when no whole request is under way on it.
+    /// Since when no complete request has been in progress; `None` while one is.
     pub(super) idle_since: Cell<Option<Micros>>,
-    /// It has brought a whole request.
-    pub(super) known: Cell<bool>,
+    /// Whether a complete request has ever arrived.
+    pub(super) has_sent_request: Cell<bool>,
+    /// Whether the connection has been asked to close, or is closing by itself.
     pub(super) close_requested: Cell<bool>,
-    /// Since when nothing is sent on it any more.
+    /// Since when the connection has been in its lingering close.
     pub(super) lingering_since: Cell<Option<Micros>>,
+    /// Notifies the connection's task that it should close.
     pub(super) close: Notify,
     pub(super) intake: Rc<Intake>,
 }
 
 impl Client {
-    fn close(&self) {
+    fn request_close(&self) {
         self.close_requested.set(true);
         self.close.notify_one();
     }
 }
 
-/// The clients' connections.
+/// All open client connections.
 #[derive(Default)]
 pub(super) struct Clients {
     pub(super) open: RefCell<Vec<Rc<Client>>>,
+    /// Notified when a connection closes, begins to linger or declines its eviction.
     pub(super) changed: Notify,
 }
 
 impl Clients {
-    /// Asks the connection that is missed least to close; tells whether there was one. First goes who has
-    /// said nothing in the time to bring a request, longest first; then whose request has begun, or whose
-    /// answer has, and makes no progress; then who is idle between requests; last who came just now. Never
-    /// one whose request is taken, or still comes in, however slowly, or whose answer still goes out. Guards
-    /// against usual clients that lose theirs to hundreds that say nothing or half of something, and against
-    /// closing, in a full house, always on the one just accepted.
-    fn close_one(&self, now: Micros) -> bool {
-        let at = tokio::time::Instant::now();
+    /// Asks the connection that ranks first for eviction to close; returns whether there was one. Within a rank, the
+    /// one that has been idle longest comes first. The ranks are:
+    ///
+    /// 0. no request yet, after the grace period;
+    /// 1. a partial request, or a response being written, that makes no progress;
+    /// 2. idle between requests;
+    /// 3. no request yet, within the grace period.
+    ///
+    /// A connection is not a candidate while its request is being processed or still arrives, however slowly, or while
+    /// its client still reads the response. The order prevents hundreds of clients that send nothing or partial
+    /// requests from displacing ordinary ones. It also prevents the connection accepted last from being evicted every
+    /// time.
+    fn close_first_ranked(&self, now: Micros) -> bool {
+        let instant = tokio::time::Instant::now();
         let rank = |c: &Client, since: Micros| match c
             .intake
-            .partial_request(at)
-            .or(c.intake.unwritten(at))
+            .partial_request(instant)
+            .or(c.intake.unwritten(instant))
         {
             Some(true) => None,
             Some(false) => Some(1),
-            None if c.known.get() => Some(2),
-            None if now > since + GRACE => Some(0),
+            None if c.has_sent_request.get() => Some(2),
+            None if now > since + GRACE_PERIOD => Some(0),
             None => Some(3),
         };
         let open = self.open.borrow();
-        let staying = open.iter().filter(|c| !c.close_requested.get());
+        let remaining = open.iter().filter(|c| !c.close_requested.get());
         let ranked = |c: &Rc<Client>| {
             c.idle_since
                 .get()
                 .and_then(|since| Some((rank(c, since)?, since)))
         };
-        let least = staying
+        let first = remaining
             .filter_map(|c| Some((ranked(c)?, c)))
             .min_by_key(|(key, _)| *key);
-        least.map(|(_, client)| client.close()).is_some()
+        first.map(|(_, client)| client.request_close()).is_some()
     }
 
-    /// Asks the connection that has been idle for longest to close, where one has been so for a while and nothing is
-    /// under way on it, requests begun and answers that go out included.
+    /// Asks the connection that has been idle longest to close, if that is longer than [`IDLE_THRESHOLD`]. Connections
+    /// with a partial request or an unwritten response do not count as idle.
     pub(super) fn close_idle(&self, now: Micros) {
-        let at = tokio::time::Instant::now();
+        let instant = tokio::time::Instant::now();
         let open = self.open.borrow();
-        let staying = open.iter().filter(|c| !c.close_requested.get());
-        let quiet = staying
-            .filter(|c| c.intake.partial_request(at).is_none() && c.intake.unwritten(at).is_none());
-        let idle =
-            quiet.filter_map(|c| Some((c.idle_since.get().filter(|since| now > since + IDLE)?, c)));
+        let remaining = open.iter().filter(|c| !c.close_requested.get());
+        let inactive = remaining.filter(|c| {
+            c.intake.partial_request(instant).is_none() && c.intake.unwritten(instant).is_none()
+        });
+        let idle = inactive.filter_map(|c| {
+            Some((
+                c.idle_since
+                    .get()
+                    .filter(|since| now > since + IDLE_THRESHOLD)?,
+                c,
+            ))
+        });
         if let Some((_, client)) = idle.min_by_key(|(since, _)| *since) {
-            client.close();
+            client.request_close();
         }
     }
 
-    /// Whether one more may be accepted. The one that has been ending for longest is let go where it is in the way.
+    /// Returns whether another connection may be accepted. If the open connections exhaust the share and the allowance
+    /// for lingering ones, also tells the one that has lingered longest to close.
     pub(super) fn has_capacity(&self, share: usize) -> bool {
         let open = self.open.borrow();
         let lingering = || open.iter().filter(|c| c.lingering_since.get().is_some());
-        let below_limit = open.len() < share + LINGERING_CONNECTIONS;
+        let below_limit = open.len() < share + LINGERING_ALLOWANCE;
         if !below_limit {
             if let Some(oldest) = lingering().min_by_key(|c| c.lingering_since.get()) {
                 oldest.close.notify_one();
@@ -112,11 +131,13 @@
         below_limit && open.len() - lingering().count() < share
     }
 
-    /// Evicts one connection, unless one is about to close; returns whether one was asked to.
-    pub(super) fn evict_idle(&self, now: Micros) -> bool {
-        let closes = |c: &Rc<Client>| c.close_requested.get() && c.lingering_since.get().is_none();
-        let under_way = self.open.borrow().iter().any(closes);
-        !under_way && self.close_one(now)
+    /// Evicts one connection unless an earlier request to close is still pending; returns whether one was asked to
+    /// close.
+    pub(super) fn evict_one(&self, now: Micros) -> bool {
+        let is_closing =
+            |c: &Rc<Client>| c.close_requested.get() && c.lingering_since.get().is_none();
+        let close_pending = self.open.borrow().iter().any(is_closing);
+        !close_pending && self.close_first_ranked(now)
     }
 
     pub(super) async fn all_closed(&self) {
@@ -125,40 +146,47 @@
         }
     }
 
-    /// Closes the one idle for longest of those that have brought a request, where these are too many.
-    /// Guards against clients that ask once and stay: the platform gives us no more connections for
-    /// requests than a third of the descriptors, and turns usual clients away from there on.
+    /// Closes the longest-idle connection that has sent a request if there are too many of these: more than three
+    /// quarters of a third of `sockets`. Prevents clients that send one request and stay connected from keeping others
+    /// out: the platform opens connections for requests only up to a third of the descriptors, and turns ordinary
+    /// clients away beyond that.
     pub(super) fn limit_idle(&self, sockets: usize, now: Micros) {
         let open = self.open.borrow();
-        let known = || {
+        let used = || {
             open.iter()
-                .filter(|c| c.known.get() && !c.close_requested.get())
+                .filter(|c| c.has_sent_request.get() && !c.close_requested.get())
         };
-        let most = sockets / 3 * 3 / 4;
-        if open.len() > most && known().count() > most {
-            // One that was answered just now may not have all of its answer yet.
-            let at = tokio::time::Instant::now();
-            let begun = |c: &Client| {
+        let limit = sockets / 3 * 3 / 4;
+        if open.len() > limit && used().count() > limit {
+            // The response to a request that was answered just now may not be written completely yet.
+            let instant = tokio::time::Instant::now();
+            let is_active = |c: &Client| {
                 c.intake
-                    .partial_request(at)
-                    .or(c.intake.unwritten(at))
+                    .partial_request(instant)
+                    .or(c.intake.unwritten(instant))
                     .is_some()
             };
-            let idle = known().filter(|c| !begun(c));
-            let idle =
-                idle.filter_map(|c| Some((c.idle_since.get().filter(|at| now > at + GRACE)?, c)));
+            let idle = used().filter(|c| !is_active(c));
+            let idle = idle.filter_map(|c| {
+                Some((
+                    c.idle_since
+                        .get()
+                        .filter(|since| now > since + GRACE_PERIOD)?,
+                    c,
+                ))
+            });
             if let Some((_, client)) = idle.min_by_key(|(since, _)| *since) {
-                client.close();
+                client.request_close();
             }
         }
     }
 }
 
-/// Closes connections whose request began too long ago and is not there yet, or whose answer is not taken;
-/// one that never said anything is such a one, one that is idle between requests is not.
-pub(super) async fn sweep(net: Rc<Net>, clients: Rc<Clients>) {
+/// Periodically closes connections whose request takes too long to arrive or whose client does not read the response.
+/// This includes connections on which nothing was ever sent, but not those that are idle between requests.
+pub(super) async fn close_overdue(net: Rc<Net>, clients: Rc<Clients>) {
     loop {
-        tokio::time::sleep(SWEEP).await;
+        tokio::time::sleep(OVERDUE_CHECK_INTERVAL).await;
         let now = tokio::time::Instant::now();
         for client in clients
             .open
@@ -167,7 +195,7 @@
             .filter(|c| !c.close_requested.get() && c.intake.overdue(now))
         {
             net.counters.clients.overdue_requests.increment();
-            client.close();
+            client.request_close();
         }
     }
 }
--- a/crates/server/src/net/front/connection.rs
+++ b/crates/server/src/net/front/connection.rs
@@ -1,7 +1,8 @@
-//! One client's connection from its first request to the last byte of ours.
+//! Serves the requests on one client connection and decides when the connection ends.
 //!
-//! It owns how hyper serves it, and when it is to end; `lingering_close` closes it then. It must never end one
-//! on a request that has come, or wait without bound for one that has not.
+//! hyper reads the requests through a [`Reader`], which passes them on one at a time. An eviction is declined, and a
+//! shutdown waits, where closing the connection would cut off a request that has arrived, even in part, or a response.
+//! The wait for a request that is still arriving is bounded. The close itself is in `lingering_close`.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -24,27 +25,29 @@
 use super::clients::{Client, Clients};
 use super::handle::respond;
 
-/// How long a connection that is to close is read once more.
-const LAST_READ: Duration = Duration::from_millis(50);
-/// The answer to a request that was taken, where its connection ends before another one comes.
-const FAILED: &[u8] = b"HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-/// The same, with what cannot be read behind it.
-const FAILED_THEN_UNREADABLE: &[u8] = b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n\
+/// In a shutdown, how long a connection is served on before each check whether it can close.
+const CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// The response to an accepted request that is still unanswered when its connection ends.
+const BAD_GATEWAY: &[u8] =
+    b"HTTP/1.1 502 Bad Gateway\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
+/// The responses to an unanswered request and to malformed input that follows it.
+const BAD_GATEWAY_THEN_BAD_REQUEST: &[u8] =
+    b"HTTP/1.1 502 Bad Gateway\r\nContent-Length: 0\r\n\r\n\
     HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-/// The answer to what cannot be read.
-const UNREADABLE: &[u8] =
+/// The response to malformed input.
+const BAD_REQUEST: &[u8] =
     b"HTTP/1.1 400 Bad Request\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 
-/// One connection from its first request to its last.
+/// Serves a connection until its client ends it, it is evicted, or the process shuts down.
 pub(super) async fn serve_connection(
     net: &Rc<Net>,
     clients: &Clients,
     client: &Rc<Client>,
     stream: Rc<RefCell<TcpStream>>,
 ) {
-    let of_client = ClientConnection::new(&stream);
+    let client_connection = ClientConnection::new(&stream);
     let service = service_fn(|request| async {
-        let mut response = respond(net, client, &of_client, request).await;
+        let mut response = respond(net, client, &client_connection, request).await;
         if client.intake.last.get() || net.shutdown.has_handed_over() || net.shutdown.is_closing() {
             response
                 .headers_mut()
@@ -61,28 +64,28 @@
         .max_buf_size(LONGEST_HEAD)
         .serve_connection(reader, service);
     let mut connection = pin!(connection);
-    let ended = tokio::select! {
+    let result = tokio::select! {
         biased;
-        ended = connection.as_mut() => Some(ended),
+        result = connection.as_mut() => Some(result),
         cause = close_cause(net, clients, client, &stream) => match cause {
-            CloseCause::Evicted => None,
-            CloseCause::Shutdown => end_in_shutdown(net, client, &stream, connection).await,
+            CloseCause::Requested => None,
+            CloseCause::Shutdown => finish_in_shutdown(net, client, &stream, connection).await,
         },
     };
-    if let Some(ended) = ended {
-        over(net, client, ended);
+    if let Some(result) = result {
+        count_malformed(net, client, result);
     }
 }
 
-/// Why a connection is to close before its client ends it.
+/// Why the server closes a connection.
 enum CloseCause {
-    /// Its place is needed, and nothing is under way on it.
-    Evicted,
-    /// The process ends.
+    /// It was asked to close, and no request or response would be cut off.
+    Requested,
+    /// The process is shutting down.
     Shutdown,
 }
 
-/// Returns once the connection is to close.
+/// Waits until the server has to close the connection.
 async fn close_cause(
     net: &Net,
     clients: &Clients,
@@ -96,20 +99,21 @@
             _ = closing.wait_for(|closing| *closing) => return CloseCause::Shutdown,
             () = client.close.notified() => {}
         }
-        if may_end(client, stream) {
-            return CloseCause::Evicted;
+        if can_close(client, stream) {
+            return CloseCause::Requested;
         }
-        // A request has come meanwhile, or begun to: another one is to be evicted.
+        // A request has arrived meanwhile, at least in part, so another connection has to be chosen.
         client.close_requested.set(false);
         clients.changed.notify_one();
     }
 }
 
-/// The end of a connection in a shutdown; returns how it ended where it did so by itself. Guards against closing on a
-/// request that has arrived but was not read yet (one accepted last has not been looked at once), on one that still
-/// comes in, and on an answer that is still being written: these have until the last answers are out, and what was
-/// taken has its own time.
-async fn end_in_shutdown<C: Future<Output = hyper::Result<()>>>(
+/// Serves a connection in a shutdown until it can close; returns hyper's result if the connection ended by itself.
+///
+/// Prevents the close from cutting off a request that has arrived but was not read yet (a connection accepted last has
+/// never been read), one that is still arriving, and a response that is still being written. These may go on until the
+/// time of the last answer; a request that is being processed has its own deadline.
+async fn finish_in_shutdown<C: Future<Output = hyper::Result<()>>>(
     net: &Net,
     client: &Client,
     stream: &Rc<RefCell<TcpStream>>,
@@ -118,25 +122,26 @@
     loop {
         tokio::select! {
             biased;
-            ended = connection.as_mut() => return Some(ended),
-            () = tokio::time::sleep(LAST_READ) => {}
+            result = connection.as_mut() => return Some(result),
+            () = tokio::time::sleep(CLOSE_CHECK_INTERVAL) => {}
         }
         let last_answer = net.shutdown.last_answer();
-        let late = last_answer.is_none_or(|last| Instant::now() >= last);
-        if may_end(client, stream) || late && client.idle_since.get().is_some() {
+        let past_last_answer = last_answer.is_none_or(|last| Instant::now() >= last);
+        if can_close(client, stream) || past_last_answer && client.idle_since.get().is_some() {
             return None;
         }
     }
 }
 
-/// Whether nothing would be cut off where the connection ended now. What the runtime knows of its socket is as old
-/// as its last wait: so the system is asked whether anything has come since.
-fn may_end(client: &Client, stream: &Rc<RefCell<TcpStream>>) -> bool {
+/// Returns whether the connection can close without cutting off a request or response. The runtime's view of the socket
+/// is as old as its last poll, so the system is asked whether bytes have arrived since. Overdue requests and responses
+/// do not keep the connection open, nor does an unanswered request once malformed input has waited too long behind it.
+fn can_close(client: &Client, stream: &Rc<RefCell<TcpStream>>) -> bool {
     let now = Instant::now();
     if client.intake.malformed_for_long(now) {
         return true;
     }
-    // Where the system cannot say for a moment, something may have come.
+    // After a transient error, bytes may have arrived.
     let may_have_unread_bytes = || match peek(&stream.borrow()) {
         Ok(unread) => unread > 0,
         Err(error) => is_transient(&error),
@@ -145,26 +150,26 @@
         && (client.intake.overdue(now) || !client.intake.under_way(now) && !may_have_unread_bytes())
 }
 
-/// Counts what could not be read, by the reader or by hyper, which answers it itself.
-fn over(net: &Net, client: &Client, ended: hyper::Result<()>) {
-    if client.intake.malformed.get() || ended.is_err_and(|e| e.is_parse()) {
+/// Counts malformed input, whether the reader or hyper detected it. hyper itself responds to what it detects.
+fn count_malformed(net: &Net, client: &Client, result: hyper::Result<()>) {
+    if client.intake.malformed.get() || result.is_err_and(|e| e.is_parse()) {
         net.counters.clients.bad_requests.increment();
     }
 }
 
-/// What is still to be said on a connection that hyper is done with: the answer to a request that was taken and has
-/// none, as its client has ended its sending or what follows cannot be read, and the answer to that. A client that has
-/// closed takes no notice of either.
+/// Returns the bytes to write on a connection that hyper has finished with: a response to the request that is still
+/// unanswered, because its client shut down its sending side or malformed input followed, and a response to malformed
+/// input. A client that has closed the connection ignores both.
 pub(super) fn final_response(client: &Client) -> &'static [u8] {
     let unanswered = client.idle_since.get().is_none();
     if unanswered && client.intake.malformed.get() {
-        return FAILED_THEN_UNREADABLE;
+        return BAD_GATEWAY_THEN_BAD_REQUEST;
     }
     if unanswered {
-        return FAILED;
+        return BAD_GATEWAY;
     }
     if client.intake.is_rejected() {
-        return UNREADABLE;
+        return BAD_REQUEST;
     }
     b""
 }
--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -1,8 +1,8 @@
-//! One request from its arrival to its answer.
+//! Answers one client request.
 //!
-//! It owns the handler that does what the decisions say, the request's place in the figures, and the words of
-//! its attempts. It must never decide what a request gets (each step comes from the facade's `pick`), or hold
-//! an answer back.
+//! The scheduler decides what happens to a request: each step comes from the facade's `pick` and is performed here at
+//! once. This module also reports the progress of the request's attempts to the facade and counts the request and its
+//! outcome in the ledger.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -23,6 +23,7 @@
 use oakshed_core::facade::{Ending, Handle, Job, Micros, Report, Seen, Step};
 use oakshed_core::figures::{End, Entry};
 
+/// Routes a request by its path, answers it, and counts its outcome.
 pub(super) async fn respond(
     net: &Rc<Net>,
     client: &Client,
@@ -42,54 +43,55 @@
         return durable::serve_job_path(net, &head).await;
     }
     let class = class_of(&net.config.names, &head);
-    let taken = Taken {
+    let accounting = Accounting {
         net,
         class,
         entry: RefCell::new(None),
     };
-    let answer = answer(net, client, connection, &taken, arrived, (head, body)).await;
-    let end = match answer.status() {
+    let response = answer(net, client, connection, &accounting, arrived, (head, body)).await;
+    let end = match response.status() {
         StatusCode::OK => End::Completed,
         StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => End::Rejected,
-        // A durable job that goes on without its client: whoever queries it later gets its end.
+        // A durable job goes on without its client; its answer is returned by later queries.
         StatusCode::ACCEPTED => End::Abandoned,
         _ => End::Failed,
     };
-    taken.entry().end(end);
-    answer
+    accounting.take_entry().end(end);
+    response
 }
 
-/// A request's place in the operators' figures: it counts from when it has arrived in full, or has its
-/// answer, whichever comes first.
-struct Taken<'a> {
+/// Counts a request in the ledger from its complete arrival or its answer, whichever is first.
+struct Accounting<'a> {
     net: &'a Net,
     class: Option<usize>,
     entry: RefCell<Option<Entry>>,
 }
 
-impl Taken<'_> {
-    fn arrived(&self) {
+impl Accounting<'_> {
+    fn on_arrived(&self) {
         *self.entry.borrow_mut() = Some(self.net.ledger.take(self.class));
     }
 
-    fn entry(&self) -> Entry {
+    /// Takes the ledger entry, or creates it for a request that was answered before its complete arrival.
+    fn take_entry(&self) -> Entry {
         self.entry
             .take()
             .unwrap_or_else(|| self.net.ledger.take(self.class))
     }
 }
 
+/// Reads a request, then processes it as a durable job or as a plain request.
 async fn answer(
     net: &Rc<Net>,
     client: &Client,
     connection: &ClientConnection,
-    taken: &Taken<'_>,
+    accounting: &Accounting<'_>,
     arrived: Micros,
     (head, body): (Parts, Incoming),
 ) -> Response<Full<Bytes>> {
     let options = durable::JobOptions::read(&head.headers);
     let (job, forwarded, mut reservation) =
-        match read_request(net, taken.class, arrived, head, body).await {
+        match read_request(net, accounting.class, arrived, head, body).await {
             Ok(read) => read,
             Err(error) => {
                 net.counters.clients.bad_requests.increment();
@@ -97,8 +99,8 @@
             }
         };
     client.intake.arrived();
-    taken.arrived();
-    client.known.set(true);
+    accounting.on_arrived();
+    client.has_sent_request.set(true);
     client.idle_since.set(None);
     if net.durable.is_some() {
         return durable::submit_and_wait(net, &job, forwarded, &options).await;
@@ -107,7 +109,7 @@
         net.counters.clients.bad_requests.increment();
         return plain(StatusCode::CONFLICT, "another open req has this Req-Id\n");
     }
-    handle(
+    perform_steps(
         net,
         connection,
         &job,
@@ -119,8 +121,9 @@
     .await
 }
 
-/// A request from its arrival to its answer. Where its client goes away first, hyper drops it, and
-/// what is still out is given up.
+/// A request that is being processed, and its attempts. hyper drops it early if the client disconnects. The drop closes
+/// the request at the facade, prevents attempts that are still connecting from being sent, and stops the attempts that
+/// the facade names.
 struct Handler<'a> {
     net: &'a Rc<Net>,
     request: Handle,
@@ -129,7 +132,7 @@
 
 impl Drop for Handler<'_> {
     fn drop(&mut self) {
-        let drops = self
+        let dropped = self
             .net
             .facade
             .borrow_mut()
@@ -137,7 +140,7 @@
         for attempt in &self.attempts {
             attempt.cancel();
         }
-        for attempt in drops
+        for attempt in dropped
             .into_iter()
             .filter_map(|number| self.attempts.get(number))
         {
@@ -146,7 +149,7 @@
     }
 }
 
-/// A request's attempt, by its number.
+/// Reports the events of an attempt, which is identified by its request and its number in that request.
 #[derive(Clone, Copy)]
 struct RequestAttempt(Handle, usize);
 
@@ -167,7 +170,6 @@
 }
 
 impl Handler<'_> {
-    /// Begins the next attempt.
     fn start_attempt(
         &mut self,
         connection: &ClientConnection,
@@ -181,7 +183,7 @@
         self.attempts.push(attempt);
     }
 
-    /// The answer with an attempt's result.
+    /// Returns the response with an attempt's result.
     async fn serve(&mut self, attempt: usize) -> Response<Full<Bytes>> {
         let result = match self.attempts.get_mut(attempt) {
             Some(attempt) => attempt.result().await,
@@ -196,7 +198,7 @@
         }
     }
 
-    /// Gives an attempt up.
+    /// Closes an attempt's connection and reports the attempt as revoked.
     fn revoke(&self, attempt: usize) {
         if let Some(attempt) = self.attempts.get(attempt) {
             attempt.stop();
@@ -206,7 +208,8 @@
     }
 }
 
-async fn handle(
+/// Performs the scheduler's steps for a request until one of them gives the response.
+async fn perform_steps(
     net: &Rc<Net>,
     connection: &ClientConnection,
     job: &Job,
--- a/crates/server/src/net/front/mod.rs
+++ b/crates/server/src/net/front/mod.rs
@@ -1,8 +1,10 @@
-//! The clients' side: the listener, and the connections from being accepted to being closed.
+//! Accepts client connections and serves the requests on them.
 //!
-//! It owns who is accepted, and when no more is. `accept` owns what follows an error of accepting, `clients` which
-//! connection is evicted, `connection` a connection, `lingering_close` its close, `request` the reading of a request,
-//! `handle` its way to its answer. It must never decide what a request gets, or end before every connection has.
+//! This file binds the listener and runs the accept loop, up to the limit on open connections and through a shutdown
+//! or a hot restart; `run` returns only once every connection has closed. Backing off after accept errors is in
+//! `accept`, eviction in `clients`, serving one connection in `connection` and closing it in `lingering_close`. A
+//! request is parsed in `request` and answered in `handle`. What happens to a request is the scheduler's decision,
+//! which this module only carries out.
 
 mod accept;
 mod clients;
@@ -26,16 +28,16 @@
 use super::transient::retry_at_start;
 use super::Net;
 use accept::AcceptBackoff;
-use clients::{sweep, Client, Clients};
+use clients::{close_overdue, Client, Clients};
 use connection::{final_response, serve_connection};
 pub(crate) use lingering_close::lingering_close;
 
-/// How many connections may wait to be accepted.
-const BACKLOG: u32 = 1_024;
-/// Between two looks whether a full house has capacity again.
-const FULL_PAUSE: Duration = Duration::from_millis(20);
+/// The most established connections that the kernel queues for accept.
+const LISTEN_BACKLOG: u32 = 1_024;
+/// The longest interval between two checks for capacity while the limit on connections is reached.
+const CAPACITY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Binds the one address given. `shared` lets the next process of this scheduler bind it too.
+/// Binds and listens on `address`. With `shared`, the successor in a hot restart can bind it too (`SO_REUSEPORT`).
 pub(crate) fn listen(address: SocketAddr, shared: bool) -> Result<TcpListener, ListenError> {
     let bind = || {
         let socket = if address.is_ipv4() {
@@ -46,35 +48,36 @@
         socket.set_reuseaddr(true)?;
         socket.set_reuseport(shared)?;
         socket.bind(address)?;
-        socket.listen(BACKLOG)
+        socket.listen(LISTEN_BACKLOG)
     };
     retry_at_start(bind).map_err(|error| ListenError { address, error })
 }
 
-/// Accepts and serves until the program is to close, and then until every connection has ended.
+/// Accepts and serves connections until the process shuts down or hands over to its successor, then waits until
+/// all connections have closed.
 pub(crate) async fn run(net: &Rc<Net>, listener: TcpListener) {
     let clients = Rc::new(Clients::default());
-    tokio::task::spawn_local(sweep(net.clone(), clients.clone()));
+    tokio::task::spawn_local(close_overdue(net.clone(), clients.clone()));
     let mut closing = net.shutdown.closing.subscribe();
     let mut closing = pin!(closing.wait_for(|closing| *closing));
     let mut handed_over = net.shutdown.handed_over.subscribe();
     let mut handed_over = pin!(handed_over.wait_for(|handed_over| *handed_over));
     let mut backoff = AcceptBackoff::default();
     loop {
-        // At the limit, nothing is accepted until an idle connection has been evicted.
+        // At the limit, nothing is accepted until a connection has closed or been evicted.
         while !clients.has_capacity(net.socket_share()) {
-            if clients.evict_idle(net.clock.now()) {
+            if clients.evict_one(net.clock.now()) {
                 net.counters.clients.evicted.increment();
             }
             tokio::select! {
                 () = clients.changed.notified() => {}
-                () = tokio::time::sleep(FULL_PAUSE) => {}
+                () = tokio::time::sleep(CAPACITY_CHECK_INTERVAL) => {}
             }
         }
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             _ = &mut closing => break,
-            // The next process accepts from the same queue.
+            // The successor accepts from the same queue, so the queue is not drained here.
             _ = &mut handed_over => {
                 drop(listener);
                 net.hot_restart.stop_donating();
@@ -86,7 +89,7 @@
                 backoff.reset();
                 spawn_connection(net, &clients, stream);
             }
-            Err(e) => backoff.failed(net, &clients, &e).await,
+            Err(e) => backoff.on_error(net, &clients, &e).await,
         }
     }
     accept_queued(net, &clients, &listener, backoff).await;
@@ -95,9 +98,9 @@
     clients.all_closed().await;
 }
 
-/// Accepts what the system has accepted for us, in a stop: it may carry requests already. There may be as many as
-/// BACKLOG, and descriptors for fewer: the others wait until one of these has ended. An error of one of them is no
-/// end of the queue.
+/// Drains the listen queue in a shutdown, as queued connections may already carry requests. The queue may hold up to
+/// [`LISTEN_BACKLOG`] connections, more than there are descriptors for; the rest are accepted as open ones close. An
+/// accept error does not end the loop, since good connections may be queued behind the failed one.
 async fn accept_queued(
     net: &Rc<Net>,
     clients: &Rc<Clients>,
@@ -117,18 +120,19 @@
                     clients.changed.notified().await;
                 }
             }
-            Ok(Err(e)) => backoff.failed(net, clients, &e).await,
-            // The queue is empty.
+            Ok(Err(e)) => backoff.on_error(net, clients, &e).await,
+            // Timed out: the queue is empty.
             Err(_) => return,
         }
     }
 }
 
+/// Registers an accepted connection and serves it on a task of its own, up to its close.
 fn spawn_connection(net: &Rc<Net>, clients: &Rc<Clients>, stream: TcpStream) {
     _ = stream.set_nodelay(true);
     let client = Rc::new(Client {
         idle_since: Cell::new(Some(net.clock.now())),
-        known: Cell::new(false),
+        has_sent_request: Cell::new(false),
         close_requested: Cell::new(false),
         lingering_since: Cell::new(None),
         close: Notify::new(),
