--- a/crates/server/tests/sockets/attempts.rs
+++ b/crates/server/tests/sockets/attempts.rs
@@ -8,7 +8,7 @@
 use oakshed_standin::*;
 use socket2::Socket;
 
-use super::{connections, descriptors, unreachable};
+use super::{connections, descriptors, unreachable_address};
 
 /// A client's patience, and the time for which its job's repeats are dropped.
 const LONG: Duration = Duration::from_secs(20);
@@ -39,7 +39,7 @@
 
 impl BlockedWorker {
     fn new() -> BlockedWorker {
-        let (address, sockets) = unreachable();
+        let (address, sockets) = unreachable_address();
         sockets[0].set_nonblocking(true).expect("set");
         let before = connections(address, "02");
         BlockedWorker {
--- a/crates/server/tests/sockets/discovery.rs
+++ b/crates/server/tests/sockets/discovery.rs
@@ -8,7 +8,7 @@
 use super::log_after_stop;
 use super::settings::edit;
 use super::starting::StartingProcess;
-use super::{gated, unreachable};
+use super::{gated_worker, unreachable_address};
 
 /// A first start knows no list, and the front brings no request before it is ready: it has to poll by itself.
 #[test]
@@ -145,7 +145,7 @@
 /// against asking the new discovery for changes since a list of the old one's numbering.
 #[test]
 fn reload_moves_to_new_discovery_and_continues_serving() {
-    let (before, open) = gated("before");
+    let (before, open) = gated_worker("before");
     let after = good();
     let (old, new) = (
         Discovery::new(&[("s-1", before.address)]),
@@ -285,7 +285,7 @@
 fn reload_before_first_list_polls_new_discovery() {
     let worker = good();
     let discovery = Discovery::new(&[("s-1", worker.address)]);
-    let (nowhere, _full) = unreachable();
+    let (nowhere, _full) = unreachable_address();
     let path = config(nowhere, "null", 1024);
     let mut process = StartingProcess::start(&path, &[]);
     let (old, new) = (nowhere.to_string(), discovery.peer.address.to_string());
--- a/crates/server/tests/sockets/forwarding.rs
+++ b/crates/server/tests/sockets/forwarding.rs
@@ -6,7 +6,7 @@
 use oakshed_standin::*;
 
 use super::requests::assert_all_served;
-use super::{descriptors, gated};
+use super::{descriptors, gated_worker};
 
 #[test]
 fn request_is_forwarded_unchanged_and_its_result_is_the_answer() {
@@ -103,7 +103,7 @@
 /// Guards against two requests under one id: a worker's answer to one could be served to the other.
 #[test]
 fn id_of_an_open_request_is_rejected() {
-    let (worker, open) = gated("made");
+    let (worker, open) = gated_worker("made");
     let program = Program::start(&Discovery::new(&[("s-1", worker.address)]));
     let mut first = program.connect();
     first
--- a/crates/server/tests/sockets/main.rs
+++ b/crates/server/tests/sockets/main.rs
@@ -31,7 +31,7 @@
 use oakshed_standin::*;
 
 /// An address at which connections never come up: its queue is full, and nobody accepts.
-fn unreachable() -> (std::net::SocketAddr, Vec<socket2::Socket>) {
+fn unreachable_address() -> (std::net::SocketAddr, Vec<socket2::Socket>) {
     let new = || {
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket")
     };
@@ -55,7 +55,7 @@
 }
 
 /// A worker that serves with this result, one request for each message that is sent.
-fn gated(result: &'static str) -> (Peer, std::sync::mpsc::Sender<()>) {
+fn gated_worker(result: &'static str) -> (Peer, std::sync::mpsc::Sender<()>) {
     let (open, gate) = std::sync::mpsc::channel::<()>();
     let gate = std::sync::Mutex::new(gate);
     let peer = Peer::new(move |message, stream| {
@@ -74,6 +74,6 @@
 }
 
 /// Whether a connection was closed and not reset; to be called once the program has let go of it.
-fn no_reset(client: &std::net::TcpStream) -> bool {
+fn closed_without_reset(client: &std::net::TcpStream) -> bool {
     client.take_error().expect("its state").is_none()
 }
--- a/crates/server/tests/sockets/malformed.rs
+++ b/crates/server/tests/sockets/malformed.rs
@@ -4,7 +4,7 @@
 
 use oakshed_standin::*;
 
-use super::{gated, log_after_stop};
+use super::{gated_worker, log_after_stop};
 
 #[test]
 fn malformed_request_gets_4xx_and_reaches_no_worker() {
@@ -272,7 +272,7 @@
 /// it ends its sending: it is answered, and its own result where that comes soon.
 #[test]
 fn read_request_is_answered_whatever_follows_it() {
-    let (worker, open) = gated("made");
+    let (worker, open) = gated_worker("made");
     let program = Program::start(&Discovery::new(&[("s-1", worker.address)]));
     let answers = |client: std::net::TcpStream| {
         let mut reader = std::io::BufReader::new(client);
--- a/crates/server/tests/sockets/stages.rs
+++ b/crates/server/tests/sockets/stages.rs
@@ -5,7 +5,7 @@
 use oakshed_standin::*;
 
 use super::log_after_stop;
-use super::{connections, descriptors, unreachable};
+use super::{connections, descriptors, unreachable_address};
 
 /// A worker that keeps a request at the stage that its id names.
 fn staged() -> Peer {
@@ -60,7 +60,7 @@
 )]
 fn run_stages(cancelling: &str, stages: &[(&str, &str, usize)], ends: &[&str]) {
     let workers = [staged(), staged()];
-    let (nowhere, _full) = unreachable();
+    let (nowhere, _full) = unreachable_address();
     let list = [
         ("s-1", workers[0].address),
         ("s-2", workers[1].address),
@@ -209,7 +209,7 @@
 #[test]
 fn shutdown_answers_requests_at_every_stage_and_restart_succeeds() {
     let worker = staged();
-    let (nowhere, _full) = unreachable();
+    let (nowhere, _full) = unreachable_address();
     let discovery = Discovery::new(&[("s-1", worker.address), ("s-2", nowhere)]);
     let mut program = Program::start(&discovery);
     let mut half = program.connect();
@@ -226,7 +226,7 @@
         clients.push(client);
     }
     until("some of them", || worker.count() > 2);
-    let dead = unreachable();
+    let dead = unreachable_address();
     program.reload(&discovery.peer.address.to_string(), &dead.0.to_string());
     until("the reload", || program.log().contains("reload: discovery"));
     for signal in ["-TERM", "-TERM", "-INT", "-HUP"] {
--- a/crates/server/tests/sockets/stop.rs
+++ b/crates/server/tests/sockets/stop.rs
@@ -7,7 +7,7 @@
 use oakshed_standin::*;
 
 use super::readiness::READY;
-use super::{descriptors, no_reset};
+use super::{closed_without_reset, descriptors};
 
 #[test]
 fn sigterm_serves_on_for_a_while_answers_all_and_exits_with_0() {
@@ -282,7 +282,7 @@
                             }
                             // The end of a connection may cross a request; one that is cut off, or reset, is lost.
                             let Some(answer) = Message::read(&mut reader) else {
-                                unanswered += usize::from(!no_reset(&client));
+                                unanswered += usize::from(!closed_without_reset(&client));
                                 break;
                             };
                             assert!(
--- a/crates/server/tests/sockets/workers.rs
+++ b/crates/server/tests/sockets/workers.rs
@@ -7,7 +7,7 @@
 
 use super::log_after_stop;
 use super::requests::assert_all_served;
-use super::{connections, gated, unreachable};
+use super::{connections, gated_worker, unreachable_address};
 
 #[test]
 fn worker_connections_are_reused() {
@@ -117,7 +117,7 @@
 
 #[test]
 fn moved_worker_is_used_at_its_new_address_only() {
-    let (before, open) = gated("before");
+    let (before, open) = gated_worker("before");
     let after = good();
     let discovery = Discovery::new(&[("s-1", before.address)]);
     let program = Program::start(&discovery);
@@ -156,7 +156,7 @@
 }
 
 fn assert_gets_nothing(event: &str, ends: impl Fn(&Discovery, &Program)) {
-    let (address, mut full) = unreachable();
+    let (address, mut full) = unreachable_address();
     let discovery = Discovery::new(&[("s-1", address)]);
     let edits = [
         (
