--- a/crates/server/tests/sockets/main.rs
+++ b/crates/server/tests/sockets/main.rs
@@ -1,5 +1,6 @@
-//! The program from outside: it is started, and spoken to over sockets. One test for each thing
-//! that its protocol promises, and for each failure found.
+//! Integration tests that start the scheduler process and talk to it over sockets.
+//!
+//! There is a test for each guarantee of its protocol and a regression test for each fault found.
 
 mod answers;
 mod attempts;
@@ -30,50 +31,52 @@
 
 use oakshed_standin::*;
 
-/// An address at which connections never come up: its queue is full, and nobody accepts.
+/// Returns an address at which connections are never established, because the accept queue is full and nobody accepts.
+/// The sockets are the listener, first, and the connections that fill the queue.
 fn unreachable_address() -> (std::net::SocketAddr, Vec<socket2::Socket>) {
-    let new = || {
-        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket")
+    let new_socket = || {
+        socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+            .expect("failed to create a socket")
     };
-    let listener = new();
-    let any: std::net::SocketAddr = "127.0.0.1:0".parse().expect("an address");
-    listener.bind(&any.into()).expect("a port");
-    listener.listen(0).expect("listening");
+    let listener = new_socket();
+    let any: std::net::SocketAddr = "127.0.0.1:0".parse().expect("invalid address");
+    listener.bind(&any.into()).expect("failed to bind");
+    listener.listen(0).expect("failed to listen");
     let address = listener
         .local_addr()
-        .expect("its address")
+        .expect("no local address")
         .as_socket()
-        .expect("one of IP");
+        .expect("not an IP address");
     let mut sockets = vec![listener];
     for _ in 0..4 {
-        let socket = new();
-        socket.set_nonblocking(true).expect("set");
+        let socket = new_socket();
+        socket.set_nonblocking(true).expect("socket error");
         _ = socket.connect(&address.into());
         sockets.push(socket);
     }
     (address, sockets)
 }
 
-/// A worker that serves with this result, one request for each message that is sent.
+/// Starts a worker that answers with `result`, one request for each message sent on the channel.
 fn gated_worker(result: &'static str) -> (Peer, std::sync::mpsc::Sender<()>) {
-    let (open, gate) = std::sync::mpsc::channel::<()>();
+    let (release, gate) = std::sync::mpsc::channel::<()>();
     let gate = std::sync::Mutex::new(gate);
     let peer = Peer::new(move |message, stream| {
         _ = gate.lock().unwrap().recv();
         done(message, stream, result)
     });
-    (peer, open)
+    (peer, release)
 }
 
-/// The log of a program that was stopped by a signal, once the last counts stand in it.
+/// Waits until a program that was stopped by a signal has logged its final counts, and returns its log.
 fn log_after_stop(program: &Program) -> String {
-    until("the log's last counts", || {
+    until("the final counts in the log", || {
         program.log().contains("stopped")
     });
     program.log()
 }
 
-/// Whether a connection was closed and not reset; to be called once the program has let go of it.
+/// Returns whether a connection was closed without a reset. Call this once the program has closed its end.
 fn closed_without_reset(client: &std::net::TcpStream) -> bool {
-    client.take_error().expect("its state").is_none()
+    client.take_error().expect("socket error").is_none()
 }
