--- a/crates/server/tests/sockets/starting.rs
+++ b/crates/server/tests/sockets/starting.rs
@@ -1,4 +1,4 @@
-//! A scheduler that is started without waiting until it is ready.
+//! A scheduler process that is started without waiting until it is ready.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -9,34 +9,35 @@
 
 use super::readiness::{until_ready, READY};
 
-/// The process, which ends with its test, and its configuration, which is removed with it.
+/// The process and its configuration file. Dropping it kills the process and removes the file.
 pub(super) struct StartingProcess {
     child: Child,
     path: PathBuf,
-    /// Where it is to listen.
+    /// The address at which it listens for clients.
     pub address: SocketAddr,
     /// The first line of its log.
     pub first_line: String,
-    /// Kept open, as the process logs into it.
+    /// The rest of its log; held open because the process writes to it.
     log: Option<BufReader<ChildStderr>>,
 }
 
 impl StartingProcess {
-    /// Starts it with a configuration at a path, and waits for the first line of its log.
-    pub fn start(path: &Path, more: &[&str]) -> StartingProcess {
+    /// Starts the process with a configuration file and further arguments, and waits for the first line of its log.
+    pub fn start(path: &Path, args: &[&str]) -> StartingProcess {
         let port = ReservedPort::new();
         let address = port.address;
         let mut child = Command::new(Program::binary())
             .arg("serve")
-            .args(more)
+            .args(args)
             .env("ROUTER_CONFIG", path)
             .env("ROUTER_LISTEN", address.to_string())
             .stderr(Stdio::piped())
             .spawn()
-            .expect("started");
-        let mut log = BufReader::new(child.stderr.take().expect("its log"));
+            .expect("failed to start");
+        let mut log = BufReader::new(child.stderr.take().expect("no standard error"));
         let mut first_line = String::new();
-        log.read_line(&mut first_line).expect("a line");
+        log.read_line(&mut first_line)
+            .expect("failed to read the log");
         StartingProcess {
             child,
             path: path.to_owned(),
@@ -46,17 +47,16 @@
         }
     }
 
-    /// The status of its answer on its readiness, where there is an answer.
+    /// The status of its readiness answer; `None` if there is no answer.
     pub fn readiness(&self) -> Option<u16> {
         send_raw(self.address, READY).map(|answer| answer.status())
     }
 
-    /// Waits until it is ready.
     pub fn until_ready(&self) {
         until_ready(self.address);
     }
 
-    /// The status of the answer to a transfer, where there is an answer.
+    /// Sends a transfer and returns the status of the answer; `None` if there is no answer.
     pub fn transfer(&self, id: &str) -> Option<u16> {
         send_raw(self.address, &request("transfer", id)).map(|answer| answer.status())
     }
@@ -70,11 +70,11 @@
         let status = Command::new("kill")
             .args([name, &self.child.id().to_string()])
             .status();
-        assert!(status.expect("kill runs").success());
+        assert!(status.expect("failed to run kill").success());
     }
 
     pub fn wait(&mut self) -> ExitStatus {
-        self.child.wait().expect("its end")
+        self.child.wait().expect("failed to wait for the process")
     }
 }
 
