--- a/crates/server/tests/sockets/attempts.rs
+++ b/crates/server/tests/sockets/attempts.rs
@@ -1,5 +1,7 @@
-//! Attempts between the decision on them and their first and last byte: what comes in between is forced, by
-//! connections that are blocked, and by a program that is stopped until all of it has come.
+//! Events between the decision on an attempt and its first byte: drains, deadlines and disconnects.
+//!
+//! The tests force the order of events. They block connections, or stop the process until all events of a scenario have
+//! arrived, so that it handles them in one iteration of its event loop.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,11 +12,13 @@
 
 use super::{connections, descriptors, unreachable_address};
 
-/// A client's patience, and the time for which its job's repeats are dropped.
-const LONG: Duration = Duration::from_secs(20);
-const WINDOW: Duration = Duration::from_millis(3_000);
-/// How late the program reads a request that is to run into its deadline.
-const READ_LATE: Duration = Duration::from_millis(300);
+/// The deadline of most requests, and how long clients wait for an answer.
+const CLIENT_TIMEOUT: Duration = Duration::from_secs(20);
+/// How long workers deduplicate a `new-plate`, as set in `EDITS`. One test sends it as a deadline.
+const DEDUP_WINDOW: Duration = Duration::from_millis(3_000);
+/// How long the process is stopped between the arrival of a request and reading it.
+const READ_DELAY: Duration = Duration::from_millis(300);
+/// Settings that leave enough time to block a connection.
 const EDITS: [(&str, &str); 5] = [
     (
         r#""connect-timeout-ms":200"#,
@@ -29,29 +33,31 @@
     (r#""idle-close-ms":5000"#, r#""idle-close-ms":60000"#),
 ];
 
-/// A worker at which connections come up only once they are let.
+/// A worker whose accept queue is full, so that connections to it are established only after `unblock`.
 struct BlockedWorker {
     address: SocketAddr,
+    /// The listener, and the connections that fill its queue.
     sockets: Vec<Socket>,
     accepted: Vec<Socket>,
-    before: usize,
+    /// How many connections to the address were being established before the program's.
+    initial_dials: usize,
 }
 
 impl BlockedWorker {
     fn new() -> BlockedWorker {
         let (address, sockets) = unreachable_address();
-        sockets[0].set_nonblocking(true).expect("set");
-        let before = connections(address, "02");
+        sockets[0].set_nonblocking(true).expect("socket error");
+        let initial_dials = connections(address, "02");
         BlockedWorker {
             address,
             sockets,
             accepted: Vec::new(),
-            before,
+            initial_dials,
         }
     }
 
     fn dialled(&self) -> bool {
-        connections(self.address, "02") > self.before
+        connections(self.address, "02") > self.initial_dials
     }
 
     fn accept(&mut self) {
@@ -63,29 +69,29 @@
         );
     }
 
-    /// Lets them; waits until the program's is up, as the system tries it again.
-    fn let_connect(&mut self) {
+    /// Frees the queue and waits until the program's connection is established, when the kernel retries it.
+    fn unblock(&mut self) {
         let fillers: Vec<_> = self
             .sockets
             .drain(1..)
             .filter_map(|s| s.local_addr().ok()?.as_socket())
             .collect();
-        let other = |s: &Socket| {
+        let is_from_program = |s: &Socket| {
             s.peer_addr()
                 .is_ok_and(|a| a.as_socket().is_some_and(|a| !fillers.contains(&a)))
         };
-        until("the connection", || {
+        until("the program's connection", || {
             self.accept();
-            self.accepted.iter().any(other)
+            self.accepted.iter().any(is_from_program)
         });
     }
 
-    /// How much came on them up to their ends.
+    /// Waits for the end of all accepted connections and returns how many bytes came on them.
     fn received_bytes(mut self) -> usize {
-        until("its end", || {
+        until("the end of the connections", || {
             self.accept();
             let open = |s: &Socket| {
-                s.set_nonblocking(true).expect("set");
+                s.set_nonblocking(true).expect("socket error");
                 s.peek(&mut [std::mem::MaybeUninit::uninit(); 1])
                     .is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
             };
@@ -100,37 +106,39 @@
     }
 }
 
-/// Whether bytes from there lie unread in the program's end of a connection.
-fn unread(from: SocketAddr) -> bool {
+/// Returns whether an established connection holds unread bytes that this address sent.
+fn has_unread_from(from: SocketAddr) -> bool {
     let SocketAddr::V4(v4) = from else {
-        panic!("{from} is not of IPv4")
+        panic!("{from} is not an IPv4 address")
     };
     let entry = format!(
         "{:08X}:{:04X} 01 ",
         u32::from_ne_bytes(v4.ip().octets()),
         v4.port()
     );
-    let all = std::fs::read_to_string("/proc/net/tcp").expect("the system's list");
-    let waits = |rest: &str| {
+    let list = std::fs::read_to_string("/proc/net/tcp").expect("failed to read /proc/net/tcp");
+    let has_unread = |rest: &str| {
         !rest
             .split([':', ' '])
             .nth(1)
-            .expect("a queue")
+            .expect("no receive queue")
             .bytes()
             .all(|b| b == b'0')
     };
-    all.split(&entry).skip(1).any(waits)
+    list.split(&entry).skip(1).any(has_unread)
 }
 
-/// The list says that a worker drains, and the program could read it.
+/// Sets a worker to drain and waits until the update has arrived at the program, unread.
 fn set_draining(discovery: &Discovery, name: &str) {
     discovery.set(name, "draining");
-    until("the update", || unread(discovery.peer.address));
+    until("the update's arrival", || {
+        has_unread_from(discovery.peer.address)
+    });
 }
 
-/// Plays until what came while the program stood still had the list in it: its watch may have been over just
-/// then, and the next call shows it.
-fn until_list_arrives_in_time(
+/// Repeats a scenario until the updated list arrives while the process is stopped. The watch may end just before, with
+/// an answer without the update. This shows in the next call, which still names the old list.
+fn repeat_until_list_arrives(
     scenario: impl Fn(&mut dyn FnMut(&Program, &Discovery, &mut dyn FnMut()) -> bool),
 ) {
     let mut list_arrived = false;
@@ -154,31 +162,34 @@
             return;
         }
     }
-    panic!("the watch was over each time");
+    panic!("the watch ended before the update in each of 10 runs");
 }
 
 fn send(client: &mut TcpStream, class: &str, id: &str) {
     let text = request(class, id).replace("Ms: 5000", "Ms: 20000");
-    client.write_all(text.as_bytes()).expect("written");
-    client.set_read_timeout(Some(LONG)).expect("a limit");
+    client.write_all(text.as_bytes()).expect("failed to write");
+    client
+        .set_read_timeout(Some(CLIENT_TIMEOUT))
+        .expect("socket error");
 }
 
 fn status_of(client: TcpStream) -> u16 {
     Message::read(&mut BufReader::new(client))
-        .expect("an answer")
+        .expect("no answer")
         .status()
 }
 
-/// Guards against sending to a worker that was set to drain, where the list lies unread beside the request.
+/// A request and an update that drains its worker arrive while the process is stopped. The request must not be sent,
+/// whichever of them arrived first.
 #[test]
 fn list_that_arrived_before_first_byte_counts() {
     for list_first in [true, false] {
-        until_list_arrives_in_time(|while_stopped| {
+        repeat_until_list_arrives(|while_stopped| {
             let worker = good();
             let discovery = Discovery::new(&[("s-1", worker.address)]);
             let program = Program::start(&discovery);
-            // Its connection is idle, and those of the clients are at rest.
-            let rested = |n| {
+            // Leaves idle connections from the clients and to the worker.
+            let idle_client = |n| {
                 let mut client = program.connect();
                 assert_eq!(
                     send_on(&mut client, &request("transfer", &format!("first-{n}"))).status(),
@@ -186,7 +197,7 @@
                 );
                 client
             };
-            let mut clients: Vec<TcpStream> = (0..4).map(rested).collect();
+            let mut clients: Vec<TcpStream> = (0..4).map(idle_client).collect();
             let before = worker.count();
             let list_arrived = while_stopped(&program, &discovery, &mut || {
                 if list_first {
@@ -194,8 +205,8 @@
                 }
                 for (n, client) in clients.iter_mut().enumerate() {
                     send(client, "transfer", &format!("id-{n}"));
-                    let from = client.local_addr().expect("its address");
-                    until("the request", || unread(from));
+                    let from = client.local_addr().expect("no local address");
+                    until("the request's arrival", || has_unread_from(from));
                 }
                 if !list_first {
                     set_draining(&discovery, "s-1");
@@ -204,7 +215,7 @@
             let statuses: Vec<u16> = clients.into_iter().map(status_of).collect();
             assert!(
                 !list_arrived || worker.count() == before,
-                "sent to who drains; list first: {list_first}"
+                "sent to a draining worker; list first: {list_first}"
             );
             assert!(
                 !list_arrived || statuses == [503; 4],
@@ -214,27 +225,27 @@
     }
 }
 
-/// The same where the connection came up beside the list.
+/// As above, but what arrives with the update is the established connection to the worker.
 #[test]
 fn list_that_arrived_with_connection_counts() {
     for list_first in [true, false] {
-        until_list_arrives_in_time(|while_stopped| {
+        repeat_until_list_arrives(|while_stopped| {
             let mut blocked = BlockedWorker::new();
             let discovery = Discovery::new(&[("s-1", blocked.address)]);
             let program = Program::start_with(&discovery, 1024, &EDITS);
-            // The watch has to last until the connection is tried again.
+            // The watch has to last until the kernel retries the connection.
             let long = |m: &Message| m.first.contains("hold_ms=2") || m.first.contains("hold_ms=3");
             until("a long watch", || {
                 discovery.peer.seen.lock().unwrap().last().is_some_and(long)
             });
             let mut client = program.connect();
             send(&mut client, "new-plate", "id-1");
-            until("the dial", || blocked.dialled());
+            until("the connection attempt", || blocked.dialled());
             let list_arrived = while_stopped(&program, &discovery, &mut || {
                 if list_first {
                     set_draining(&discovery, "s-1");
                 }
-                blocked.let_connect();
+                blocked.unblock();
                 if !list_first {
                     set_draining(&discovery, "s-1");
                 }
@@ -244,37 +255,37 @@
                 assert_eq!(
                     blocked.received_bytes(),
                     0,
-                    "sent to who drains; list first: {list_first}"
+                    "sent to a draining worker; list first: {list_first}"
                 );
             }
         });
     }
 }
 
-/// A job that may have run at one worker, and is on its way to another where connections are blocked.
+/// Starts a job that may have run on one worker, and whose retry waits for a blocked connection to another.
 fn retried_job() -> (BlockedWorker, Program, TcpStream, Instant, Discovery) {
     for _ in 0..10 {
-        let (open, gate) = std::sync::mpsc::channel::<()>();
+        let (release, gate) = std::sync::mpsc::channel::<()>();
         let gate = std::sync::Mutex::new(gate);
-        let breaks = Peer::new(move |_, _| {
+        let breaking = Peer::new(move |_, _| {
             _ = gate.lock().unwrap().recv();
             false
         });
         let blocked = BlockedWorker::new();
-        let discovery = Discovery::new(&[("s-1", breaks.address), ("s-2", blocked.address)]);
+        let discovery = Discovery::new(&[("s-1", breaking.address), ("s-2", blocked.address)]);
         discovery.set("s-2", "draining");
         let program = Program::start_with(&discovery, 1024, &EDITS);
         let (mut client, sent) = (program.connect(), Instant::now());
         send(&mut client, "new-plate", "id-1");
-        until("the first attempt", || breaks.count() == 1);
+        until("the first attempt", || breaking.count() == 1);
         discovery.set("s-2", "ready");
         until("the update", || program.log().contains("2 workers ready"));
-        open.send(()).expect("released");
-        // On a loaded machine it may be too late for another attempt: then anew.
+        release.send(()).expect("failed to release the worker");
+        // On a busy machine it may be too late for a retry; then the scenario is repeated.
         let answered = || {
-            client.set_nonblocking(true).expect("set");
+            client.set_nonblocking(true).expect("socket error");
             let answered = client.peek(&mut [0]).is_ok();
-            client.set_nonblocking(false).expect("set");
+            client.set_nonblocking(false).expect("socket error");
             answered
         };
         until("the second attempt, or an answer", || {
@@ -284,49 +295,50 @@
             return (blocked, program, client, sent, discovery);
         }
     }
-    panic!("there was no second attempt");
+    panic!("no second attempt in 10 runs");
 }
 
-/// Guards against a repeat that its group does not know any more: the decision on it is made in time, but the
-/// connection comes up later.
+/// A retry is decided on within the deduplication window, but its connection is established later, when the workers no
+/// longer recognise the request. It must not be written then.
 #[test]
 fn retry_is_written_in_its_window_or_not_at_all() {
-    // The program stands still, and finds the connection up after the window.
+    // The process is stopped, and finds the connection established after the window.
     let (mut blocked, program, client, sent, _discovery) = retried_job();
     program.while_stopped(|| {
-        blocked.let_connect();
-        until("the window's end", || sent.elapsed() > WINDOW);
+        blocked.unblock();
+        until("the end of the window", || sent.elapsed() > DEDUP_WINDOW);
     });
     assert_eq!(status_of(client), 503);
     assert_eq!(blocked.received_bytes(), 0, "written after the window");
-    // It does not come up at all: the client is answered at the window's end, long before the dial is given up.
+    // The connection is not established at all. The client is answered at the end of the window, long before the
+    // connect timeout.
     let (blocked, _program, client, sent, _discovery) = retried_job();
     assert_eq!(status_of(client), 503);
     assert!(
-        sent.elapsed() < LONG / 2,
-        "kept waiting for a dial that could help no more"
+        sent.elapsed() < CLIENT_TIMEOUT / 2,
+        "waited for a connection that could no longer be used"
     );
     drop(blocked);
-    // In time it is sent.
+    // A connection established within the window is used.
     let (mut blocked, _program, client, sent, _discovery) = retried_job();
-    blocked.let_connect();
+    blocked.unblock();
     let has_bytes = |s: &Socket| {
         s.peek(&mut [std::mem::MaybeUninit::uninit(); 1])
             .is_ok_and(|n| n > 0)
     };
-    until("the repeat, or the window's end", || {
+    until("the retry, or the end of the window", || {
         blocked.accept();
         blocked
             .accepted
             .iter()
             .any(|s| s.set_nonblocking(true).is_ok() && has_bytes(s))
-            || sent.elapsed() > WINDOW
+            || sent.elapsed() > DEDUP_WINDOW
     });
-    assert!(sent.elapsed() > WINDOW || blocked.accepted.iter().any(has_bytes));
+    assert!(sent.elapsed() > DEDUP_WINDOW || blocked.accepted.iter().any(has_bytes));
     drop(client);
 }
 
-/// Guards against a first byte after the client has stopped waiting.
+/// No first byte may be written after the client has stopped waiting.
 #[test]
 fn no_attempt_begins_after_its_deadline() {
     let mut blocked = BlockedWorker::new();
@@ -334,24 +346,24 @@
     let program = Program::start_with(&discovery, 1024, &EDITS);
     let mut client = program.connect();
     let text = request("new-plate", "id-1").replace("Ms: 5000", "Ms: 3000");
-    // On a busy machine the program reads the request some time after it was written.
+    // As on a busy machine, the request is read some time after it was written.
     program.while_stopped(|| {
-        client.write_all(text.as_bytes()).expect("written");
-        std::thread::sleep(READ_LATE);
+        client.write_all(text.as_bytes()).expect("failed to write");
+        std::thread::sleep(READ_DELAY);
     });
-    until("the dial", || blocked.dialled());
+    until("the connection attempt", || blocked.dialled());
     // The deadline counts from when the program read the request, which was before the dial.
     let dialled = Instant::now();
     program.while_stopped(|| {
-        blocked.let_connect();
-        until("the deadline", || dialled.elapsed() > WINDOW);
+        blocked.unblock();
+        until("the deadline", || dialled.elapsed() > DEDUP_WINDOW);
     });
     assert_eq!(status_of(client), 503);
     assert_eq!(blocked.received_bytes(), 0, "written after the deadline");
 }
 
-/// Guards against an attempt that begins for nobody: where attempts may not be cancelled, one that was being
-/// dialled when its client disconnected would still be written.
+/// A request whose client disconnects while the connection to the worker is being established must not be written, even
+/// where attempts may not be cancelled once they have begun.
 #[test]
 fn no_attempt_begins_after_client_disconnect() {
     for cancelling in ["true", "false"] {
@@ -362,18 +374,18 @@
         let program = Program::start_with(&discovery, 1024, &edits);
         let mut client = program.connect();
         send(&mut client, "new-plate", "id-1");
-        until("the dial", || blocked.dialled());
+        until("the connection attempt", || blocked.dialled());
         let open = descriptors(&program);
         drop(client);
-        until("the client's end", || descriptors(&program) < open);
+        until("the disconnect", || descriptors(&program) < open);
         match cancelling {
-            "true" => blocked.sockets.truncate(1), // its dial is given up
-            _ => blocked.let_connect(),
+            "true" => blocked.sockets.truncate(1), // the connection is abandoned
+            _ => blocked.unblock(),
         }
         assert_eq!(
             blocked.received_bytes(),
             0,
-            "begun for nobody; cancelling {cancelling}"
+            "sent for a disconnected client; cancelling {cancelling}"
         );
     }
 }
