--- a/crates/server/tests/sockets/cancelled.rs
+++ b/crates/server/tests/sockets/cancelled.rs
@@ -1,7 +1,8 @@
-//! Clients that disconnect before their request may be sent: while its body is read, and while its worker is probed.
+//! Clients that disconnect before their request is forwarded: while its body is read, or while workers are probed.
 //!
-//! Each disconnects once while the program runs, and once while it stands still, so that the close and what the request
-//! waits for come in the same turn. A process that stalled, too, sees the close before it writes.
+//! Each test does this with the process running, and with the process stopped, so that the disconnect and the event
+//! that the request waits for are handled in the same iteration of the event loop. A process that resumes after a stall
+//! has to detect the disconnect before it writes.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -13,9 +14,10 @@
 use super::disconnects::DISCONNECTS;
 use super::{unread_at, unread_from};
 
-/// For how long a process may stall.
+/// The longest stall of a process that has to be tolerated.
 const LONGEST_STALL: Duration = Duration::from_millis(150);
-/// The probing of workers before they get a request, with time enough for an answer to be awaited.
+/// Settings with which workers are probed before they get a request, with a latency objective that allows waiting for
+/// the answer.
 const PROBING: [(&str, &str); 3] = [
     (r#""aim-ms":120"#, r#""aim-ms":4000"#),
     (
@@ -28,19 +30,19 @@
     ),
 ];
 
-/// How the rest of a body comes.
+/// How much of the second part of a request is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Rest {
-    /// Not at all.
-    Never,
-    /// Whole, right before its client disconnects.
+enum SecondPart {
+    /// Nothing.
+    Missing,
+    /// All of it, right before the client disconnects.
     Complete,
-    /// Whole, and another request behind it.
+    /// All of it, followed by another request.
     WithAnother,
 }
 
-/// A request in two parts, of which the first ends within its body.
-fn in_two(id: &str, is_chunked: bool) -> (String, String) {
+/// Returns a request in two parts, the first of which ends within the body.
+fn split_request(id: &str, is_chunked: bool) -> (String, String) {
     let text = request("transfer", id);
     if !is_chunked {
         let (first, rest) = text.split_at(text.len() - 2);
@@ -53,7 +55,7 @@
     (head + "2\r\nbo\r\n", "2\r\ndy\r\n0\r\n\r\n".to_owned())
 }
 
-/// The requests that have come to a worker.
+/// Returns the ids of the requests that a worker has received.
 fn ids_at(worker: &Peer) -> Vec<String> {
     let seen = worker.seen.lock().unwrap();
     seen.iter()
@@ -61,44 +63,48 @@
         .collect()
 }
 
-/// Guards against a request that is taken as complete, and sent, though its client disconnected while its body came.
+/// A request whose client disconnects while the body is read must not be taken as complete and forwarded.
 #[test]
 fn request_is_not_forwarded_after_disconnect_during_its_body() {
     let worker = good();
     let discovery = Discovery::new(&[("s-1", worker.address)]);
     let mut program = Program::start(&discovery);
     for is_chunked in [false, true] {
-        let (first, last) = in_two(&format!("next-{is_chunked}"), is_chunked);
+        let (first, last) = split_request(&format!("next-{is_chunked}"), is_chunked);
         let mut client = program.connect();
-        client.write_all(first.as_bytes()).expect("written");
+        client.write_all(first.as_bytes()).expect("failed to write");
         assert_eq!(send_on(&mut client, &last).status(), 200);
     }
     let mut half_closed = Vec::new();
-    for (way, disconnect) in DISCONNECTS.iter().enumerate() {
-        for rest in [Rest::Never, Rest::Complete, Rest::WithAnother] {
+    for (method, disconnect) in DISCONNECTS.iter().enumerate() {
+        for rest in [
+            SecondPart::Missing,
+            SecondPart::Complete,
+            SecondPart::WithAnother,
+        ] {
             for is_chunked in [false, true] {
-                let id = format!("left-{way}-{rest:?}-{is_chunked}");
-                let (first, last) = in_two(&id, is_chunked);
+                let id = format!("left-{method}-{rest:?}-{is_chunked}");
+                let (first, last) = split_request(&id, is_chunked);
                 let mut client = program.connect();
-                client.write_all(first.as_bytes()).expect("written");
+                client.write_all(first.as_bytes()).expect("failed to write");
                 until("the first part is read", || unread_at(program.address) == 0);
-                let end = |mut client: TcpStream| {
+                let finish = |mut client: TcpStream| {
                     let another = request("transfer", &format!("{id}-behind"));
                     let text = match rest {
-                        Rest::Never => String::new(),
-                        Rest::Complete => last,
-                        Rest::WithAnother => last + &another,
+                        SecondPart::Missing => String::new(),
+                        SecondPart::Complete => last,
+                        SecondPart::WithAnother => last + &another,
                     };
-                    client.write_all(text.as_bytes()).expect("written");
+                    client.write_all(text.as_bytes()).expect("failed to write");
                     disconnect(&client);
-                    // One that has only ended its sending stays.
-                    (way == 1).then_some(client)
+                    // A half-closed client stays connected.
+                    (method == 1).then_some(client)
                 };
-                if rest == Rest::Never {
-                    half_closed.extend(end(client));
+                if rest == SecondPart::Missing {
+                    half_closed.extend(finish(client));
                 } else {
                     half_closed.extend(program.while_stopped(|| {
-                        let client = end(client);
+                        let client = finish(client);
                         std::thread::sleep(LONGEST_STALL);
                         client
                     }));
@@ -114,7 +120,7 @@
     assert!(sent.iter().all(|id| id.starts_with("next-")), "{sent:?}");
 }
 
-/// Two workers that answer a probe once the gate is open, and how often each was probed.
+/// Two workers that answer probes only once the gate is open.
 struct ProbedWorkers {
     workers: [Peer; 2],
     gate: Arc<(Mutex<bool>, Condvar)>,
@@ -142,14 +148,14 @@
         self.workers.iter().any(|worker| worker.count() > 0)
     }
 
-    /// Answers the probes.
+    /// Opens the gate, so that the probes are answered.
     fn answer(&self) {
         let (open, opened) = &*self.gate;
         *open.lock().unwrap() = true;
         opened.notify_all();
     }
 
-    /// The same, and the answers are there for the program, which stands still.
+    /// Opens the gate and waits until the answers have arrived at the program, which is stopped.
     fn answer_and_wait(&self) {
         self.answer();
         let probed = self.workers.iter().filter(|worker| worker.count() > 0);
@@ -166,31 +172,31 @@
 /// When a client disconnects whose request waits for the answer to a probe.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum DisconnectAt {
-    /// Before it is answered.
+    /// Before the answer, with the process running.
     Before,
-    /// While the program stands still, before it is answered.
-    InTurnBefore,
-    /// While the program stands still, after it was answered.
-    InTurnAfter,
+    /// Before the answer, with the process stopped.
+    StoppedBefore,
+    /// After the answer, with the process stopped.
+    StoppedAfter,
 }
 
-/// Guards against a request that is sent by the answer to its probe though its client has disconnected.
+/// A request whose client has disconnected must not be forwarded when the probe that it waits for is answered.
 #[test]
 fn request_is_not_forwarded_after_disconnect_during_probe() {
     for disconnect_at in [
         DisconnectAt::Before,
-        DisconnectAt::InTurnBefore,
-        DisconnectAt::InTurnAfter,
+        DisconnectAt::StoppedBefore,
+        DisconnectAt::StoppedAfter,
     ] {
         std::thread::scope(|scope| {
-            for way in 0..DISCONNECTS.len() {
-                scope.spawn(move || disconnect_during_probe(way, disconnect_at));
+            for method in 0..DISCONNECTS.len() {
+                scope.spawn(move || disconnect_during_probe(method, disconnect_at));
             }
         });
     }
 }
 
-fn disconnect_during_probe(way: usize, disconnect_at: DisconnectAt) {
+fn disconnect_during_probe(method: usize, disconnect_at: DisconnectAt) {
     let probed = ProbedWorkers::start();
     let [first, second] = &probed.workers;
     let discovery = Discovery::new(&[("s-1", first.address), ("s-2", second.address)]);
@@ -199,30 +205,30 @@
     let mut client = program.connect();
     client
         .write_all(request("transfer", "left").as_bytes())
-        .expect("written");
+        .expect("failed to write");
     until("a probe", || probed.are_probed());
     assert_eq!(probed.ids(), [""; 0], "sent without waiting for the probe");
     let disconnect = |client: TcpStream| {
-        DISCONNECTS[way](&client);
-        // One that has only ended its sending stays.
-        (way == 1).then_some(client)
+        DISCONNECTS[method](&client);
+        // A half-closed client stays connected.
+        (method == 1).then_some(client)
     };
     let _half_closed = match disconnect_at {
         DisconnectAt::Before => {
             let half_closed = disconnect(client);
-            until("the client's end", || {
+            until("the disconnect", || {
                 call(program.admin(), "telemetry").contains("edge_router.pending:0|g")
             });
             probed.answer();
             half_closed
         }
-        DisconnectAt::InTurnBefore => program.while_stopped(|| {
+        DisconnectAt::StoppedBefore => program.while_stopped(|| {
             let half_closed = disconnect(client);
             probed.answer_and_wait();
             std::thread::sleep(LONGEST_STALL);
             half_closed
         }),
-        DisconnectAt::InTurnAfter => program.while_stopped(|| {
+        DisconnectAt::StoppedAfter => program.while_stopped(|| {
             probed.answer_and_wait();
             let half_closed = disconnect(client);
             std::thread::sleep(LONGEST_STALL);
@@ -233,5 +239,5 @@
     assert_eq!(next.status(), 200);
     program.signal("-TERM");
     assert_eq!(program.wait().code(), Some(0));
-    assert_eq!(probed.ids(), ["next"], "way {way}, {disconnect_at:?}");
+    assert_eq!(probed.ids(), ["next"], "method {method}, {disconnect_at:?}");
 }
