--- a/crates/server/tests/sockets/change_notification.rs
+++ b/crates/server/tests/sockets/change_notification.rs
@@ -1,6 +1,7 @@
-//! Changes of the endpoint list take effect before they count as notified, whatever becomes of the calls for them.
+//! Changes of the endpoint list are applied before they count as notified, even if calls to discovery fail.
 //!
-//! It owns the crossings of failed, unresponsive and moved calls with a drain. It must never wait for a moment.
+//! The tests combine drains with failed and unanswered calls and with a move of discovery to another address. They wait
+//! for conditions, never for a fixed time.
 
 use std::io::Write;
 use std::sync::mpsc::channel;
@@ -12,21 +13,24 @@
 use super::settings::edit;
 use super::starting::StartingProcess;
 
-/// A change counts as notified so long after discovery had it.
+/// A change counts as notified this long after discovery had it.
 const NOTIFICATION_LIMIT: Duration = Duration::from_secs(6);
-/// The longest time between polls that settings may name in earnest: pauses must not grow with it.
+/// The longest poll interval to be expected in settings. The pauses after failures must not grow with it.
 const RARE_POLLING: (&str, &str) = (r#""ask-every-ms":10000"#, r#""ask-every-ms":1200000"#);
 const BUSY: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
-const HALF: &str = "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"generation\":2,";
+const TRUNCATED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{\"generation\":2,";
 
-/// A drain right after a watch and the calls after it failed like this.
-fn assert_drain_is_honoured_after(failures: &[&'static str]) {
+/// Drains a worker after the watch and the calls that follow it failed in this way, and asserts that the drain is
+/// applied in time.
+fn assert_drain_is_applied_after(failures: &[&'static str]) {
     let worker = good();
     let discovery = Discovery::new(&[("s-1", worker.address)]);
     let program = Program::start_with(&discovery, 1024, &[RARE_POLLING]);
-    until("a watch that goes on", || discovery.peer.count() >= 2);
+    until("the second call of the watch", || {
+        discovery.peer.count() >= 2
+    });
     discovery.malformed.lock().unwrap().extend(failures);
-    until("the first of it", || {
+    until("the first failure", || {
         discovery.malformed.lock().unwrap().len() < failures.len()
     });
     discovery.set("s-1", "draining");
@@ -34,19 +38,19 @@
     until("the update", || program.log().contains("0 workers ready"));
     assert!(
         drained.elapsed() < NOTIFICATION_LIMIT,
-        "{failures:?}: honoured after {:?}",
+        "{failures:?}: applied after {:?}",
         drained.elapsed()
     );
     assert!(
         discovery.malformed.lock().unwrap().is_empty(),
-        "{failures:?}: not all of it was used"
+        "{failures:?}: not all failures were used"
     );
 }
 
-/// Guards against taking a reset watch for a rejection by discovery that has too many callers: the pause after
-/// it grew with the time between polls, beyond that after which a change counts as notified.
+/// A reset watch must not be taken for a rejection by an overloaded discovery service. The pause after a rejection
+/// grows with the poll interval, past the time at which a change counts as notified.
 #[test]
-fn drain_is_honoured_after_watch_reset() {
+fn drain_is_applied_after_watch_reset() {
     std::thread::scope(|s| {
         for failures in [
             &[CLOSED][..],
@@ -54,31 +58,32 @@
             &[BUSY, CLOSED],
             &[CLOSED, ""],
         ] {
-            s.spawn(|| assert_drain_is_honoured_after(failures));
+            s.spawn(|| assert_drain_is_applied_after(failures));
         }
     });
 }
 
-/// Guards against a second call beside an unresponsive watch that takes the time left for a third, or whose
-/// failure does.
+/// A second call beside an unresponsive watch must leave enough time for a third one, whether it fails or is not
+/// answered.
 #[test]
-fn drain_is_honoured_when_watch_and_second_call_fail() {
+fn drain_is_applied_when_watch_and_second_call_fail() {
     std::thread::scope(|s| {
         for failures in [
             &["", BUSY][..],
             &["", CLOSED],
             &["", ""],
-            &["", HALF],
-            &[HALF, BUSY],
+            &["", TRUNCATED],
+            &[TRUNCATED, BUSY],
         ] {
-            s.spawn(|| assert_drain_is_honoured_after(failures));
+            s.spawn(|| assert_drain_is_applied_after(failures));
         }
     });
 }
 
-/// Guards against waiting for the first list of a new discovery as one does who has no list to lose by it.
+/// The first call to another discovery service must not be given as much time as a first call without any list: the
+/// list in use becomes stale meanwhile.
 #[test]
-fn drain_is_honoured_after_reload_to_unresponsive_discovery() {
+fn drain_is_applied_after_reload_to_unresponsive_discovery() {
     let worker = good();
     let (old, new) = (
         Discovery::new(&[("s-1", worker.address)]),
@@ -93,12 +98,12 @@
     until("the update", || program.log().contains("0 workers ready"));
     assert!(
         moved.elapsed() < NOTIFICATION_LIMIT,
-        "honoured after {:?}",
+        "applied after {:?}",
         moved.elapsed()
     );
     assert!(
         new.malformed.lock().unwrap().is_empty(),
-        "no call went unanswered"
+        "the unanswered call was not made"
     );
 }
 
@@ -107,31 +112,31 @@
     r#""membership-mode":"pushed""#,
 );
 
-/// What left while no process ran here counts as notified, whether lists are pushed or polled. Guards against
-/// sending by the list of a start while the answer, which is delayed here, is under way.
+/// Nothing is sent to the workers of a cached list before discovery, which answers late here, has confirmed it: a
+/// worker that left while no process was running counts as notified, whether lists are pushed or polled.
 #[test]
-fn start_with_cached_list_waits_for_an_answer() {
-    // Polled, the answer may be the changes since the old list, the snapshot, an indented list, or one of
-    // discovery that has begun anew, which numbers its lists lower.
-    let changes = |list: String| list.replace(r#""reset":true"#, r#""reset":false"#);
+fn cached_list_is_not_used_at_start_before_an_answer() {
+    // The answer to a poll may be a delta since the cached list, a snapshot, an indented list, or a list with a lower
+    // generation, from a discovery service that was restarted.
+    let as_delta = |list: String| list.replace(r#""reset":true"#, r#""reset":false"#);
     let indented = |list: String| list.replace(',', ",\n    ").replace('{', "{\n  ");
-    check_start_with_cached_list(true, &|list| list);
-    check_start_with_cached_list(false, &|list| list);
-    check_start_with_cached_list(false, &changes);
-    check_start_with_cached_list(false, &|list| {
-        changes(list).replace(r#""generation":2"#, r#""generation":0"#)
+    assert_start_waits_for_answer(true, &|list| list);
+    assert_start_waits_for_answer(false, &|list| list);
+    assert_start_waits_for_answer(false, &as_delta);
+    assert_start_waits_for_answer(false, &|list| {
+        as_delta(list).replace(r#""generation":2"#, r#""generation":0"#)
     });
-    check_start_with_cached_list(false, &indented);
+    assert_start_waits_for_answer(false, &indented);
 }
 
-fn check_start_with_cached_list(pushed: bool, worded: &dyn Fn(String) -> String) {
+fn assert_start_waits_for_answer(pushed: bool, reformat: &dyn Fn(String) -> String) {
     let (before, after) = (good(), good());
-    let known = Discovery::new(&[("s-1", before.address)]);
-    let present = Discovery::new(&[("s-1", before.address), ("s-2", after.address)]);
-    present.set("s-1", "draining");
-    let (open, gate) = channel::<()>();
-    let (gate, snapshot) = (Mutex::new(gate), present.known());
-    let first = worded(snapshot.clone());
+    let cached = Discovery::new(&[("s-1", before.address)]);
+    let current = Discovery::new(&[("s-1", before.address), ("s-2", after.address)]);
+    current.set("s-1", "draining");
+    let (release, gate) = channel::<()>();
+    let (gate, snapshot) = (Mutex::new(gate), current.known());
+    let first = reformat(snapshot.clone());
     let discovery = Peer::new(move |message, stream| {
         _ = gate.lock().unwrap().recv();
         let list = if message.first.contains("from=") {
@@ -142,33 +147,34 @@
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
         stream.write_all((head + list).as_bytes()).is_ok()
     });
-    let path = config(discovery.address, &known.known(), 1024);
+    let path = config(discovery.address, &cached.known(), 1024);
     if pushed {
         edit(&path, &[PUSHED]);
     }
     let process = StartingProcess::start(&path, &[]);
-    until("the call", || discovery.count() >= 1);
+    until("the first call", || discovery.count() >= 1);
     let ready = process.readiness();
     assert_eq!(
         (ready, before.count()),
         (Some(503), 0),
-        "ready by what was known at the start"
+        "ready by the cached list alone"
     );
-    // One that comes all the same is queued, not rejected.
+    // A request that arrives nevertheless is queued, not rejected.
     let address = process.address;
     let early = std::thread::spawn(move || {
         send_raw(address, &request("transfer", "id-0")).map(|answer| answer.status())
     });
-    _ = (open.send(()), open.send(()));
+    _ = (release.send(()), release.send(()));
     process.until_ready();
-    assert_eq!(early.join().expect("no panic"), Some(200));
+    assert_eq!(early.join().expect("the thread panicked"), Some(200));
     assert_eq!(process.transfer("id-1"), Some(200));
     assert_eq!((before.count(), after.count()), (0, 2));
 }
 
-/// Guards against a start that never serves where discovery is down, or unresponsive: what was known is the best then.
+/// If discovery is down or unresponsive at start, the cached list is the best information there is. Without it the
+/// process would never serve.
 #[test]
-fn start_with_cached_list_serves_by_it_without_an_answer() {
+fn cached_list_is_used_at_start_if_discovery_fails() {
     let worker = good();
     let discovery = Discovery::new(&[("s-1", worker.address)]);
     let closed = ReservedPort::new();
@@ -195,24 +201,24 @@
             });
         }
     });
-    // By one call that failed it was not believed: busy discovery may have a change that counts as notified.
-    assert!(busy.count() >= 2, "believed after {} calls", busy.count());
+    // One failed call is not enough: a busy discovery service may have a change that counts as notified.
+    assert!(busy.count() >= 2, "used after {} calls", busy.count());
 }
 
-/// Guards against belief in a list of before because of an answer that never came: reloaded with another discovery
-/// while the first call waits, it polls that one, and what is cached is not let in by the move.
+/// If a reload names another discovery service while the first call is unanswered, that service is polled. Giving up
+/// the first call must not put the cached list into use.
 #[test]
 fn reload_before_first_answer_waits_for_new_discovery() {
     let (before, after) = (good(), good());
-    let known = Discovery::new(&[("s-1", before.address)]);
-    let present = Discovery::new(&[("s-2", after.address)]);
+    let cached = Discovery::new(&[("s-1", before.address)]);
+    let current = Discovery::new(&[("s-2", after.address)]);
     let unresponsive = Peer::new(|_, _| true);
-    let path = config(unresponsive.address, &known.known(), 1024);
+    let path = config(unresponsive.address, &cached.known(), 1024);
     let process = StartingProcess::start(&path, &[]);
-    until("the call", || unresponsive.count() >= 1);
+    until("the first call", || unresponsive.count() >= 1);
     let (old, new) = (
         unresponsive.address.to_string(),
-        present.peer.address.to_string(),
+        current.peer.address.to_string(),
     );
     edit(&path, &[(&old, &new)]);
     process.signal("-HUP");
