--- a/crates/server/tests/sockets/customers.rs
+++ b/crates/server/tests/sockets/customers.rs
@@ -1,30 +1,30 @@
-//! Another customer's configuration: what one process had is not believed under other settings.
+//! Settings that change between two processes of a scheduler, or under a running one.
 //!
-//! It owns the tests of settings that change between two processes, or under one. It must never let a name, a
-//! figure or a worker cross them.
+//! Class names, numbers and workers that were valid under other settings must not be used. Extreme settings are tested
+//! here as well.
 
 use oakshed_standin::*;
 
-/// Guards against another customer's workers: where both discoveries' lists have one number, the list that
-/// came with the socket was believed for good.
+/// A successor with other settings must not use the predecessor's list. Where the lists of both discovery services have
+/// the same number, no update would ever replace it, and requests would go to another customer's workers.
 #[test]
 fn cached_state_of_other_settings_is_ignored() {
-    let (theirs, own, place) = ([good(), good()], good(), Place::new());
-    let [before, now] = [&theirs[0], &own].map(|peer| Discovery::new(&[("s-1", peer.address)]));
-    let other = Discovery::new(&[("s-1", theirs[1].address)]);
+    let (others, own, place) = ([good(), good()], good(), Place::new());
+    let [before, now] = [&others[0], &own].map(|peer| Discovery::new(&[("s-1", peer.address)]));
+    let other = Discovery::new(&[("s-1", others[1].address)]);
     assert_eq!(before.number(), now.number());
-    let bookings = [(r#""name":"transfer""#, r#""name":"booking""#)];
-    let shorter = [(r#""aim-ms":120"#, r#""aim-ms":121"#)];
+    let other_class = [(r#""name":"transfer""#, r#""name":"booking""#)];
+    let other_aim = [(r#""aim-ms":120"#, r#""aim-ms":121"#)];
     let mut old = Program::start_at(&place, &before, 512, &[]);
-    // Another customer; other names and figures at the same discovery; the same settings at another one.
+    // Another customer; another class name and number at the same discovery; the same settings at another discovery.
     let cases = [
-        (&now, &own, "booking", &bookings),
-        (&now, &own, "transfer", &shorter),
-        (&other, &theirs[1], "transfer", &shorter),
+        (&now, &own, "booking", &other_class),
+        (&now, &own, "transfer", &other_aim),
+        (&other, &others[1], "transfer", &other_aim),
     ];
     for (discovery, worker, class, edits) in cases {
         let new = Program::start_at(&place, discovery, 512, edits);
-        until("the socket", || {
+        until("the inherited socket", || {
             new.log()
                 .contains("took over the socket of the predecessor; it has another")
         });
@@ -39,20 +39,20 @@
         assert_eq!(
             worker.count(),
             count + 1,
-            "another customer's worker had it"
+            "sent to another customer's worker"
         );
         old = new;
     }
 }
 
-/// Guards against a reload that takes half of a file: discovery moves, of the rest nothing changes, and one
-/// line says so, whatever else it is that differs.
+/// A reload applies a new discovery address and nothing else. Whatever else differs, one log line says that it needs a
+/// restart.
 #[test]
 fn reload_moves_discovery_and_reports_that_the_rest_needs_a_restart() {
     let (first, second) = (good(), good());
     let [old, new] = [&first, &second].map(|peer| Discovery::new(&[("s-1", peer.address)]));
     let program = Program::start_with(&old, 1024, &[ADMIN]);
-    let said = || {
+    let restart_notices = || {
         program
             .log()
             .matches("other changes need a restart")
@@ -75,12 +75,12 @@
     };
     for (n, (from, to)) in edits.into_iter().enumerate() {
         reload(from, to);
-        assert_eq!(said(), n + 1, "{to}: {}", program.log());
+        assert_eq!(restart_notices(), n + 1, "{to}: {}", program.log());
         reload(to, from);
-        assert_eq!(said(), n + 1, "{from}: {}", program.log());
+        assert_eq!(restart_notices(), n + 1, "{from}: {}", program.log());
     }
-    let ours = r#""name":"new-plate""#;
-    reload(ours, r#""name":"booking""#);
+    let class_name = r#""name":"new-plate""#;
+    reload(class_name, r#""name":"booking""#);
     reload(&old.peer.address.to_string(), &new.peer.address.to_string());
     until("the new list", || {
         program.send(&request("new-plate", "id-1")).status() == 200 && second.count() == 1
@@ -88,12 +88,12 @@
     assert_eq!(
         program.send(&request("booking", "id-2")).status(),
         404,
-        "not a class before a restart"
+        "the new class name should not be known before a restart"
     );
 }
 
-/// Guards against a limit of another deployment under which nothing is served any more: what a file may say, or
-/// leave out, is rejected at the start with its place, or serves.
+/// Requests are served with every value that is accepted at start, however extreme, and without the settings that may
+/// be left out.
 #[test]
 fn extreme_limits_are_served() {
     let worker = good();
@@ -133,11 +133,11 @@
                 program.log()
             );
         }
-        let stranger = request("transfer", "id-2").replace("storholt-bilar", "nobody-known");
+        let unknown_tenant = request("transfer", "id-2").replace("storholt-bilar", "nobody-known");
         assert_eq!(
-            program.send(&stranger).status(),
+            program.send(&unknown_tenant).status(),
             200,
-            "a tenant unknown, with {to:?} for {from}"
+            "unknown tenant with {to:?} for {from}"
         );
     }
 }
