--- a/crates/server/tests/sockets/disconnects.rs
+++ b/crates/server/tests/sockets/disconnects.rs
@@ -1,4 +1,4 @@
-//! Clients that disconnect while their request waits, however much they have sent.
+//! Clients that disconnect while their request waits, with or without more requests behind it.
 
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -10,28 +10,30 @@
 
 use super::{unread_at, unread_from};
 
-/// The ways in which a client disconnects: it closes, ends its sending, or resets.
+/// The ways in which a client disconnects: it closes, half-closes or resets its connection.
 pub(super) const DISCONNECTS: [fn(&TcpStream); 3] = [
-    |client| client.shutdown(Shutdown::Both).expect("closed"),
-    |client| client.shutdown(Shutdown::Write).expect("half-closed"),
-    // The close that follows resets the connection.
+    |client| client.shutdown(Shutdown::Both).expect("socket error"),
+    |client| client.shutdown(Shutdown::Write).expect("socket error"),
+    // Closing the socket then resets the connection.
     |client| {
         socket2::SockRef::from(client)
             .set_linger(Some(Duration::ZERO))
-            .expect("set");
+            .expect("socket error");
     },
 ];
 
-/// How many clients are under way at once when the program is stopped, how many write at once, and how often it is.
-const CROWD: usize = 120;
+/// How many clients send requests in each round.
+const CLIENTS: usize = 120;
+/// How many requests are written without a pause between them.
 const BURST: usize = 12;
+/// How often the process is stopped.
 const ROUNDS: usize = 12;
-/// For how long a process may stall.
+/// The longest stall of a process that has to be tolerated.
 const LONGEST_STALL: Duration = Duration::from_millis(150);
 
-/// A request that waits, as no worker is ready, goes nowhere once its client has disconnected: neither where the
-/// client is seen to disconnect first, nor where a worker is found to be ready in the same turn. Guards against a
-/// reader that stops reading where much waits behind a request.
+/// A request that waits because no worker is ready is not forwarded once its client has disconnected, whether the
+/// disconnect is handled first or in the same iteration of the event loop as a worker's return. The reader must not
+/// stop reading, and so miss the disconnect, when many requests follow the waiting one.
 #[test]
 fn request_of_disconnected_client_is_not_forwarded() {
     let worker = good();
@@ -39,39 +41,39 @@
     let program = Program::start_with(&discovery, 1024, &[ADMIN]);
     let pending = || call(program.admin(), "telemetry").contains("edge_router.pending:1|g");
     let ready = || program.ready_status() == 200;
-    // More than is buffered of a connection; the system buffers it, or the rest of it, for as long as nobody reads.
-    let much: String = (0..400)
+    // More than the reader buffers. The kernel holds the rest until it is read.
+    let many_requests: String = (0..400)
         .map(|n| request("transfer", &format!("behind-{n}")))
         .collect();
     let mut half_closed = Vec::new();
     for case in 0..12 {
-        let (way, behind, same_turn) = (case % 3, case % 6 > 2, case > 5);
+        let (method, behind, same_iteration) = (case % 3, case % 6 > 2, case > 5);
         discovery.set("s-1", "draining");
         until("the drain", || !ready());
         let mut client = program.connect();
         client
             .write_all(request("transfer", &format!("gone-{case}")).as_bytes())
-            .expect("written");
-        until("its wait", pending);
+            .expect("failed to write");
+        until("the wait for a worker", pending);
         if behind {
-            client.set_nonblocking(true).expect("set");
-            _ = client.write_all(much.as_bytes());
+            client.set_nonblocking(true).expect("socket error");
+            _ = client.write_all(many_requests.as_bytes());
         }
         let disconnect = |client: TcpStream| {
-            DISCONNECTS[way](&client);
-            (way == 1).then_some(client)
+            DISCONNECTS[method](&client);
+            (method == 1).then_some(client)
         };
-        if same_turn {
+        if same_iteration {
             program.signal("-STOP");
             half_closed.extend(disconnect(client));
             discovery.set("s-1", "ready");
-            until("the list's arrival", || {
+            until("the update's arrival", || {
                 unread_from(discovery.peer.address) > 0
             });
             program.signal("-CONT");
         } else {
             half_closed.extend(disconnect(client));
-            until("the client's end", || !pending());
+            until("the disconnect", || !pending());
             discovery.set("s-1", "ready");
         }
         until("the worker's return", ready);
@@ -90,30 +92,30 @@
             .collect();
         assert!(
             !seen.iter().any(|id| id.contains("gone")),
-            "way {way}, much {behind}, {same_turn}: {seen:?}"
+            "method {method}, requests behind {behind}, same iteration {same_iteration}: {seen:?}"
         );
     }
 }
 
-/// How often each request has come to a worker.
+/// Returns how often each request was received by a worker.
 fn request_counts(workers: &[Peer]) -> BTreeMap<String, usize> {
     let mut counts = BTreeMap::new();
     for worker in workers {
         for message in worker.seen.lock().unwrap().iter() {
-            let id = message.field("req-id").expect("an id").to_owned();
+            let id = message.field("req-id").expect("no Req-Id field").to_owned();
             *counts.entry(id).or_default() += 1;
         }
     }
     counts
 }
 
-/// Guards against attempts that begin for clients who disconnected while the process was stopped, whatever it was at: it is
-/// stopped while many requests are read, dialled for, sent, sent again after a worker that declines or that nobody
-/// reaches, and all their clients disconnect before it goes on.
+/// No attempt begins for a client that disconnected while the process was stopped. The process is stopped while
+/// requests are being read, wait for a connection, are sent, or are retried after a rejection or a refused connection.
+/// All their clients disconnect before it resumes.
 #[test]
 fn no_attempt_begins_after_disconnect_while_stopped() {
-    let declines = Peer::new(|_, stream| status(stream, "503 Busy\r\nSrv-Declined: 1"));
-    let workers = [good(), good(), declines];
+    let declining = Peer::new(|_, stream| status(stream, "503 Busy\r\nSrv-Declined: 1"));
+    let workers = [good(), good(), declining];
     let closed = ReservedPort::new();
     let mut list: Vec<_> = workers
         .iter()
@@ -126,9 +128,9 @@
         .map(|(address, name)| (name, address))
         .collect();
     let mut program = Program::start(&Discovery::new(&list));
-    let (mut under_way, mut counts, mut stay) = (0, BTreeMap::new(), Vec::new());
+    let (mut rounds_in_progress, mut counts, mut kept_open) = (0, BTreeMap::new(), Vec::new());
     for round in 0..ROUNDS {
-        let clients: Vec<TcpStream> = (0..CROWD).map(|_| program.connect()).collect();
+        let clients: Vec<TcpStream> = (0..CLIENTS).map(|_| program.connect()).collect();
         let written = AtomicUsize::new(0);
         let count = &written;
         let write_all = move || {
@@ -143,7 +145,7 @@
                 ];
                 client
                     .write_all((text + &behind[usize::from(n % 4 == 3)]).as_bytes())
-                    .expect("written");
+                    .expect("failed to write");
                 count.fetch_add(1, Ordering::SeqCst);
                 if n % BURST == 0 {
                     std::thread::sleep(Duration::from_millis(2));
@@ -153,12 +155,12 @@
         };
         let (before, half_closed) = std::thread::scope(|s| {
             let writer = s.spawn(write_all);
-            // Each round at another moment of the work on them.
-            until("some of them", || {
-                written.load(Ordering::SeqCst) > CROWD / 4 + round * 3
+            // Each round stops the process at another point of its work on the requests.
+            until("some of the requests", || {
+                written.load(Ordering::SeqCst) > CLIENTS / 4 + round * 3
             });
             program.while_stopped(|| {
-                let clients = writer.join().expect("all are written");
+                let clients = writer.join().expect("the writer panicked");
                 until("what was sent is read", || {
                     workers.iter().all(|w| unread_at(w.address) == 0)
                 });
@@ -181,13 +183,13 @@
             .send(&request("transfer", &format!("next-{round}")))
             .status();
         assert!([200, 503].contains(&next), "{next}");
-        let left = before
+        let forwarded = before
             .keys()
             .filter(|id| id.starts_with(&format!("left-{round}-")))
             .count();
-        under_way += usize::from((1..CROWD).contains(&left));
+        rounds_in_progress += usize::from((1..CLIENTS).contains(&forwarded));
         counts.extend(before);
-        stay.extend(half_closed);
+        kept_open.extend(half_closed);
     }
     program.signal("-TERM");
     assert_eq!(program.wait().code(), Some(0));
@@ -198,10 +200,10 @@
         .collect();
     assert!(
         late.is_empty(),
-        "begun after their clients had left: {late:?}"
+        "attempts begun after the disconnect: {late:?}"
     );
     assert!(
-        under_way > 0,
-        "it was never stopped while it was at work on them"
+        rounds_in_progress > 0,
+        "the process was never stopped while requests were in progress"
     );
 }
