--- a/crates/server/tests/sockets/discovery.rs
+++ b/crates/server/tests/sockets/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: polled at the start, failing, unresponsive, moved by a reload.
+//! Calls to discovery: at start, after failures and missing answers, and after a reload that changes its address.
 
 use std::io::{BufReader, Write};
 use std::sync::atomic::Ordering;
@@ -10,7 +10,7 @@
 use super::starting::StartingProcess;
 use super::{gated_worker, unreachable_address};
 
-/// A first start knows no list, and the front brings no request before it is ready: it has to poll by itself.
+/// A first start has no list, and gets no request before it is ready, so it has to poll without being triggered by one.
 #[test]
 fn start_without_a_list_polls_at_once() {
     let worker = good();
@@ -40,15 +40,15 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 31\r\n\r\n{\"generation\":9,\"instances\":[7]}",
         "no HTTP at all\r\n\r\n",
     ]);
-    until("each of them", || {
+    until("calls for all malformed answers", || {
         discovery.malformed.lock().unwrap().is_empty()
     });
     discovery.set("s-1", "draining");
-    until("the update after it", || {
+    until("the update after the failures", || {
         program.log().contains("0 workers ready")
     });
     discovery.set("s-1", "ready");
-    until("and again", || {
+    until("the second update", || {
         program.log().contains("entries, 1 workers ready")
     });
     until("a served request", || {
@@ -56,13 +56,13 @@
     });
 }
 
-/// Guards against a first list without anybody in it: nothing of it may keep the next one from being used.
+/// An empty cached list must not keep the next list from being used.
 #[test]
 fn start_with_empty_list_serves_after_a_full_one() {
     let worker = good();
     let discovery = Discovery::new(&[("s-1", worker.address)]);
-    let nobody = r#"{"generation":0,"reset":true,"instances":[]}"#;
-    let program = Program::start_knowing(&discovery, nobody, 1024, &[]);
+    let empty = r#"{"generation":0,"reset":true,"instances":[]}"#;
+    let program = Program::start_knowing(&discovery, empty, 1024, &[]);
     assert_eq!(program.send(&request("transfer", "id-1")).status(), 200);
 }
 
@@ -86,34 +86,35 @@
     assert!(!program.log().contains("malformed"), "{}", program.log());
 }
 
-/// A watch and two calls beside it unanswered, discovery is at fault: it is left alone for a moment, and
-/// then polled again.
+/// If a watch and two calls beside it are unanswered, discovery counts as failed. It is polled again after a pause.
 #[test]
 fn unresponsive_discovery_is_abandoned_and_polled_again() {
     let worker = good();
     let discovery = Discovery::new(&[("s-1", worker.address)]);
     let program = Program::start(&discovery);
-    discovery.malformed.lock().unwrap().extend(["", "", ""]); // the calls are read, and never answered
-    until("the calls' end", || {
+    discovery.malformed.lock().unwrap().extend(["", "", ""]); // these calls are read but not answered
+    until("the end of the calls", || {
         program.log().contains("no answer in time")
     });
     discovery.set("s-1", "draining");
-    until("the update after it", || {
+    until("the update after the failures", || {
         program.log().contains("0 workers ready")
     });
 }
 
-/// Guards against taking a watch that became unresponsive for a rejection: among a hundred schedulers the next call
-/// waited for seconds then, and what was missed counted as notified meanwhile.
+/// An unanswered watch must not be taken for a rejection. Among a hundred schedulers the next call would wait for
+/// several seconds after a rejection, while a missed change already counts as notified.
 #[test]
 fn unresponsive_watch_is_reopened_before_missed_changes_are_due() {
     let worker = good();
     let discovery = Discovery::new(&[("s-1", worker.address)]);
     let edits = [(r#""balancers":1"#, r#""balancers":100"#)];
     let mut program = Program::start_with(&discovery, 1024, &edits);
-    until("a watch that goes on", || discovery.peer.count() >= 2);
+    until("the second call of the watch", || {
+        discovery.peer.count() >= 2
+    });
     discovery.malformed.lock().unwrap().push("");
-    until("its silence", || {
+    until("the unanswered call", || {
         discovery.malformed.lock().unwrap().is_empty()
     });
     discovery.set("s-1", "draining");
@@ -121,18 +122,18 @@
     program.signal("-TERM");
     assert_eq!(program.wait().code(), Some(0));
     let log = log_after_stop(&program);
-    // Not one failure: else the call after it would have waited.
+    // There must be no failure, because the next call would have waited after one.
     assert!(
         log.contains("discovery_failures: 0,") && !log.contains("silent_watches: 0,"),
         "{log}"
     );
 }
 
-/// Guards against a timer that is lost: among many schedulers the first call comes a moment after a start with
-/// a list, and nothing but that timer brings it where no request comes.
+/// Among many schedulers, one that starts with a list delays its first call. Without requests only a timer triggers
+/// that call, and the timer must not be lost.
 #[test]
 fn idle_scheduler_among_many_polls_discovery_after_start() {
-    let discovery = Discovery::new(&[("s-1", "127.0.0.1:9".parse().expect("an address"))]);
+    let discovery = Discovery::new(&[("s-1", "127.0.0.1:9".parse().expect("invalid address"))]);
     let edits = [
         (r#""balancers":1"#, r#""balancers":100"#),
         (r#""ask-every-ms":10000"#, r#""ask-every-ms":2000"#),
@@ -141,11 +142,11 @@
     until("a call", || discovery.peer.count() >= 1);
 }
 
-/// Guards against ending at SIGHUP, against staying with the address of the start's environment, and
-/// against asking the new discovery for changes since a list of the old one's numbering.
+/// SIGHUP must not end the process. The file's address must replace the one from the environment, and the new discovery
+/// service must not be asked for changes since a generation of the old one.
 #[test]
 fn reload_moves_to_new_discovery_and_continues_serving() {
-    let (before, open) = gated_worker("before");
+    let (before, release) = gated_worker("before");
     let after = good();
     let (old, new) = (
         Discovery::new(&[("s-1", before.address)]),
@@ -155,16 +156,16 @@
     let mut client = program.connect();
     client
         .write_all(request("transfer", "id-1").as_bytes())
-        .expect("written");
+        .expect("failed to write");
     until("the attempt", || before.count() == 1);
     program.reload("\"discovery\"", "\"discovery");
-    until("the refusal", || {
+    until("the rejected reload", || {
         program
             .log()
             .contains("the previous configuration stays in force")
     });
     program.reload("\"discovery", "\"discovery\"");
-    until("the same again", || {
+    until("the reload of the original file", || {
         program.log().contains("reload: discovery")
     });
     assert_eq!(new.peer.count(), 0);
@@ -174,20 +175,20 @@
         new.peer.seen.lock().unwrap()[0].first,
         "GET /v1/endpoints HTTP/1.1"
     );
-    until("the old one's end", || {
+    until("the end of the old watch", || {
         old.peer.ended.load(Ordering::SeqCst) == 1
     });
     assert_eq!(program.send(&request("transfer", "id-2")).body, b"made");
-    open.send(()).expect("released");
+    release.send(()).expect("failed to release the worker");
     assert_eq!(
         Message::read(&mut BufReader::new(client))
-            .expect("an answer")
+            .expect("no answer")
             .body,
         b"before"
     );
 }
 
-/// Guards against a reload that ends the program, takes half of a file, or says it in many lines or none.
+/// An invalid configuration must not end the process or be applied in part, and its reload logs exactly one line.
 #[test]
 fn invalid_reload_logs_one_line_and_changes_nothing() {
     let worker = good();
@@ -196,7 +197,7 @@
         Discovery::new(&[("s-1", worker.address)]),
     );
     let mut program = Program::start(&old);
-    let moved = std::fs::read_to_string(&program.path).expect("its configuration");
+    let moved = std::fs::read_to_string(&program.path).expect("failed to read the configuration");
     let moved = moved.replace(&old.peer.address.to_string(), &new.peer.address.to_string());
     let edits = [
         (r#""cold-share":0.32"#, r#""cold-share":-1"#),
@@ -233,11 +234,11 @@
     let before = lines();
     for (n, file) in files.iter().enumerate() {
         match file {
-            Some(text) => std::fs::write(&program.path, text).expect("written"),
-            None => std::fs::remove_file(&program.path).expect("removed"),
+            Some(text) => std::fs::write(&program.path, text).expect("failed to write"),
+            None => std::fs::remove_file(&program.path).expect("failed to remove"),
         }
         program.signal("-HUP");
-        until("the refusal", || {
+        until("the rejected reload", || {
             program
                 .log()
                 .matches("the previous configuration stays in force")
@@ -255,20 +256,20 @@
     assert_eq!(
         (new.peer.count(), old.peer.ended.load(Ordering::SeqCst)),
         (0, 0),
-        "the watch stands"
+        "the watch did not continue"
     );
-    // Two at once and one while it stops: the last file counts, and the stop goes on.
-    std::fs::write(&program.path, &moved).expect("written");
+    // With two signals at once the last file counts. An invalid reload during a shutdown does not interrupt it.
+    std::fs::write(&program.path, &moved).expect("failed to write");
     program.signal("-HUP");
     program.signal("-HUP");
     until("a watch on the new list", || new.peer.count() >= 2);
     program.signal("-TERM");
-    until("the signal", || {
+    until("the start of the shutdown", || {
         program.log().contains("shutdown requested")
     });
-    std::fs::write(&program.path, "{").expect("written");
+    std::fs::write(&program.path, "{").expect("failed to write");
     program.signal("-HUP");
-    until("the refusal", || {
+    until("the rejected reload", || {
         program
             .log()
             .matches("the previous configuration stays in force")
@@ -279,16 +280,15 @@
     assert_eq!(program.wait().code(), Some(0));
 }
 
-/// Guards against a signal that comes before there is a list, or anything to serve: it ends nothing, and
-/// discovery named then is the one that counts.
+/// SIGHUP must not end a process that has no list yet. The discovery service that the new file names is used.
 #[test]
 fn reload_before_first_list_polls_new_discovery() {
     let worker = good();
     let discovery = Discovery::new(&[("s-1", worker.address)]);
-    let (nowhere, _full) = unreachable_address();
-    let path = config(nowhere, "null", 1024);
+    let (old_address, _sockets) = unreachable_address();
+    let path = config(old_address, "null", 1024);
     let mut process = StartingProcess::start(&path, &[]);
-    let (old, new) = (nowhere.to_string(), discovery.peer.address.to_string());
+    let (old, new) = (old_address.to_string(), discovery.peer.address.to_string());
     edit(&path, &[(&old, &new)]);
     process.signal("-HUP");
     process.until_ready();
