--- a/crates/server/tests/sockets/eviction.rs
+++ b/crates/server/tests/sockets/eviction.rs
@@ -1,4 +1,4 @@
-//! Descriptors that run out: which connections are evicted for which.
+//! Which client connections are evicted when descriptors run out.
 
 use std::io::{BufReader, Read, Write};
 use std::sync::atomic::Ordering;
@@ -14,7 +14,7 @@
     let worker = good();
     let program = Program::start_with(&Discovery::new(&[("s-1", worker.address)]), 64, &[]);
     let mut idle: Vec<_> = (0..60).map(|_| program.connect()).collect();
-    idle[0].write_all(b"POST /tra").expect("half a head");
+    idle[0].write_all(b"POST /tra").expect("failed to write");
     let mut last = program.connect();
     assert_eq!(
         send_on(&mut last, &request("transfer", "id-1")).status(),
@@ -24,16 +24,16 @@
     assert!(open <= 64, "{open} descriptors");
 }
 
-/// Crowds far beyond the limits that say nothing or stop half way, while every job comes on a new connection,
-/// some written in 2 s: no job is evicted for them.
+/// Hundreds of connections that send nothing or a partial head, far more than the limits allow, must not displace jobs.
+/// Every job comes on a new connection, and some take 2 s to be written.
 #[test]
-fn idle_crowd_does_not_evict_slowly_written_jobs() {
+fn idle_connections_do_not_displace_slowly_written_jobs() {
     let worker = good();
     let program = Program::start_with(&Discovery::new(&[("s-1", worker.address)]), 96, &[]);
     let (stop, at) = (std::sync::atomic::AtomicBool::new(false), program.address);
     std::thread::scope(|s| {
         s.spawn(|| {
-            let mut crowd = std::collections::VecDeque::new();
+            let mut idle = std::collections::VecDeque::new();
             for n in 0..3_000 {
                 if stop.load(Ordering::SeqCst) {
                     break;
@@ -44,26 +44,28 @@
                 if n % 2 == 0 {
                     _ = stream.write_all(b"POST /transfer HTTP/1.1\r\nHo");
                 }
-                crowd.push_back(stream);
-                if crowd.len() > 400 {
-                    crowd.pop_front();
+                idle.push_back(stream);
+                if idle.len() > 400 {
+                    idle.pop_front();
                 }
-                std::thread::sleep(std::time::Duration::from_millis(2)); // 500 a second
+                std::thread::sleep(std::time::Duration::from_millis(2)); // about 500 per second
             }
         });
         let slow: Vec<_> = (0..4)
             .map(|n| {
                 s.spawn(move || {
                     let text = request("transfer", &format!("slow-{n}"));
-                    let mut stream = std::net::TcpStream::connect(at).expect("a connection");
-                    stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
+                    let mut stream = std::net::TcpStream::connect(at).expect("failed to connect");
+                    stream
+                        .set_read_timeout(Some(PATIENCE))
+                        .expect("socket error");
                     for piece in text.as_bytes().chunks(text.len() / 19) {
-                        stream.write_all(piece).expect("written");
+                        stream.write_all(piece).expect("failed to write");
+                        // Simulates a slow client.
                         std::thread::sleep(std::time::Duration::from_millis(100));
-                        // slowly on purpose
                     }
                     Message::read(&mut BufReader::new(stream))
-                        .expect("an answer")
+                        .expect("no answer")
                         .status()
                 })
             })
@@ -71,15 +73,15 @@
         assert_all_served(&program, "quick", 0..60);
         let slow: Vec<u16> = slow
             .into_iter()
-            .map(|t| t.join().expect("answered"))
+            .map(|t| t.join().expect("the client panicked"))
             .collect();
         stop.store(true, Ordering::SeqCst);
         assert_eq!(slow, [200; 4]);
     });
 }
 
-/// Guards against closing on the client just accepted, where all others have brought a request before:
-/// at the connection limit it would be the only one that has not.
+/// A new client at the connection limit, where all others have sent a request before, must not be evicted for being the
+/// only one that has not.
 #[test]
 fn new_client_has_time_for_its_request_at_the_connection_limit() {
     let worker = good();
@@ -101,12 +103,12 @@
     assert_eq!(
         clients[0].read(&mut [0]).map_or(0, |n| n),
         0,
-        "the one idle for longest was evicted"
+        "the connection idle longest should be closed"
     );
 }
 
-/// Guards against clients that send one request and stay until the platform gives us no more connections: it
-/// lets clients hold a third of the descriptors for requests.
+/// Clients that send one request and stay connected must not use up the connections that the platform allows: it opens
+/// connections for requests only up to a third of the descriptors.
 #[test]
 fn idle_connections_stay_within_their_share_of_descriptors() {
     let worker = good();
@@ -118,17 +120,18 @@
             200
         );
     }
-    std::thread::sleep(std::time::Duration::from_millis(300)); // idle on purpose
+    // Longer than a connection must have been idle to be closed.
+    std::thread::sleep(std::time::Duration::from_millis(300));
     assert_eq!(
         send_on(&mut clients[20], &request("transfer", "once-more")).status(),
         200
     );
     let limit = Some(std::time::Duration::from_secs(2));
-    clients[0].set_read_timeout(limit).expect("a limit");
+    clients[0].set_read_timeout(limit).expect("socket error");
     assert_eq!(
-        clients[0].read(&mut [0]).expect("an end"),
+        clients[0].read(&mut [0]).expect("no orderly close"),
         0,
-        "24 of 32 connections are retained"
+        "24 of 32 connections should be kept, not this one"
     );
     assert_eq!(
         send_on(&mut clients[20], &request("transfer", "again")).status(),
@@ -136,8 +139,8 @@
     );
 }
 
-/// Guards against idle clients that leave no descriptor for discovery: it is down while they come, and each
-/// call needs a new one. The limit is the system's as well.
+/// Idle clients must leave descriptors for calls to discovery. It fails while they connect, so that each call needs a
+/// new descriptor, and the process limit (`ulimit -n`) equals the configured one.
 #[test]
 fn descriptors_remain_for_discovery_and_new_clients() {
     for sockets in [64, 256] {
@@ -163,15 +166,17 @@
             .env("ROUTER_CONFIG", &path)
             .env_remove("TMPDIR");
         let mut program = Program::run(&mut command, path);
-        let mut crowd: Vec<_> = (0..2 * sockets).map(|_| program.connect()).collect();
+        let mut idle: Vec<_> = (0..2 * sockets).map(|_| program.connect()).collect();
         let calls = discovery.count();
-        until("calls beside the crowd", || discovery.count() > calls + 1);
-        crowd.extend((0..sockets).map(|_| program.connect()));
+        until("discovery calls despite idle clients", || {
+            discovery.count() > calls + 1
+        });
+        idle.extend((0..sockets).map(|_| program.connect()));
         assert_eq!(program.send(READY).status(), 503);
         down.store(false, Ordering::SeqCst);
         until("the list", || program.send(READY).status() == 200);
         for n in 0..8 {
-            crowd.push(program.connect());
+            idle.push(program.connect());
             assert_eq!(
                 program
                     .send(&request("transfer", &format!("id-{n}")))
@@ -186,6 +191,6 @@
             "{}",
             program.log()
         );
-        drop(crowd);
+        drop(idle);
     }
 }
