--- a/crates/server/tests/sockets/faults.rs
+++ b/crates/server/tests/sockets/faults.rs
@@ -1,4 +1,4 @@
-//! Faults at workers and of other clients: they free no request of its answer.
+//! Faults of workers and of clients, which must not keep other requests from being answered in time.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -7,12 +7,14 @@
 
 use oakshed_standin::*;
 
-/// How long each good client waits, and by how much its answer may be late.
-const WAIT: Duration = Duration::from_millis(1_500);
-const LATE: Duration = Duration::from_millis(500);
+/// The deadline of requests from well-behaved clients.
+const DEADLINE: Duration = Duration::from_millis(1_500);
+/// How long after the deadline the answer may arrive.
+const TOLERANCE: Duration = Duration::from_millis(500);
 
-/// What bad clients send before they go: nothing, half a head, half a body, garbage behind a request, and much at once.
-fn amiss(n: usize) -> String {
+/// What a bad client sends before it disconnects: nothing, a partial head, a partial body, garbage behind a request, or
+/// many requests at once.
+fn bad_input(n: usize) -> String {
     let text = request("transfer", &format!("bad-{n}"));
     match n % 5 {
         0 => String::new(),
@@ -23,21 +25,22 @@
     }
 }
 
-/// Guards against a fault of one party that takes another one's answer along: beside one good worker there are such
-/// that hang, close, reset, send garbage and decline, and beside good clients such that send malformed requests and disconnect.
+/// Good clients are answered in time although most workers are faulty and bad clients are connected. Beside one good
+/// worker there are ones that hang, close, reset, send garbage and reject. The bad clients send malformed requests and
+/// disconnect.
 #[test]
 fn requests_are_answered_despite_faults_of_workers_and_other_clients() {
-    let resets = Peer::new(|_, stream| {
+    let resetting = Peer::new(|_, stream| {
         socket2::SockRef::from(&*stream)
             .set_linger(Some(Duration::ZERO))
-            .expect("set");
+            .expect("socket error");
         false
     });
     let workers = [
         good(),
         Peer::new(|_, _| true),
         Peer::new(|_, _| false),
-        resets,
+        resetting,
         Peer::new(|_, stream| stream.write_all(b"no answer\r\n\r\n").is_ok()),
         Peer::new(|_, stream| status(stream, "503 Busy\r\nSrv-Declined: 1")),
     ];
@@ -47,7 +50,7 @@
         .zip(workers.iter().map(|w| w.address))
         .collect();
     let program = Program::start(&Discovery::new(&list));
-    let (address, over) = (program.address, AtomicBool::new(false));
+    let (address, stop) = (program.address, AtomicBool::new(false));
     let good_client = |n: usize| {
         for round in 0..20 {
             let text = request(
@@ -56,22 +59,22 @@
             );
             let sent = Instant::now();
             let answer = send_raw(address, &text.replace("Ms: 5000", "Ms: 1500"))
-                .expect("an answer")
+                .expect("no answer")
                 .status();
             assert!([200, 502, 503].contains(&answer), "{answer}");
             assert!(
-                sent.elapsed() < WAIT + LATE,
+                sent.elapsed() < DEADLINE + TOLERANCE,
                 "answered after {:?}",
                 sent.elapsed()
             );
         }
     };
     let bad_client = |first: usize| {
-        for n in (first..).take_while(|_| !over.load(Ordering::SeqCst)) {
+        for n in (first..).take_while(|_| !stop.load(Ordering::SeqCst)) {
             let Ok(mut client) = TcpStream::connect(address) else {
                 continue;
             };
-            _ = client.write_all(amiss(n).as_bytes());
+            _ = client.write_all(bad_input(n).as_bytes());
             std::thread::sleep(Duration::from_millis(5));
         }
     };
@@ -83,7 +86,7 @@
         let good_client = &good_client;
         let all: Vec<_> = (0..8).map(|n| s.spawn(move || good_client(n))).collect();
         let all_answered = all.into_iter().all(|client| client.join().is_ok());
-        over.store(true, Ordering::SeqCst);
-        assert!(all_answered, "each is answered in time");
+        stop.store(true, Ordering::SeqCst);
+        assert!(all_answered, "not every request was answered in time");
     });
 }
