--- a/crates/server/tests/sockets/forwarding.rs
+++ b/crates/server/tests/sockets/forwarding.rs
@@ -1,4 +1,4 @@
-//! A request on its way: through, never twice, given up with its client.
+//! The way of a request to a worker and back: forwarding, retries, cancellation and deadlines.
 
 use std::io::{BufReader, Write};
 use std::sync::atomic::Ordering;
@@ -26,9 +26,9 @@
     assert_eq!(seen.body, b"body");
     let left: u64 = seen
         .field("req-deadline-ms")
-        .expect("a deadline")
+        .expect("no Req-Deadline-Ms field")
         .parse()
-        .expect("a number");
+        .expect("not a number");
     assert!((1..=5_000).contains(&left), "{left}");
 }
 
@@ -68,7 +68,7 @@
         ),
     ];
     let program = Program::start_with(&Discovery::new(&list), 1024, &edits);
-    // Requests do not wait for probes: the first go anywhere.
+    // Requests do not wait for probes, so the first ones may go to either worker.
     let seen = |b: &Peer, what| {
         b.seen
             .lock()
@@ -96,36 +96,36 @@
     let to_full = seen(&workers[0], "POST") - before;
     assert!(
         to_full <= 2,
-        "jobs go where slots are free: {to_full} of 20 did not"
+        "{to_full} of 20 jobs went to the worker without free slots"
     );
 }
 
-/// Guards against two requests under one id: a worker's answer to one could be served to the other.
+/// Two requests must not be open under one id: a worker's answer to one could be served as the answer to the other.
 #[test]
 fn id_of_an_open_request_is_rejected() {
-    let (worker, open) = gated_worker("made");
+    let (worker, release) = gated_worker("made");
     let program = Program::start(&Discovery::new(&[("s-1", worker.address)]));
     let mut first = program.connect();
     first
         .write_all(request("transfer", "id-1").as_bytes())
-        .expect("written");
+        .expect("failed to write");
     until("the attempt", || worker.count() == 1);
     assert_eq!(program.send(&request("new-plate", "id-1")).status(), 409);
-    open.send(()).expect("released");
+    release.send(()).expect("failed to release the worker");
     assert_eq!(
         Message::read(&mut BufReader::new(first))
-            .expect("an answer")
+            .expect("no answer")
             .status(),
         200
     );
-    open.send(()).expect("released");
+    release.send(()).expect("failed to release the worker");
     assert_eq!(
         program.send(&request("transfer", "id-1")).status(),
         200,
-        "it is open no more"
+        "the id should be free again"
     );
     assert_eq!(worker.count(), 2);
-    // Where attempts may not be cancelled, its attempt is open for longer than its client waits.
+    // Where attempts may not be cancelled, one stays open, with its id, after its client has disconnected.
     let unresponsive = Peer::new(|_, _| true);
     let edits = [(r#""cancelling":true"#, r#""cancelling":false"#)];
     let program = Program::start_with(
@@ -136,31 +136,31 @@
     let mut client = program.connect();
     client
         .write_all(request("transfer", "id-2").as_bytes())
-        .expect("written");
+        .expect("failed to write");
     until("the attempt", || unresponsive.count() == 1);
     let open = descriptors(&program);
     drop(client);
-    until("the client's end", || descriptors(&program) < open);
+    until("the disconnect", || descriptors(&program) < open);
     assert_eq!(program.send(&request("transfer", "id-2")).status(), 409);
 }
 
-/// Guards against a reader that holds the next request back for good, mixes the order, closes on what cannot be read
-/// only once all before it is answered, however long that takes, or takes the answer to what came before along.
+/// Pipelined requests are all answered, in order. Malformed input behind a request closes the connection without
+/// waiting for a slow answer; the request is answered with a 502 then.
 #[test]
 fn pipelined_requests_get_one_answer_each_in_order() {
     let worker = Peer::new(|message, stream| match message.field("req-id") {
         Some("never") => true,
-        id => done(message, stream, id.expect("an id")),
+        id => done(message, stream, id.expect("no Req-Id field")),
     });
     let program = Program::start(&Discovery::new(&[("s-1", worker.address)]));
     let mut client = program.connect();
     let all: String = (0..100)
         .map(|n| request("transfer", &format!("id-{n}")))
         .collect();
-    client.write_all(all.as_bytes()).expect("written");
+    client.write_all(all.as_bytes()).expect("failed to write");
     let mut reader = BufReader::new(client);
     for n in 0..100 {
-        let answer = Message::read(&mut reader).expect("an answer");
+        let answer = Message::read(&mut reader).expect("no answer");
         assert_eq!(
             (answer.status(), answer.body),
             (200, format!("id-{n}").into_bytes())
@@ -170,14 +170,16 @@
     let mut client = program.connect();
     client
         .write_all(request("transfer", "never").as_bytes())
-        .expect("written");
+        .expect("failed to write");
     until("the attempt", || worker.count() == 101);
-    client.write_all(b"no request\r\n\r\n").expect("written");
-    // It was read, and has an answer before its connection ends.
+    client
+        .write_all(b"no request\r\n\r\n")
+        .expect("failed to write");
+    // The request was read, so it is answered before the connection ends.
     let mut reader = BufReader::new(client);
     let answers = [(); 3].map(|()| Message::read(&mut reader).map(|answer| answer.status()));
     assert_eq!(answers, [Some(502), Some(400), None]);
-    until("the attempt's end", || {
+    until("the end of the attempt", || {
         worker.ended.load(Ordering::SeqCst) > 0
     });
     assert!(start.elapsed().as_millis() < 3_000);
@@ -185,13 +187,13 @@
 
 #[test]
 fn transfer_that_may_have_run_is_not_retried() {
-    // Each way in which an attempt ends without proof that it never ran.
+    // The ways in which an attempt can end without proof that it never ran.
     let endings: [fn(&Message, &mut std::net::TcpStream) -> bool; 14] = [
         |_, _| false,
         |_, stream| status(stream, "500 Internal Server Error"),
         |_, stream| status(stream, "503 Service Unavailable"),
         |message, stream| {
-            let id = message.field("req-id").expect("an id");
+            let id = message.field("req-id").expect("no Req-Id field");
             chunk(
                 stream,
                 true,
@@ -200,7 +202,7 @@
             false
         },
         |message, stream| {
-            let id = message.field("req-id").expect("an id");
+            let id = message.field("req-id").expect("no Req-Id field");
             chunk(
                 stream,
                 true,
@@ -212,7 +214,7 @@
             chunk(
                 stream,
                 true,
-                "{\"id\":\"another\",\"state\":\"done\",\"result\":\"theirs\"}\n",
+                "{\"id\":\"another\",\"state\":\"done\",\"result\":\"other\"}\n",
             );
             true
         },
@@ -220,7 +222,7 @@
             chunk(stream, true, &"no line ".repeat(10_000));
             true
         },
-        // Half a line and a close; no line; a whole one that is not ended; another kind of value.
+        // A partial line before a close; no line; a line without a line break; an id that is not a string.
         |_, stream| {
             chunk(stream, true, "{\"id\":\"id-1\",\"state\":\"retu");
             false
@@ -244,20 +246,20 @@
                 "101 Switching Protocols\r\nConnection: upgrade\r\nUpgrade: x",
             )
         },
-        // Handed back though it runs: indeterminate.
+        // Returned after it was reported as started: indeterminate.
         |_, stream| {
             chunk(stream, true, "{\"id\":\"id-1\",\"state\":\"started\"}\n");
             chunk(stream, false, "{\"id\":\"id-1\",\"state\":\"returned\"}\n");
             stream.write_all(b"0\r\n\r\n").is_ok()
         },
-        // A head without bound would take the memory of many requests.
+        // A response head over the limit, which keeps one response from taking the memory of many requests.
         |message, stream| {
             let head = format!(
                 "HTTP/1.1 200 OK\r\nX: {}\r\nTransfer-Encoding: chunked\r\n\r\n",
                 "x".repeat(200_000)
             );
             let sent = stream.write_all(head.as_bytes()).is_ok();
-            let id = message.field("req-id").expect("an id");
+            let id = message.field("req-id").expect("no Req-Id field");
             chunk(
                 stream,
                 false,
@@ -279,9 +281,9 @@
 #[test]
 fn unstarted_attempt_is_retried_on_another_worker() {
     let closed = ReservedPort::new();
-    let turning_away = Peer::new(|_, stream| status(stream, "503 Busy\r\nSrv-Declined: 1"));
-    let handing_back = Peer::new(|message, stream| {
-        let id = message.field("req-id").expect("an id");
+    let rejecting = Peer::new(|_, stream| status(stream, "503 Busy\r\nSrv-Declined: 1"));
+    let returning = Peer::new(|message, stream| {
+        let id = message.field("req-id").expect("no Req-Id field");
         chunk(
             stream,
             true,
@@ -289,7 +291,7 @@
         );
         stream.write_all(b"0\r\n\r\n").is_ok()
     });
-    for bad in [closed.address, turning_away.address, handing_back.address] {
+    for bad in [closed.address, rejecting.address, returning.address] {
         let worker = good();
         let program = Program::start(&Discovery::new(&[("s-1", bad), ("s-2", worker.address)]));
         assert_all_served(&program, "id", 0..6);
@@ -300,10 +302,14 @@
 #[test]
 fn split_lines_and_escaped_results_are_parsed() {
     let worker = Peer::new(|message, stream| {
-        let id = message.field("req-id").expect("an id");
+        let id = message.field("req-id").expect("no Req-Id field");
         let text = format!("{{\"id\":\"{id}\",\"state\":\"done\",\"result\":\"a\\\"\\u00e9\"}}\n");
         for (n, piece) in text.as_bytes().chunks(7).enumerate() {
-            chunk(stream, n == 0, std::str::from_utf8(piece).expect("text"));
+            chunk(
+                stream,
+                n == 0,
+                std::str::from_utf8(piece).expect("not UTF-8"),
+            );
             _ = stream.flush();
         }
         stream.write_all(b"0\r\n\r\n").is_ok()
@@ -321,7 +327,7 @@
         if message.first.contains("transfer") {
             return done(message, stream, "made");
         }
-        true // a new-plate is never answered
+        true // a `new-plate` is never answered
     });
     let program = Program::start_with(
         &Discovery::new(&[("s-1", worker.address)]),
@@ -330,10 +336,10 @@
     );
     let mut client = program.connect();
     let text = request("new-plate", "id-1").replace("Ms: 5000", "Ms: 600000");
-    client.write_all(text.as_bytes()).expect("written");
+    client.write_all(text.as_bytes()).expect("failed to write");
     until("the attempt", || worker.count() == 1);
     drop(client);
-    until("its connection's end", || {
+    until("the end of the connection", || {
         worker.ended.load(Ordering::SeqCst) == 1
     });
     assert_eq!(program.send(&request("transfer", "id-2")).status(), 200);
@@ -348,7 +354,7 @@
     assert_eq!(program.send(&text).status(), 502);
     assert!(
         start.elapsed().as_millis() >= 690,
-        "not before the client gives up"
+        "answered before the deadline"
     );
     assert_eq!(worker.count(), 1);
 }
