--- a/crates/server/tests/sockets/large.rs
+++ b/crates/server/tests/sockets/large.rs
@@ -1,4 +1,4 @@
-//! A list of a thousand workers: read as it comes, served through, changed; and what it costs.
+//! Endpoint lists of a thousand workers: loading, use and updates, and a measurement of what a list costs.
 
 use std::io::Write as _;
 use std::net::SocketAddr;
@@ -10,32 +10,33 @@
 
 use super::descriptors;
 
-const MANY: usize = 1_024;
+const WORKERS: usize = 1_024;
 
-/// A name as long as any host's may be.
-fn name(n: usize) -> String {
+/// Returns a worker name of the maximum length of a host name.
+fn long_name(n: usize) -> String {
     format!("{n:0253}")
 }
 
-/// The list as it may come: indented, and with fields that are not known.
+/// Returns a list that is indented and has unknown fields.
 fn indented(number: u64, is_snapshot: bool, entries: &[(usize, SocketAddr, &str)]) -> String {
     let entry = |(n, at, state): &(usize, SocketAddr, &str)| {
         serde_json::json!({
-            "instanceId": name(*n), "hostPort": at, "zone": "hofdi", "machineType": "fast-7", "cell": n / 3,
+            "instanceId": long_name(*n), "hostPort": at, "zone": "hofdi", "machineType": "fast-7", "cell": n / 3,
             "lifecycle": state, "weight": 1.0, "startedAtMs": 0,
-            "labels": {"rack": name(*n), "owner": name(*n), "image": name(*n)},
+            "labels": {"rack": long_name(*n), "owner": long_name(*n), "image": long_name(*n)},
         })
     };
     let instances: Vec<_> = entries.iter().map(entry).collect();
     let list =
         serde_json::json!({"generation": number, "reset": is_snapshot, "instances": instances});
-    serde_json::to_string_pretty(&list).expect("text")
+    serde_json::to_string_pretty(&list).expect("failed to serialize")
 }
 
-/// Discovery that gives one answer after the other, the first to whoever has none; watches are held shortly.
+/// Starts a discovery service that answers `from=n` with the list after number `n`, and other calls with the first one.
+/// Watches are held for 200 ms.
 fn discovery_with(first: String) -> (Peer, Arc<Mutex<Vec<String>>>) {
-    let all = Arc::new(Mutex::new(vec![first]));
-    let lists = all.clone();
+    let all_lists = Arc::new(Mutex::new(vec![first]));
+    let lists = all_lists.clone();
     let peer = Peer::new(move |message, stream| {
         let from = message
             .first
@@ -56,7 +57,7 @@
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         stream.write_all((head + &body).as_bytes()).is_ok()
     });
-    (peer, all)
+    (peer, all_lists)
 }
 
 fn start(discovery: &Peer, known: &str, sockets: usize) -> Program {
@@ -72,16 +73,22 @@
     program
 }
 
-/// Guards against a bound on the list's bytes that a long one reaches, on its entries, and on idle connections to
-/// hundreds of workers: of 256 descriptors half may be all there is.
+/// The limits on the bytes and entries of a list must allow a thousand workers, and idle connections to hundreds of
+/// them must fit into 128 descriptors. That is half of 256, as in a hot restart, where two processes share them.
 #[test]
-fn a_list_of_a_thousand_workers_is_used_from_the_start_and_changed_as_one() {
-    let (some, few) = (good(), good());
-    let stays = |n: usize| n % 32 == 28;
-    let at = |n: usize| if stays(n) { few.address } else { some.address };
+fn list_of_a_thousand_workers_is_used_at_start_and_updated() {
+    let (drained, remaining) = (good(), good());
+    let remains = |n: usize| n % 32 == 28;
+    let at = |n: usize| {
+        if remains(n) {
+            remaining.address
+        } else {
+            drained.address
+        }
+    };
     let entries = |state| {
-        (0..MANY)
-            .map(|n| (n, at(n), if stays(n) { "ready" } else { state }))
+        (0..WORKERS)
+            .map(|n| (n, at(n), if remains(n) { "ready" } else { state }))
             .collect::<Vec<_>>()
     };
     let snapshot = indented(1, true, &entries("ready"));
@@ -90,7 +97,7 @@
         "{} bytes",
         snapshot.len()
     );
-    // Its file holds the list before; what it is notified of is read from the first call on.
+    // The configuration holds a list; updates are read from the first call on.
     let (discovery, lists) = discovery_with(snapshot);
     let program = start(&discovery, &indented(1, true, &entries("ready")), 128);
     lists
@@ -102,12 +109,12 @@
             .log()
             .contains("list 2 (snapshot): 1024 entries, 1024 workers ready")
     });
-    // A rejection says to come again, and on a busy machine there may be some.
+    // Rejected requests are retried. On a busy machine there may be some.
     let serve = |name: &str, jobs: usize| {
         for n in 0..jobs {
             let mut tries = 0..;
             until("served", || {
-                let id = format!("{name}-{n}-{}", tries.next().expect("a number"));
+                let id = format!("{name}-{n}-{}", tries.next().expect("the range is endless"));
                 program.send(&request("new-plate", &id)).status() == 200
             });
             assert!(
@@ -118,7 +125,7 @@
         }
     };
     serve("a", 300);
-    let before = (some.count(), few.count());
+    let before = (drained.count(), remaining.count());
     assert!(
         before.0 > before.1 && before.0 + before.1 >= 300,
         "{before:?}"
@@ -133,26 +140,27 @@
             .contains("list 3 (delta): 1024 entries, 32 workers ready")
     });
     serve("b", 50);
-    assert_eq!(some.count(), before.0, "a job went to one that drains");
+    assert_eq!(drained.count(), before.0, "a job went to a draining worker");
     assert!(
-        few.count() >= before.1 + 50,
+        remaining.count() >= before.1 + 50,
         "{} after {before:?}",
-        few.count()
+        remaining.count()
     );
     assert!(!program.log().contains("malformed"), "{}", program.log());
 }
 
-/// Nanoseconds that the program's threads have run, and its resident memory in KB.
-fn spent(program: &Program) -> (u64, u64) {
+/// Returns the CPU time of the program's threads in nanoseconds, and its resident memory in KB.
+fn cpu_time_and_memory(program: &Program) -> (u64, u64) {
     let path = |rest: &str| format!("/proc/{}/{rest}", program.child.id());
     let tasks = std::fs::read_dir(path("task"))
-        .expect("its threads")
+        .expect("failed to list the threads")
         .map_while(Result::ok);
     let ran = tasks.filter_map(|task| std::fs::read_to_string(task.path().join("schedstat")).ok());
     let ran = ran
         .filter_map(|text| text.split(' ').next()?.parse::<u64>().ok())
         .sum();
-    let status = std::fs::read_to_string(path("status")).expect("its status");
+    let status =
+        std::fs::read_to_string(path("status")).expect("failed to read the process status");
     let resident = status.lines().find_map(|line| {
         line.strip_prefix("VmRSS:")?
             .split_whitespace()
@@ -160,19 +168,19 @@
             .parse()
             .ok()
     });
-    (ran, resident.expect("resident memory"))
+    (ran, resident.expect("no VmRSS line"))
 }
 
-/// Prints what a list costs, by its length: the table for the notes is made with
+/// Prints what lists of several lengths cost. The full table is printed by
 /// `OAKSHED_SIZES=14,200,1024 cargo test --release -p oakshed --test sockets -- large::sizes --nocapture`.
-/// What the machine decides is not asserted.
+/// Values that depend on the machine are not asserted.
 #[test]
 fn sizes() {
     let sizes = std::env::var("OAKSHED_SIZES").unwrap_or("14".into());
     println!("workers | ready KB | served KB | descriptors | snapshot, us | change of one, us | idle, % of a core");
     for n in sizes
         .split(',')
-        .map(|n| n.parse::<usize>().expect("a size"))
+        .map(|n| n.parse::<usize>().expect("not a number"))
     {
         let worker = good();
         let entry = |n| {
@@ -190,10 +198,10 @@
         };
         let (discovery, lists) = discovery_with(list(1, true, n));
         let program = start(&discovery, "null", 1_024);
-        let ready = spent(&program).1;
+        let ready = cpu_time_and_memory(&program).1;
         let changes = 20;
         let time = |is_snapshot, n| {
-            let before = spent(&program).0;
+            let before = cpu_time_and_memory(&program).0;
             for _ in 0..changes {
                 let number = lists.lock().unwrap().len() + 1;
                 lists.lock().unwrap().push(list(number, is_snapshot, n));
@@ -201,7 +209,7 @@
                     program.log().contains(&format!("list {number} ("))
                 });
             }
-            (spent(&program).0 - before) / changes / 1_000
+            (cpu_time_and_memory(&program).0 - before) / changes / 1_000
         };
         let (snapshot, one) = (time(true, n), time(false, 1));
         let jobs = 2 * n.max(100);
@@ -213,10 +221,12 @@
                 200
             );
         }
-        let (open, (_, served)) = (descriptors(&program), spent(&program));
-        let (begin, before) = (Instant::now(), spent(&program).0);
+        let (open, (_, served)) = (descriptors(&program), cpu_time_and_memory(&program));
+        let (begin, before) = (Instant::now(), cpu_time_and_memory(&program).0);
         std::thread::sleep(Duration::from_secs(1));
-        let idle = (spent(&program).0 - before) as f64 / begin.elapsed().as_nanos() as f64 * 100.0;
+        let idle = (cpu_time_and_memory(&program).0 - before) as f64
+            / begin.elapsed().as_nanos() as f64
+            * 100.0;
         println!("{n} | {ready} | {served} | {open} | {snapshot} | {one} | {idle:.2}");
         assert!(open <= 1_024);
     }
