--- a/crates/server/tests/sockets/malformed.rs
+++ b/crates/server/tests/sockets/malformed.rs
@@ -1,4 +1,4 @@
-//! Malformed requests: rejected, closed, and never forwarded.
+//! Malformed requests, which are rejected and never forwarded, and unusual ones, which are served.
 
 use std::io::{Read, Write};
 
@@ -36,7 +36,7 @@
             request("new-plate", "id-2").replace("Idempotency-Key: 5c0f\r\n", ""),
             400,
         ),
-        // Taken as the class's own, a deadline that is no number would keep a request for too long.
+        // With the deadline of the class in place of an invalid one, the request would be kept for too long.
         (text.replace("Deadline-Ms: 5000", "Deadline-Ms: soon"), 400),
         (text.replace("Deadline-Ms: 5000", "Deadline-Ms: -5"), 400),
         (text.replace("Deadline-Ms: 5000", "Deadline-Ms: "), 400),
@@ -50,23 +50,23 @@
         );
     }
     assert_eq!(worker.count(), 0);
-    let odd = text
+    let invalid_extra = text
         .replace("Req-Deadline-Ms: 5000\r\n", "")
         .replace("slots=1", "slots=-1,,=x");
-    let odd = odd.replace("storholt-bilar", "nobody");
+    let invalid_extra = invalid_extra.replace("storholt-bilar", "nobody");
     assert_eq!(
-        program.send(&odd).status(),
+        program.send(&invalid_extra).status(),
         200,
-        "bad extras count as absent"
+        "invalid extras should count as absent"
     );
 }
 
-/// What a client's connection brings until it ends; the text is sent in pieces without waiting.
+/// Sends pieces of text without waiting, and returns all that is received until the connection ends.
 fn response_text(program: &Program, pieces: &[&str]) -> String {
     let mut client = program.connect();
-    let mut sender = client.try_clone().expect("a clone");
+    let mut sender = client.try_clone().expect("failed to clone the socket");
     let pieces: Vec<String> = pieces.iter().map(|p| p.to_string()).collect();
-    // What is still being sent when the answer comes may be cut off.
+    // Writing fails if the connection is closed after the answer; the rest is not sent then.
     std::thread::spawn(move || {
         pieces
             .iter()
@@ -76,11 +76,11 @@
     while let Ok(n @ 1..) = client.read(&mut buffer) {
         text.extend_from_slice(&buffer[..n]);
     }
-    String::from_utf8(text).expect("text")
+    String::from_utf8(text).expect("not UTF-8")
 }
 
-/// Guards against a second request hidden in a body: hyper drops `Content-Length` beside
-/// `Transfer-Encoding`, whichever comes first, before anything above it sees the head.
+/// A body must not hide a second request (request smuggling). hyper drops `Content-Length` beside `Transfer-Encoding`,
+/// in either order, before the service sees the head.
 #[test]
 fn ambiguous_length_is_rejected_and_closed() {
     let worker = good();
@@ -97,20 +97,21 @@
         text.replace(length, &format!("{length}{length}")),
         length_of("-4"),
         length_of("99999999999999999999999"),
-        length_of("2"), // what is left of the body is no request
+        length_of("2"), // the rest of the body is not a request
         "no request at all\r\n\r\n".to_owned(),
         "x".repeat(20_000),
     ] {
         let answer = response_text(&program, &[&ambiguous]);
-        let one = answer.starts_with("HTTP/1.1 4") && answer.matches("HTTP/1.1").count() == 1;
+        let is_one_error =
+            answer.starts_with("HTTP/1.1 4") && answer.matches("HTTP/1.1").count() == 1;
         assert!(
-            one,
+            is_one_error,
             "{answer} to {}",
             &ambiguous[..ambiguous.len().min(400)]
         );
     }
     assert_eq!(worker.count(), 0);
-    // A chunked body alone is not ambiguous; nothing may follow it.
+    // A chunked body alone is not ambiguous, but the request behind it is not served.
     let chunked = text
         .replace(length, coding)
         .replace("body", "4\r\nbody\r\n0\r\n\r\n");
@@ -128,7 +129,7 @@
     );
 }
 
-/// Guards against clients that hold a connection, and us, with a request that never arrives.
+/// Clients must not hold connections open with requests that never arrive in full.
 #[test]
 fn slow_request_is_closed_and_idle_connection_is_not() {
     let worker = good();
@@ -141,7 +142,7 @@
     let start = std::time::Instant::now();
     let text = request("transfer", "id-2");
     std::thread::scope(|s| {
-        // Nothing at all, half a head, half a body, and half of one behind a whole request.
+        // Nothing, a partial head, a partial body, and a partial head behind a complete request.
         for pieces in [vec![], vec![&text[..30]], vec![&text[..text.len() - 2]]] {
             let program = &program;
             s.spawn(move || response_text(program, &pieces));
@@ -162,7 +163,7 @@
     assert_eq!(worker.count(), 3);
 }
 
-/// Guards against reading 60 MB only to reject them.
+/// A body of 60 MB must be rejected without being read in full.
 #[test]
 fn oversized_request_is_rejected_at_once() {
     let worker = good();
@@ -171,7 +172,7 @@
         .replace("Length: 4", "Length: 60000000")
         .split_once("body")
         .map(|(head, rest)| (head.to_owned(), rest.to_owned()))
-        .expect("a body");
+        .expect("no body");
     let start = std::time::Instant::now();
     let answer = response_text(&program, &[&head, &"x".repeat(60_000_000)]);
     assert!(
@@ -181,7 +182,8 @@
     assert!(start.elapsed().as_millis() < 1_400, "{:?}", start.elapsed());
 }
 
-/// What is odd and no fault is served; what is malformed ends with a 400, and takes nothing along that came before it.
+/// Unusual but valid requests are served. Invalid ones are rejected, and requests before them on the same connection
+/// are not affected.
 #[test]
 fn unusual_requests_are_served_and_invalid_ones_end_with_400() {
     let worker = good();
@@ -190,13 +192,13 @@
     let with = |id: &str, field: &str| {
         text(id).replace("Content-Length", &format!("{field}\r\nContent-Length"))
     };
-    let behind = |id: &str| with(id, "Connection: close");
+    let with_close = |id: &str| with(id, "Connection: close");
     let served = [
-        behind("closes") + &text("not-served"),
+        with_close("closes") + &text("not-served"),
         text("old").replace("HTTP/1.1", "HTTP/1.0"),
-        with("upgrades", "Upgrade: h2c") + &behind("then"),
-        text("absolute").replace("POST /", "POST http://backend.local/") + &behind("follows"),
-        "\r\n\r\n".to_owned() + &behind("late-lines"),
+        with("upgrades", "Upgrade: h2c") + &with_close("then"),
+        text("absolute").replace("POST /", "POST http://backend.local/") + &with_close("follows"),
+        "\r\n\r\n".to_owned() + &with_close("late-lines"),
     ];
     for text in &served {
         let answer = response_text(&program, &[text]);
@@ -215,21 +217,21 @@
             "{answer} to {text}"
         );
     }
-    // Its body comes once it is requested.
+    // The client sends the body after `100 Continue`.
     let (head, body) = with("expects", "Expect: 100-continue")
         .split_once("body")
         .map(|(h, _)| (h.to_owned(), "body"))
-        .expect("a body");
+        .expect("no body");
     let mut client = program.connect();
-    client.write_all(head.as_bytes()).expect("written");
+    client.write_all(head.as_bytes()).expect("failed to write");
     let mut interim = [0; 25];
     client
         .read_exact(&mut interim)
-        .expect("an interim response");
+        .expect("no interim response");
     assert_eq!(&interim, b"HTTP/1.1 100 Continue\r\n\r\n");
     assert_eq!(send_on(&mut client, body).status(), 200);
     let before = worker.count();
-    for amiss in [
+    for invalid in [
         text("nul").replace("storholt", "stor\0holt"),
         text("nul-id").replace("nul-id", "nul\0id"),
         text("no-version").replace(" HTTP/1.1", ""),
@@ -238,15 +240,20 @@
         text("target").replace("POST /transfer", "POST transfer"),
         with("long", &format!("X: {}", "x".repeat(9_000))),
     ] {
-        let answer = response_text(&program, &[&amiss]);
-        let one = answer.starts_with("HTTP/1.1 4") && answer.matches("HTTP/1.").count() == 1;
-        assert!(one, "{answer} to {}", &amiss[..amiss.len().min(400)]);
-        // Behind one that is served it ends the connection, once that is answered or at once.
-        let answer = response_text(&program, &[&text("before"), &amiss]);
+        let answer = response_text(&program, &[&invalid]);
+        let is_one_error =
+            answer.starts_with("HTTP/1.1 4") && answer.matches("HTTP/1.").count() == 1;
+        assert!(
+            is_one_error,
+            "{answer} to {}",
+            &invalid[..invalid.len().min(400)]
+        );
+        // Behind a valid request it ends the connection, before or after the answer to that request.
+        let answer = response_text(&program, &[&text("before"), &invalid]);
         assert!(
             answer.matches(" 200 OK").count() <= 1,
             "{answer} to {}",
-            &amiss[..amiss.len().min(400)]
+            &invalid[..invalid.len().min(400)]
         );
     }
     let seen = worker.seen.lock().unwrap()[before..].to_vec();
@@ -265,33 +272,42 @@
         bad.is_some_and(|bad: usize| (7..=14).contains(&bad)),
         "{log}"
     );
-    assert!(log.lines().count() < 20, "no line for each: {log}");
+    assert!(
+        log.lines().count() < 20,
+        "too many lines for bad requests: {log}"
+    );
 }
 
-/// Guards against a request that is read and never answered, as what its client sends behind it cannot be read, or as
-/// it ends its sending: it is answered, and its own result where that comes soon.
+/// A request that was read is answered even if malformed input follows it or its client half-closes the connection. If
+/// its result arrives soon, that is the answer.
 #[test]
 fn read_request_is_answered_whatever_follows_it() {
-    let (worker, open) = gated_worker("made");
+    let (worker, release) = gated_worker("made");
     let program = Program::start(&Discovery::new(&[("s-1", worker.address)]));
     let answers = |client: std::net::TcpStream| {
         let mut reader = std::io::BufReader::new(client);
         [(); 3].map(|()| Message::read(&mut reader).map(|answer| answer.status()))
     };
-    let taken = |id: &str, count: usize| {
+    let send_and_wait = |id: &str, count: usize| {
         let mut client = program.connect();
         client
             .write_all(request("transfer", id).as_bytes())
-            .expect("written");
+            .expect("failed to write");
         until("the attempt", || worker.count() == count);
         client
     };
-    let mut client = taken("malformed", 1);
-    client.write_all(b"no request\r\n\r\n").expect("written");
-    until("it is read", || super::unread_at(program.address) == 0);
-    open.send(()).expect("released");
+    let mut client = send_and_wait("malformed", 1);
+    client
+        .write_all(b"no request\r\n\r\n")
+        .expect("failed to write");
+    until("the malformed input is read", || {
+        super::unread_at(program.address) == 0
+    });
+    release.send(()).expect("failed to release the worker");
     assert_eq!(answers(client), [Some(200), Some(400), None]);
-    let client = taken("half-closed", 2);
-    client.shutdown(std::net::Shutdown::Write).expect("ended");
+    let client = send_and_wait("half-closed", 2);
+    client
+        .shutdown(std::net::Shutdown::Write)
+        .expect("failed to half-close");
     assert_eq!(answers(client), [Some(502), None, None]);
 }
