--- a/crates/server/tests/sockets/stages.rs
+++ b/crates/server/tests/sockets/stages.rs
@@ -1,4 +1,4 @@
-//! Requests at every stage: what ends there gives back what it took.
+//! Requests that end at each stage of processing, after which nothing may stay reserved for them.
 
 use std::io::{BufReader, Write};
 
@@ -7,10 +7,10 @@
 use super::log_after_stop;
 use super::{connections, descriptors, unreachable_address};
 
-/// A worker that keeps a request at the stage that its id names.
-fn staged() -> Peer {
+/// Starts a worker that keeps a request at the stage that its id names.
+fn staged_worker() -> Peer {
     Peer::new(|message, stream| {
-        let id = message.field("req-id").expect("an id").to_owned();
+        let id = message.field("req-id").expect("no Req-Id field").to_owned();
         if id.starts_with("started") {
             chunk(
                 stream,
@@ -25,19 +25,19 @@
     })
 }
 
-/// No transfer went out twice.
-fn once_each(workers: &[Peer]) {
+/// Asserts that no transfer was sent twice.
+fn assert_sent_once(workers: &[Peer]) {
     let seen: Vec<Message> = workers
         .iter()
         .flat_map(|b| b.seen.lock().unwrap().clone())
         .collect();
     let transfers = seen.iter().filter(|m| m.first.contains("/transfer"));
     let mut ids = std::collections::BTreeSet::new();
-    transfers.for_each(|m| assert!(ids.insert(m.field("req-id")), "{} went out twice", m.first));
+    transfers.for_each(|m| assert!(ids.insert(m.field("req-id")), "{} was sent twice", m.first));
 }
 
-/// Guards against a place on a request's way at which its client's end leaves something reserved: its id, the
-/// capacity for its body, a slot of the concurrency limit, a descriptor. And against a second run of what may have run.
+/// A client disconnects, or its deadline passes, at each stage of its request. This must release the request's id, the
+/// capacity for its body, its slot of the concurrency limit and its descriptor. What may have run must not run again.
 #[test]
 fn every_stage_releases_what_it_reserved() {
     let stages = [
@@ -49,22 +49,20 @@
         ("answered", "transfer", 1),
     ];
     for cancelling in ["true", "false"] {
-        run_stages(cancelling, &stages, &["gone", "late"]);
+        run_stages(cancelling, &stages, &["disconnect", "deadline"]);
     }
 }
 
-/// Lets requests of a class reach a stage, which so many workers have seen then, and end there.
-#[expect(
-    clippy::too_many_lines,
-    reason = "one scenario, a step after the other"
-)]
+/// Brings requests to each stage and ends them there, by a disconnect or by their deadline. A stage is given by its
+/// name, the class of its requests, and how often workers have received such a request by then.
+#[expect(clippy::too_many_lines, reason = "one scenario in consecutive steps")]
 fn run_stages(cancelling: &str, stages: &[(&str, &str, usize)], ends: &[&str]) {
-    let workers = [staged(), staged()];
-    let (nowhere, _full) = unreachable_address();
+    let workers = [staged_worker(), staged_worker()];
+    let (unreachable, _sockets) = unreachable_address();
     let list = [
         ("s-1", workers[0].address),
         ("s-2", workers[1].address),
-        ("s-3", nowhere),
+        ("s-3", unreachable),
     ];
     let discovery = Discovery::new(&list);
     let edits = [
@@ -79,7 +77,7 @@
         (r#""give-up-ms":5000"#, r#""give-up-ms":1200"#),
     ];
     let mut program = Program::start_with(&discovery, 1024, &edits);
-    let listen = |ready: &[&str]| {
+    let set_ready = |ready: &[&str]| {
         for (name, _) in list {
             discovery.set(
                 name,
@@ -101,7 +99,7 @@
             newest(program.log()).is_some_and(|l| l.contains(&ready_count) && l.contains(&number))
         });
     };
-    listen(&["s-1", "s-2"]);
+    set_ready(&["s-1", "s-2"]);
     assert_eq!(
         program
             .send(&request("transfer", "answered-first"))
@@ -122,12 +120,12 @@
     };
     for &(stage, class, sent) in stages {
         match stage {
-            "queued" => listen(&[]),
-            "dialling" => listen(&["s-3"]),
-            _ => listen(&["s-1", "s-2"]),
+            "queued" => set_ready(&[]),
+            "dialling" => set_ready(&["s-3"]),
+            _ => set_ready(&["s-1", "s-2"]),
         }
-        // One that is queued, as the workers were unresponsive before, disconnects and comes again.
-        let at_its_stage = |end: &str| {
+        // A request may be queued because the workers did not answer before. Its client then disconnects and retries.
+        let reach_stage = |end: &str| {
             for n in 0..100 {
                 let id = format!("{stage}-{end}-{n}");
                 let text = request(class, &id);
@@ -137,7 +135,7 @@
                     &text
                 };
                 let mut client = program.connect();
-                client.write_all(text.as_bytes()).expect("written");
+                client.write_all(text.as_bytes()).expect("failed to write");
                 let start = std::time::Instant::now();
                 while start.elapsed().as_millis() < 700 {
                     if seen(&id) == sent {
@@ -149,41 +147,41 @@
             panic!("{stage} was never reached");
         };
         for end in ends {
-            let (id, client) = at_its_stage(end);
-            if *end == "gone" {
+            let (id, client) = reach_stage(end);
+            if *end == "disconnect" {
                 continue;
             }
             let answer = Message::read(&mut BufReader::new(client))
-                .expect("one answer")
+                .expect("no answer")
                 .status();
             let expected = match stage {
                 "reading" => 408,
-                "queued" | "dialling" => 503, // never ran: come again
+                "queued" | "dialling" => 503, // never ran, so it may be retried
                 "answered" => 200,
                 _ => 502,
             };
             assert_eq!(answer, expected, "{id} with cancelling {cancelling}");
         }
     }
-    listen(&["s-1", "s-2"]);
-    // Where nothing is cancelled, what is out has until its deadline. Idle connections are closed.
-    let out = || {
+    set_ready(&["s-1", "s-2"]);
+    // Without cancellation, open attempts last until their deadline. Idle connections are closed after a time.
+    let established = || {
         workers
             .iter()
             .map(|b| connections(b.address, "01"))
             .sum::<usize>()
     };
-    until("its descriptors again", || {
-        out() == 0 && descriptors(&program) <= start
+    until("the release of all descriptors", || {
+        established() == 0 && descriptors(&program) <= start
     });
-    once_each(&workers);
+    assert_sent_once(&workers);
     program.signal("-TERM");
     assert_eq!(program.wait().code(), Some(0));
     let log = log_after_stop(&program);
     let counts_at_end = log
         .lines()
         .rfind(|l| l.contains("stopped"))
-        .expect("its counts");
+        .expect("no final counts");
     let zero = "Open { requests: 0, held: 0, attempts: 0, slots: 0, ids: 0, body_bytes: 0,";
     assert!(
         counts_at_end.contains(zero),
@@ -203,18 +201,18 @@
     );
 }
 
-/// Guards against a stop that loses what was taken, answers it twice, never ends, or leaves its address
-/// taken: with requests at every stage, half of one on a client's connection, discovery down, and whoever
-/// stops it out of patience.
+/// A shutdown must answer each request exactly once, end, and leave its address free. It begins with requests at
+/// several stages, a partial head on a connection and unresponsive discovery, and gets more signals than one.
 #[test]
 fn shutdown_answers_requests_at_every_stage_and_restart_succeeds() {
-    let worker = staged();
-    let (nowhere, _full) = unreachable_address();
-    let discovery = Discovery::new(&[("s-1", worker.address), ("s-2", nowhere)]);
+    let worker = staged_worker();
+    let (unreachable, _sockets) = unreachable_address();
+    let discovery = Discovery::new(&[("s-1", worker.address), ("s-2", unreachable)]);
     let mut program = Program::start(&discovery);
-    let mut half = program.connect();
-    half.write_all(b"POST /transfer HTTP/1.1\r\nContent-Le")
-        .expect("half a head");
+    let mut partial_head = program.connect();
+    partial_head
+        .write_all(b"POST /transfer HTTP/1.1\r\nContent-Le")
+        .expect("failed to write");
     let mut clients = Vec::new();
     for n in 0..24 {
         let stage = ["sent", "started", "answered"][n % 3];
@@ -222,12 +220,15 @@
         let mut client = program.connect();
         client
             .write_all(text.replace("Ms: 5000", "Ms: 2500").as_bytes())
-            .expect("written");
+            .expect("failed to write");
         clients.push(client);
     }
-    until("some of them", || worker.count() > 2);
-    let dead = unreachable_address();
-    program.reload(&discovery.peer.address.to_string(), &dead.0.to_string());
+    until("some of the requests", || worker.count() > 2);
+    let silent_discovery = unreachable_address();
+    program.reload(
+        &discovery.peer.address.to_string(),
+        &silent_discovery.0.to_string(),
+    );
     until("the reload", || program.log().contains("reload: discovery"));
     for signal in ["-TERM", "-TERM", "-INT", "-HUP"] {
         program.signal(signal);
@@ -235,12 +236,9 @@
     let mut statuses = std::collections::BTreeMap::new();
     for client in clients {
         let mut reader = BufReader::new(client);
-        let answer = Message::read(&mut reader).expect("one answer");
+        let answer = Message::read(&mut reader).expect("no answer");
         *statuses.entry(answer.status()).or_insert(0) += 1;
-        assert!(
-            Message::read(&mut reader).is_none(),
-            "one answer, and no second one"
-        );
+        assert!(Message::read(&mut reader).is_none(), "a second answer");
     }
     assert!(
         statuses.keys().all(|s| [200, 502, 503].contains(s)),
@@ -248,22 +246,22 @@
     );
     assert_eq!(program.wait().code(), Some(0), "{}", program.log());
     log_after_stop(&program);
-    once_each(&[worker]);
-    // On the same address at once, with a list as it was long ago.
+    assert_sent_once(&[worker]);
+    // Starts the next process at once at the same address, with an outdated list.
     let worker = good();
     let discovery = Discovery::new(&[("s-1", worker.address)]);
-    let again = format!(r#""listen":"{}""#, program.address);
+    let same_address = format!(r#""listen":"{}""#, program.address);
     let stale = format!(
-        r#"{{"generation":99,"instances":[{{"instanceId":"s-9","hostPort":"{nowhere}","lifecycle":"ready"}}]}}"#
+        r#"{{"generation":99,"instances":[{{"instanceId":"s-9","hostPort":"{unreachable}","lifecycle":"ready"}}]}}"#
     );
     let next = Program::start_knowing(
         &discovery,
         &stale,
         1024,
-        &[(r#""listen":"127.0.0.1:0""#, &again)],
+        &[(r#""listen":"127.0.0.1:0""#, &same_address)],
     );
     assert_eq!(next.address, program.address);
-    until("the list of today", || {
+    until("the current list", || {
         next.log().contains("list 1 (snapshot)")
     });
     assert_eq!(next.send(&request("transfer", "id-1")).status(), 200);
