--- a/crates/server/tests/sockets/start.rs
+++ b/crates/server/tests/sockets/start.rs
@@ -1,4 +1,4 @@
-//! Invalid settings: reported in one line, and nothing starts or changes.
+//! The start: settings and operator files are checked, and an invalid one is reported in one line and stops it.
 
 use std::process::Command;
 
@@ -9,7 +9,11 @@
 
 #[test]
 fn invalid_value_is_named_in_one_line() {
-    let path = config("127.0.0.1:9".parse().expect("an address"), "null", 1024);
+    let path = config(
+        "127.0.0.1:9".parse().expect("invalid address"),
+        "null",
+        1024,
+    );
     let run = |name: &str, value: &str| {
         let mut command = Command::new(Program::binary());
         let out = command
@@ -17,10 +21,10 @@
             .env("ROUTER_CONFIG", &path)
             .env(name, value)
             .output()
-            .expect("run");
+            .expect("failed to run");
         (
             out.status.code(),
-            String::from_utf8(out.stderr).expect("text"),
+            String::from_utf8(out.stderr).expect("not UTF-8"),
         )
     };
     assert_eq!(run("ROUTER_NAME", "n7").0, Some(0));
@@ -36,23 +40,27 @@
     _ = std::fs::remove_file(path);
 }
 
-/// Guards against a start with what cannot be used, a complaint that does not say where, and a value that
-/// overflows into another: 2^44 MB were none at all.
+/// Unusable settings stop the start, and the error says where they are. A value must not overflow: 2^44 MB would be 0
+/// bytes in 64 bits.
 #[test]
 fn invalid_configuration_is_rejected_with_its_place() {
-    let path = config("127.0.0.1:9".parse().expect("an address"), "null", 1024);
-    let text = std::fs::read_to_string(&path).expect("just written");
+    let path = config(
+        "127.0.0.1:9".parse().expect("invalid address"),
+        "null",
+        1024,
+    );
+    let text = std::fs::read_to_string(&path).expect("failed to read the configuration");
     let check = |text: &str, command: &str| {
-        std::fs::write(&path, text).expect("written");
+        std::fs::write(&path, text).expect("failed to write");
         let mut program = Command::new(Program::binary());
         let out = program
             .arg(command)
             .env("ROUTER_CONFIG", &path)
             .output()
-            .expect("run");
+            .expect("failed to run");
         (
             out.status.code(),
-            String::from_utf8(out.stderr).expect("text"),
+            String::from_utf8(out.stderr).expect("not UTF-8"),
         )
     };
     let cases = [
@@ -118,9 +126,9 @@
     _ = std::fs::remove_file(path);
 }
 
-/// Guards against a log that nobody reads any more: telling of that on standard error would end it.
+/// The process must survive when nobody reads its log any more. Reporting that on standard error would end it.
 #[test]
-fn log_is_json_on_request_and_its_loss_ends_nothing() {
+fn process_survives_the_closing_of_its_json_log() {
     let worker = good();
     let discovery = Discovery::new(&[("s-1", worker.address)]);
     let path = config(discovery.peer.address, "null", 1024);
@@ -133,7 +141,7 @@
     process.close_log();
     process.until_ready();
     discovery.set("s-1", "draining");
-    until("the update, which it logs", || !is_ready(process.address));
+    until("the update, which is logged", || !is_ready(process.address));
     process.signal("-TERM");
     assert!(process.wait().success());
 }
@@ -141,12 +149,17 @@
 #[test]
 fn invalid_operator_file_stops_the_start() {
     let path = std::env::temp_dir().join(format!("oakshed-operator-{}.json", std::process::id()));
-    std::fs::write(&path, r#"{"jobs":{"dir":"/x","lease_ms":1},"jbos":1}"#).expect("written");
+    std::fs::write(&path, r#"{"jobs":{"dir":"/x","lease_ms":1},"jbos":1}"#)
+        .expect("failed to write");
     let output = Command::new(Program::binary())
-        .args(["check", "--operator", path.to_str().expect("a path")])
+        .args([
+            "check",
+            "--operator",
+            path.to_str().expect("not a UTF-8 path"),
+        ])
         .env_remove("ROUTER_CONFIG")
         .output()
-        .expect("run");
+        .expect("failed to run");
     let text = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(1), "{text}");
     assert!(
@@ -156,10 +169,10 @@
     _ = std::fs::remove_file(path);
 }
 
-/// Guards against a bound on schedulers that a fleet of a thousand reaches: on the addresses by which they find one
-/// another, and on those that are taken up where the file doesn't say.
+/// The limits on schedulers must allow a fleet of a thousand, both for the addresses in `join` and for the default of
+/// `members`.
 #[test]
-fn operator_file_may_name_a_thousand_schedulers() {
+fn operator_file_may_list_a_thousand_schedulers() {
     let path = std::env::temp_dir().join(format!("oakshed-thousand-{}.json", std::process::id()));
     let join: Vec<String> = (0..1_024)
         .map(|n| format!("\"10.0.{}.{}:7000\"", n / 250, n % 250 + 1))
@@ -168,13 +181,21 @@
         r#"{{"peers":{{"listen":"127.0.0.1:7000","join":[{}]}}}}"#,
         join.join(",")
     );
-    std::fs::write(&path, text).expect("written");
-    let config = config("127.0.0.1:9".parse().expect("an address"), "null", 1024);
+    std::fs::write(&path, text).expect("failed to write");
+    let config = config(
+        "127.0.0.1:9".parse().expect("invalid address"),
+        "null",
+        1024,
+    );
     let output = Command::new(Program::binary())
-        .args(["check", "--operator", path.to_str().expect("a path")])
+        .args([
+            "check",
+            "--operator",
+            path.to_str().expect("not a UTF-8 path"),
+        ])
         .env("ROUTER_CONFIG", &config)
         .output()
-        .expect("run");
+        .expect("failed to run");
     assert_eq!(
         output.status.code(),
         Some(0),
@@ -184,12 +205,12 @@
     let schema = Command::new(Program::binary())
         .arg("schema")
         .output()
-        .expect("run")
+        .expect("failed to run")
         .stdout;
-    let schema: serde_json::Value = serde_json::from_slice(&schema).expect("a schema");
-    let most = &schema["$defs"]["Peers"]["properties"]["members"]["default"];
-    assert!(most.as_u64() >= Some(1_024), "{most}");
+    let schema: serde_json::Value = serde_json::from_slice(&schema).expect("not JSON");
+    let default_members = &schema["$defs"]["Peers"]["properties"]["members"]["default"];
+    assert!(default_members.as_u64() >= Some(1_024), "{default_members}");
     std::fs::remove_file(path)
         .and_then(|()| std::fs::remove_file(config))
-        .expect("removed");
+        .expect("failed to remove");
 }
