--- a/crates/server/tests/sockets/stop.rs
+++ b/crates/server/tests/sockets/stop.rs
@@ -1,4 +1,4 @@
-//! A stop in order: what arrives late is answered still.
+//! Shutdown: requests that still arrive are answered, and the process ends before SIGKILL.
 
 use std::io::{BufReader, Read, Write};
 use std::net::TcpStream;
@@ -10,8 +10,8 @@
 use super::{closed_without_reset, descriptors};
 
 #[test]
-fn sigterm_serves_on_for_a_while_answers_all_and_exits_with_0() {
-    let (open, gate) = std::sync::mpsc::channel::<()>();
+fn sigterm_serves_for_a_while_answers_all_and_exits_with_0() {
+    let (release, gate) = std::sync::mpsc::channel::<()>();
     let gate = std::sync::Mutex::new(gate);
     let worker = Peer::new(move |message, stream| {
         if message.field("req-id") == Some("slow") {
@@ -21,13 +21,13 @@
     });
     let mut program = Program::start(&Discovery::new(&[("s-1", worker.address)]));
     let (mut slow, mut reused, unused) = (program.connect(), program.connect(), program.connect());
-    let mut half = program.connect();
-    half.write_all(b"POST /tra").expect("half a head");
+    let mut partial = program.connect();
+    partial.write_all(b"POST /tra").expect("failed to write");
     slow.write_all(request("transfer", "slow").as_bytes())
-        .expect("written");
+        .expect("failed to write");
     until("the slow attempt", || worker.count() == 1);
     program.signal("-TERM");
-    until("the signal", || {
+    until("the start of the shutdown", || {
         program.log().contains("shutdown requested")
     });
     assert_eq!(
@@ -39,28 +39,31 @@
         200,
         "on a new connection"
     );
-    until("the closing", || program.log().contains("closing"));
+    until("the closing of connections", || {
+        program.log().contains("closing")
+    });
     assert_eq!(
-        reused.read(&mut [0]).expect("an end"),
+        reused.read(&mut [0]).expect("no orderly close"),
         0,
-        "idle connections are closed"
+        "idle connections should be closed"
     );
-    open.send(()).expect("released");
-    let answer = Message::read(&mut BufReader::new(&mut slow)).expect("the slow answer");
+    release.send(()).expect("failed to release the worker");
+    let answer =
+        Message::read(&mut BufReader::new(&mut slow)).expect("no answer to the slow request");
     assert_eq!(
         (answer.status(), answer.field("connection")),
         (200, Some("close"))
     );
     assert_eq!(program.wait().code(), Some(0));
-    drop((unused, half));
+    drop((unused, partial));
 }
 
-/// Guards against a request taken late in a stop that waits for its deadline, at a worker or for one, when
-/// SIGKILL comes first (3.7 s after SIGTERM, as the longest deadline is over 3 s).
+/// A request that arrives late in a shutdown must be answered before SIGKILL instead of waiting for its deadline, at a
+/// worker or for one. SIGKILL comes 3.7 s after SIGTERM where the longest deadline is over 3 s.
 #[test]
 fn late_requests_of_a_shutdown_are_answered_before_the_kill() {
     std::thread::scope(|s| {
-        // One whose last byte comes late has arrived late, whenever it began.
+        // A request arrives with its last byte, whenever it began.
         for (lifecycle, begun, expected, sent) in [
             ("ready", false, 502, 1),
             ("ready", true, 502, 1),
@@ -78,7 +81,9 @@
                 });
                 let text = request("transfer", "id-1");
                 let begun = if begun { text.len() - 2 } else { 0 };
-                client.write_all(&text.as_bytes()[..begun]).expect("begun");
+                client
+                    .write_all(&text.as_bytes()[..begun])
+                    .expect("failed to write");
                 let start = std::time::Instant::now();
                 program.signal("-TERM");
                 std::thread::sleep(std::time::Duration::from_secs(1));
@@ -94,45 +99,48 @@
     });
 }
 
-/// Guards against a stop that takes longer than short deadlines leave (1.7 s with 1 s): with a hanging worker, half
-/// a body, a client that takes none of its answers, and one that rests until the end.
+/// SIGKILL comes after 1.7 s where the longest deadline is 1 s. The shutdown must end by then despite a hanging worker,
+/// a partial body, a client that does not read its answers and an idle client.
 #[test]
 fn shutdown_with_short_deadlines_ends_before_the_kill() {
     let worker = Peer::new(|message, stream| match message.field("req-id") {
-        Some("hangs") => true,
+        Some("hanging") => true,
         _ => done(message, stream, &"made ".repeat(8_000)),
     });
     let edits = [(r#""give-up-ms":5000"#, r#""give-up-ms":1000"#)];
     let mut program =
         Program::start_with(&Discovery::new(&[("s-1", worker.address)]), 1024, &edits);
-    let (mut greedy, resting) = (program.connect(), program.connect());
-    // More answers than the system holds for a client that reads none.
+    let (mut not_reading, idle) = (program.connect(), program.connect());
+    // More answers than the kernel buffers for a client that reads none.
     let all: String = (0..160)
-        .map(|n| request("transfer", &format!("untaken-{n}")))
+        .map(|n| request("transfer", &format!("unread-{n}")))
         .collect();
-    greedy.write_all(all.as_bytes()).expect("written");
+    not_reading
+        .write_all(all.as_bytes())
+        .expect("failed to write");
     let mut before = 0;
-    until("no answer more", || {
+    until("the end of the answers", || {
         std::thread::sleep(std::time::Duration::from_millis(300));
         std::mem::replace(&mut before, worker.count()) == worker.count()
     });
     assert!((1..160).contains(&before), "{before} answers are written");
-    let (mut hangs, mut half) = (program.connect(), program.connect());
-    let text = request("transfer", "half");
-    half.write_all(&text.as_bytes()[..text.len() - 2])
-        .expect("half of it");
-    hangs
-        .write_all(request("transfer", "hangs").as_bytes())
-        .expect("written");
+    let (mut hanging, mut partial) = (program.connect(), program.connect());
+    let text = request("transfer", "partial");
+    partial
+        .write_all(&text.as_bytes()[..text.len() - 2])
+        .expect("failed to write");
+    hanging
+        .write_all(request("transfer", "hanging").as_bytes())
+        .expect("failed to write");
     let start = std::time::Instant::now();
     program.signal("-TERM");
-    let answer = Message::read(&mut BufReader::new(hangs))
-        .expect("an answer")
+    let answer = Message::read(&mut BufReader::new(hanging))
+        .expect("no answer")
         .status();
     assert!([502, 503].contains(&answer), "{answer}");
     assert_eq!(program.wait().code(), Some(0));
     assert!(start.elapsed().as_millis() < 1_700, "{:?}", start.elapsed());
-    drop((half, greedy, resting));
+    drop((partial, not_reading, idle));
 }
 
 #[test]
@@ -147,24 +155,24 @@
         );
     }
     program.signal("-TERM");
-    until("the signal", || {
+    until("the start of the shutdown", || {
         program.log().contains("shutdown requested")
     });
-    // It gets no time on its core, while the system still accepts and takes bytes for it. When it
-    // goes on, it is to close already.
+    // While the process is stopped, the kernel still completes connections and receives bytes for it. When it resumes,
+    // the time to close connections has come.
     program.signal("-STOP");
     clients.extend((0..20).map(|_| program.connect()));
     for (n, client) in clients.iter_mut().enumerate() {
         client
             .write_all(request("transfer", &format!("last-{n}")).as_bytes())
-            .expect("written");
+            .expect("failed to write");
     }
     std::thread::sleep(std::time::Duration::from_secs(2));
     program.signal("-CONT");
     for client in &mut clients {
         assert_eq!(
             Message::read(&mut BufReader::new(client))
-                .expect("an answer")
+                .expect("no answer")
                 .status(),
             200
         );
@@ -173,14 +181,14 @@
     assert_eq!(program.wait().code(), Some(0));
 }
 
-/// Guards against a stop that takes all that waits to be accepted at once, whatever it may hold.
+/// A shutdown must not accept the whole accept queue at once, beyond its limit of descriptors.
 #[test]
 fn accept_queue_is_answered_within_the_descriptors_at_shutdown() {
     let worker = good();
     let mut program = Program::start_with(&Discovery::new(&[("s-1", worker.address)]), 64, &[]);
     assert_eq!(program.send(&request("transfer", "first")).status(), 200);
     program.signal("-TERM");
-    until("the signal", || {
+    until("the start of the shutdown", || {
         program.log().contains("shutdown requested")
     });
     program.signal("-STOP");
@@ -188,15 +196,16 @@
     for (n, client) in clients.iter_mut().enumerate() {
         client
             .write_all(request("transfer", &format!("last-{n}")).as_bytes())
-            .expect("written");
+            .expect("failed to write");
     }
-    std::thread::sleep(std::time::Duration::from_secs(2)); // it is to close when it goes on
+    // The time to close connections comes while the process is stopped.
+    std::thread::sleep(std::time::Duration::from_secs(2));
     program.signal("-CONT");
-    let most = std::thread::scope(|s| {
+    let max_descriptors = std::thread::scope(|s| {
         let answers = s.spawn(|| {
             let answer = |client| {
                 Message::read(&mut BufReader::new(client))
-                    .expect("an answer")
+                    .expect("no answer")
                     .status()
             };
             clients
@@ -204,40 +213,45 @@
                 .map(answer)
                 .all(|status| [200, 503].contains(&status))
         });
-        let mut most = 0;
+        let mut max_descriptors = 0;
         while !answers.is_finished() {
-            most = most.max(descriptors(&program));
+            max_descriptors = max_descriptors.max(descriptors(&program));
             std::thread::sleep(std::time::Duration::from_millis(1));
         }
-        assert!(answers.join().expect("no panic"), "each is answered");
-        most
+        assert!(
+            answers.join().expect("the thread panicked"),
+            "not every request was answered"
+        );
+        max_descriptors
     });
-    assert!((1..=64).contains(&most), "{most} descriptors");
+    assert!(
+        (1..=64).contains(&max_descriptors),
+        "{max_descriptors} descriptors"
+    );
     assert_eq!(program.wait().code(), Some(0));
 }
 
-/// What is left of the time until SIGKILL where the longest deadline is this, in milliseconds.
-fn until_kill(longest: u64) -> Duration {
+/// Returns the time from SIGTERM to SIGKILL for a longest deadline in milliseconds.
+fn time_to_kill(longest: u64) -> Duration {
     Duration::from_millis(longest.min(3_000) + 700)
 }
 
-/// Guards against a stop that SIGKILL cuts off: with any deadlines, workers that hang through the whole of it, clients
-/// that send as long as they can, SIGHUP with the first SIGTERM and a second one later, each request that was read has
-/// one whole answer, and the process has ended in time.
+/// Each request that was read gets one complete answer, and the process ends before SIGKILL, for deadlines from 50 ms
+/// to 60 s. Meanwhile workers hang, clients send for as long as they can, and SIGHUP and a second SIGTERM arrive.
 #[test]
 fn shutdown_answers_all_before_the_kill_for_all_deadlines() {
     std::thread::scope(|s| {
         for longest in [50, 300, 3_000, 60_000] {
             for cancelling in ["true", "false"] {
-                s.spawn(move || stopped_in_time(longest, cancelling));
+                s.spawn(move || assert_stops_in_time(longest, cancelling));
             }
         }
     });
 }
 
-fn stopped_in_time(longest: u64, cancelling: &str) {
+fn assert_stops_in_time(longest: u64, cancelling: &str) {
     let worker = Peer::new(|message, stream| match message.field("req-id") {
-        Some(id) if id.starts_with("hangs") => true,
+        Some(id) if id.starts_with("hanging") => true,
         _ => done(message, stream, "made"),
     });
     let deadline = format!(r#""give-up-ms":{longest}"#);
@@ -252,17 +266,17 @@
     let mut waiting: Vec<_> = (0..4).map(|_| program.connect()).collect();
     for (n, client) in waiting.iter_mut().enumerate() {
         client
-            .write_all(text(&format!("hangs-{n}")).as_bytes())
-            .expect("written");
+            .write_all(text(&format!("hanging-{n}")).as_bytes())
+            .expect("failed to write");
     }
-    // They are at the worker, or have had their time.
+    // The requests are at the worker, or their deadlines have passed.
     until("the attempts", || worker.count() >= 1);
     let start = Instant::now();
     program.signal("-HUP");
     program.signal("-TERM");
     let address = program.address;
     let unanswered = std::thread::scope(|s| {
-        // On one connection after the other, for as long as it stays open and new ones are accepted.
+        // Each client uses one connection after the other until no new one is accepted.
         let sending: Vec<_> = (0..6)
             .map(|n| {
                 let text = &text;
@@ -272,15 +286,18 @@
                         let Ok(mut client) = TcpStream::connect(address) else {
                             return unanswered;
                         };
-                        client.set_read_timeout(Some(PATIENCE)).expect("a limit");
-                        let mut reader = BufReader::new(client.try_clone().expect("a clone"));
+                        client
+                            .set_read_timeout(Some(PATIENCE))
+                            .expect("socket error");
+                        let mut reader =
+                            BufReader::new(client.try_clone().expect("failed to clone the socket"));
                         for again in 0.. {
-                            let kind = if n % 2 == 0 { "hangs" } else { "made" };
+                            let kind = if n % 2 == 0 { "hanging" } else { "made" };
                             let id = format!("{kind}-{n}-{round}-{again}");
                             if client.write_all(text(&id).as_bytes()).is_err() {
                                 break;
                             }
-                            // The end of a connection may cross a request; one that is cut off, or reset, is lost.
+                            // The connection may be closed just as a request is sent. Only one that is reset loses it.
                             let Some(answer) = Message::read(&mut reader) else {
                                 unanswered += usize::from(!closed_without_reset(&client));
                                 break;
@@ -299,13 +316,13 @@
                 })
             })
             .collect();
-        std::thread::sleep(until_kill(longest) / 4);
+        std::thread::sleep(time_to_kill(longest) / 4);
         program.signal("-TERM");
         let answers = waiting
             .drain(..)
             .map(|client| Message::read(&mut BufReader::new(client)));
         let statuses: Vec<_> = answers
-            .map(|answer| answer.expect("an answer").status())
+            .map(|answer| answer.expect("no answer").status())
             .collect();
         assert!(
             statuses.iter().all(|status| [502, 503].contains(status)),
@@ -314,16 +331,16 @@
         assert_eq!(program.wait().code(), Some(0));
         let took = start.elapsed();
         assert!(
-            took < until_kill(longest),
+            took < time_to_kill(longest),
             "{longest} ms, cancelling {cancelling}: ended after {took:?}"
         );
         sending
             .into_iter()
-            .map(|client| client.join().expect("it has ended"))
+            .map(|client| client.join().expect("the client panicked"))
             .sum::<usize>()
     });
     assert_eq!(
         unanswered, 0,
-        "{longest} ms, cancelling {cancelling}: reset"
+        "{longest} ms, cancelling {cancelling}: requests lost to resets"
     );
 }
