--- a/crates/server/tests/sockets/terms.rs
+++ b/crates/server/tests/sockets/terms.rs
@@ -1,7 +1,7 @@
-//! The operators' terms that only a process shows: kills right after an accept, reloads followed by a drain, lists in
-//! all their forms, the deadline in a further attempt, what fails without one.
+//! Guarantees that only a whole process can show: a restart after a kill, a drain after a reload, all forms of lists,
+//! the deadline of retries, and the rejection of requests that were never forwarded.
 //!
-//! It owns one test for each, over sockets. It must never wait for a moment, only for conditions.
+//! None of the tests depends on a fixed waiting time.
 
 use std::io::{Read, Write};
 use std::sync::atomic::Ordering;
@@ -19,11 +19,11 @@
 );
 const BUSY: &str = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
 
-/// Guards against an address that stays taken by what a killed process had accepted, against half an answer, and
-/// against a next process that sends on what it never was given.
+/// Connections that a killed process had accepted must not keep its address in use, and its clients must not get
+/// partial answers. The next process must not forward requests that it did not receive.
 #[test]
 fn restart_after_kill_at_accept_serves_at_the_same_address() {
-    // It answers what the next processes send, and nothing that the killed ones sent.
+    // Answers requests of the restarted processes, but none of the killed ones.
     let worker = Peer::new(|message, stream| {
         !message
             .field("req-id")
@@ -36,20 +36,22 @@
     for round in 0..3 {
         let program = Program::start_at(&place, &discovery, 1024, &[]);
         let before = descriptors(&program);
-        // Some have sent nothing, some a part, some all of it.
+        // Some clients have sent nothing, some a part of their request, some all of it.
         let mut clients: Vec<_> = (0..12).map(|_| program.connect()).collect();
         for (n, client) in clients.iter_mut().enumerate() {
             let text = request("transfer", &format!("id-{round}-{n}"));
             let part = [0, text.len() / 2, text.len()][n % 3];
             complete.extend((part == text.len()).then(|| format!("id-{round}-{n}")));
-            client.write_all(&text.as_bytes()[..part]).expect("written");
+            client
+                .write_all(&text.as_bytes()[..part])
+                .expect("failed to write");
         }
         until("an accept", || descriptors(&program) > before);
         program.signal("-KILL");
         for client in &mut clients {
             let mut all = Vec::new();
-            _ = client.read_to_end(&mut all); // its end or a reset
-            assert_eq!(all, b"", "half an answer");
+            _ = client.read_to_end(&mut all); // the end of the connection, or a reset
+            assert_eq!(all, b"", "partial answer");
         }
         drop(program);
         let next = Program::start_at(&place, &discovery, 1024, &[]);
@@ -72,10 +74,10 @@
     }
 }
 
-/// Guards against a first call of a new discovery whose failure takes more than the 4 s after which a reload counts.
+/// A reload counts as applied after 4 s, even if the first call to the new discovery service fails.
 #[test]
-fn drain_after_reload_is_honoured_within_four_seconds() {
-    let moved = |failure: Option<&'static str>, edits: &[(&str, &str)]| {
+fn drain_after_reload_is_applied_within_four_seconds() {
+    let drain_after_reload = |failure: Option<&'static str>, edits: &[(&str, &str)]| {
         let (stays, drains) = (good(), good());
         let list = [("s-1", drains.address), ("s-2", stays.address)];
         let (old, new) = (Discovery::new(&list), Discovery::new(&list));
@@ -88,7 +90,7 @@
         until("the update", || program.log().contains("1 workers ready"));
         assert!(
             at.elapsed() < Duration::from_secs(4),
-            "{failure:?}, {edits:?}: honoured after {:?}",
+            "{failure:?}, {edits:?}: applied after {:?}",
             at.elapsed()
         );
         let before = drains.count();
@@ -98,14 +100,14 @@
     std::thread::scope(|s| {
         for failure in [None, Some(CLOSED), Some(BUSY)] {
             for edits in [&[][..], &[PUSHED]] {
-                s.spawn(move || moved(failure, edits));
+                s.spawn(move || drain_after_reload(failure, edits));
             }
         }
     });
 }
 
-/// Guards against a form that is not read: indented, in pieces, the whole instead of what has changed. What does not
-/// stand in the whole list is gone, also where it comes late, after the watch it answers had been opened anew.
+/// Lists are applied in every form: indented, in small chunks, and as a snapshot in place of a delta. Workers that are
+/// missing from a snapshot are removed, even if it arrives after a call that was not answered.
 #[test]
 fn snapshot_late_and_indented_lists_are_applied() {
     let (goes, stays) = (good(), good());
@@ -125,7 +127,7 @@
         (goes.count() - before.0, stays.count() - before.1)
     };
     discovery.set("s-1", "gone");
-    until("it is gone", || {
+    until("the removal", || {
         program
             .log()
             .contains("list 2 (snapshot): 1 entries, 1 workers ready")
@@ -139,9 +141,9 @@
             .contains("list 4 (snapshot): 2 entries, 1 workers ready")
     });
     assert_eq!(served("back"), (20, 0));
-    // An unanswered call, and the update after it.
+    // A call is not answered, and an update follows.
     discovery.malformed.lock().unwrap().push("");
-    until("the silence", || {
+    until("the unanswered call", || {
         discovery.malformed.lock().unwrap().is_empty()
     });
     discovery.set("s-2", "ready");
@@ -154,37 +156,37 @@
     assert_eq!(served("late"), (0, 20));
 }
 
-/// Guards against a further attempt that carries the time of the first: at most what is left to its client.
+/// A retry is given at most the time that its client has left, not the deadline of the first attempt.
 #[test]
 fn retry_carries_the_remaining_deadline() {
     let deadlines = std::sync::Arc::new(std::sync::Mutex::new(Vec::new()));
     let recorded = deadlines.clone();
-    let declines = move |message: &Message, stream: &mut std::net::TcpStream| {
+    let declining = move |message: &Message, stream: &mut std::net::TcpStream| {
         let ms: u64 = message
             .field("req-deadline-ms")
             .and_then(|t| t.parse().ok())
-            .expect("a time");
+            .expect("no deadline");
         let mut deadlines = recorded.lock().unwrap();
         deadlines.push((Instant::now(), ms));
         if deadlines.len() == 2 {
             return done(message, stream, "made");
         }
         drop(deadlines);
-        // Most of the time goes by before it is declined.
+        // Some of the time passes before the rejection.
         std::thread::sleep(Duration::from_millis(150));
         stream
             .write_all(b"HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
             .is_ok()
     };
-    let declines = std::sync::Arc::new(declines);
+    let declining = std::sync::Arc::new(declining);
     let peers: Vec<Peer> = (0..2)
         .map(|_| {
-            let script = declines.clone();
+            let script = declining.clone();
             Peer::new(move |message, stream| script(message, stream))
         })
         .collect();
     let list = [("s-1", peers[0].address), ("s-2", peers[1].address)];
-    // Its latency objective is far, so that it is tried again; its client waits for 1.2 s.
+    // The latency objective of 3 s leaves time for a retry. The client waits for 1.2 s.
     let edits = [(r#""aim-ms":120"#, r#""aim-ms":3000"#)];
     let program = Program::start_with(&Discovery::new(&list), 1024, &edits);
     let text =
@@ -203,16 +205,16 @@
     }
     assert!(
         deadlines[1].1 <= 1_050,
-        "the second had {} ms",
+        "the retry was given {} ms",
         deadlines[1].1
     );
 }
 
-/// Guards against an answer 'failed' to what no worker ever had: it promises nothing, and its client could have come
-/// again. Such are rejected, with when to come.
+/// A request that no worker has received is rejected with a time to retry. It must not be answered as failed: that says
+/// nothing about whether it ran, and its client could have retried it.
 #[test]
 fn unforwarded_request_is_rejected_and_never_failed() {
-    // Nobody listens there: each attempt is one that provably never ran.
+    // Nothing listens there, so that each attempt provably never ran.
     let closed = ReservedPort::new();
     let known = Discovery::new(&[("s-1", closed.address), ("s-2", closed.address)]);
     let program = Program::start(&known);
@@ -223,14 +225,14 @@
             let wait: f64 = answer
                 .field("retry-after")
                 .and_then(|t| t.parse().ok())
-                .expect("when to come");
+                .expect("no Retry-After field");
             assert!(wait <= 2.0, "{wait}");
         }
     }
-    // With nobody in the list at all it is the same.
+    // The result is the same without a ready worker in the list.
     known.set("s-1", "draining");
     known.set("s-2", "gone");
-    until("nobody is left", || {
+    until("a list without ready workers", || {
         program.log().contains("0 workers ready")
     });
     let answer = program.send(&request("transfer", "last"));
