--- a/crates/server/tests/sockets/workers.rs
+++ b/crates/server/tests/sockets/workers.rs
@@ -1,4 +1,4 @@
-//! Connections to workers: reused, closed, moved, drained.
+//! Connections to workers: reuse, closing, changes of address, and drains.
 
 use std::io::{BufReader, Write};
 use std::sync::atomic::Ordering;
@@ -43,20 +43,20 @@
                 .status(),
             200
         );
-        // The system may report a close a while after the other side has made it.
-        until("its close", || {
+        // The kernel may report a close some time after the worker made it.
+        until("the close", || {
             worker.ended.load(Ordering::SeqCst) == n && connections(worker.address, "01") == 0
         });
     }
 }
 
-/// Guards against writing requests to idle connections for as long as the settings allow, where these are
-/// forgotten sooner on the way.
+/// Idle connections may be dropped sooner than the settings say, for example by the network. After a reset they must be
+/// kept for less time, so that few requests are lost on them.
 #[test]
 fn connections_reset_when_idle_are_retained_for_less_time() {
     let last = std::sync::Mutex::new(std::collections::HashMap::new());
     let worker = Peer::new(move |message, stream| {
-        let from = stream.peer_addr().expect("its address");
+        let from = stream.peer_addr().expect("no peer address");
         let before = last.lock().unwrap().remove(&from);
         let fresh = before.is_none_or(|at: std::time::Instant| at.elapsed().as_millis() < 60);
         let served = fresh && done(message, stream, "made");
@@ -72,7 +72,8 @@
                 .status()
                 == 502,
         );
-        std::thread::sleep(std::time::Duration::from_millis(120)); // idle on purpose
+        // Longer than the worker keeps an idle connection.
+        std::thread::sleep(std::time::Duration::from_millis(120));
     }
     assert!((1..=3).contains(&failed), "{failed} of 30");
 }
@@ -90,10 +91,12 @@
     discovery.set("s-1", "draining");
     until("the update", || program.log().contains("1 workers ready"));
     let notified = std::time::Instant::now();
-    until("its end", || connections(workers[0].address, "01") == 0);
+    until("the close of its connections", || {
+        connections(workers[0].address, "01") == 0
+    });
     assert!(
         notified.elapsed().as_millis() < 2_000,
-        "a drained worker's connections are retained as long as others"
+        "a drained worker's connections were kept as long as others"
     );
     let before = workers[0].count();
     assert_all_served(&program, "id", 0..10);
@@ -105,33 +108,34 @@
     assert_eq!(
         answer.status(),
         503,
-        "with nobody to send to, the client is asked to come again"
+        "without a ready worker the client is told to retry"
     );
     let wait: f64 = answer
         .field("retry-after")
-        .expect("when")
+        .expect("no Retry-After field")
         .parse()
-        .expect("seconds");
+        .expect("not a number");
     assert!(wait > 0.0 && wait <= 2.0);
 }
 
 #[test]
 fn moved_worker_is_used_at_its_new_address_only() {
-    let (before, open) = gated_worker("before");
+    let (before, release) = gated_worker("before");
     let after = good();
     let discovery = Discovery::new(&[("s-1", before.address)]);
     let program = Program::start(&discovery);
     let mut client = program.connect();
     client
         .write_all(request("transfer", "id-1").as_bytes())
-        .expect("written");
+        .expect("failed to write");
     until("the attempt", || before.count() == 1);
     discovery.move_to("s-1", after.address);
     until("the update", || program.log().matches("list ").count() >= 2);
-    open.send(()).expect("released"); // its connection comes free only now, and is not kept
+    // Frees the connection to the old address, which must not be kept.
+    release.send(()).expect("failed to release the worker");
     assert_eq!(
         Message::read(&mut BufReader::new(client))
-            .expect("an answer")
+            .expect("no answer")
             .body,
         b"before"
     );
@@ -144,7 +148,7 @@
     assert_eq!(before.count(), 1);
 }
 
-/// Guards against a first byte to a worker that was notified to drain while the connection to it came up.
+/// No byte may be written to a worker that was drained or excluded while the connection to it was being established.
 #[test]
 fn worker_drained_or_excluded_during_dial_gets_nothing() {
     assert_gets_nothing("0 workers ready", |discovery, _| {
@@ -155,8 +159,8 @@
     });
 }
 
-fn assert_gets_nothing(event: &str, ends: impl Fn(&Discovery, &Program)) {
-    let (address, mut full) = unreachable_address();
+fn assert_gets_nothing(log_text: &str, remove: impl Fn(&Discovery, &Program)) {
+    let (address, mut sockets) = unreachable_address();
     let discovery = Discovery::new(&[("s-1", address)]);
     let edits = [
         (
@@ -170,15 +174,15 @@
     let (before, mut client) = (dials(), program.connect());
     client
         .write_all(request("transfer", "id-1").as_bytes())
-        .expect("written");
-    until("the dial", || dials() > before);
-    ends(&discovery, &program);
-    until("the update", || program.log().contains(event));
-    // There is capacity now: its next try comes up.
-    let listener = full.remove(0);
-    full.clear();
+        .expect("failed to write");
+    until("the connection attempt", || dials() > before);
+    remove(&discovery, &program);
+    until("the update", || program.log().contains(log_text));
+    // Frees the accept queue, so that the connection is established when the kernel retries it.
+    let listener = sockets.remove(0);
+    sockets.clear();
     let end = std::time::Instant::now() + PATIENCE;
-    listener.set_nonblocking(true).expect("set");
+    listener.set_nonblocking(true).expect("socket error");
     let mut accepted = Vec::new();
     let answer = std::thread::spawn(move || Message::read(&mut BufReader::new(client)));
     while !answer.is_finished() && std::time::Instant::now() < end {
@@ -188,8 +192,8 @@
     assert_eq!(
         answer
             .join()
-            .expect("no panic")
-            .expect("an answer")
+            .expect("the thread panicked")
+            .expect("no answer")
             .status(),
         503
     );
@@ -198,7 +202,7 @@
         assert_eq!(
             connection.recv(&mut bytes).unwrap_or(0),
             0,
-            "something was sent to who drains"
+            "bytes were sent to a drained or excluded worker"
         );
     }
     program.signal("-TERM");
