--- a/crates/core/src/state/start_times.rs
+++ b/crates/core/src/state/start_times.rs
@@ -70,8 +70,8 @@
     /// The starts in the first list are translated by the wall clock. A start that first appears later must
     /// have happened since the list before. Of its translations by the wall clock and by the newest start in
     /// any list, the later one counts; if that is before the previous list, the clocks are inconsistent and
-    /// the worker counts as started now. No translation is in the future, so that a worker counts as cold for at
-    /// most one ramp from now.
+    /// the worker counts as started now. No translation is in the future, so that a worker counts as cold for
+    /// at most one ramp from now.
     pub(crate) fn translate(&mut self, now: Instant, worker: WorkerId, start: Instant) -> Instant {
         if let Some(resumed) = self
             .resumed
