--- a/crates/core/src/scheduler/admission.rs
+++ b/crates/core/src/scheduler/admission.rs
@@ -64,7 +64,7 @@
             return false;
         };
         let rate = share / f64::from(self.settings.schedulers);
-        self.tenant_shares.is_exceeded(tenant, rate, self.now)
+        self.tenant_shares.count_request(tenant, rate, self.now)
     }
 
     /// Sets the deadline, latency objective, dispatch deadline and size of a request.
--- a/crates/core/src/scheduler/load_estimate.rs
+++ b/crates/core/src/scheduler/load_estimate.rs
@@ -93,7 +93,7 @@
         let Some(free) = report.free_slots.filter(|x| x.is_finite()) else {
             return;
         };
-        if self.is_repeated_report(w, &report) && self.settings.reports == Reports::Answers {
+        if self.record_report(w, &report) && self.settings.reports == Reports::Answers {
             return; // no new sample
         }
         let lag = self.reports.lag(self.settings.reports);
--- a/crates/core/src/state/tenant_shares.rs
+++ b/crates/core/src/state/tenant_shares.rs
@@ -25,7 +25,7 @@
 impl TenantShares {
     /// Counts a request of a tenant whose share is `rate` requests per second. Bursts of up to one second's
     /// requests are within the share. Returns whether the request exceeds it.
-    pub(crate) fn is_exceeded(&mut self, tenant: usize, rate: f64, now: Instant) -> bool {
+    pub(crate) fn count_request(&mut self, tenant: usize, rate: f64, now: Instant) -> bool {
         let burst = rate.max(MIN_BURST);
         let bucket = self.buckets.entry(tenant).or_insert(TokenBucket {
             tokens: burst,
--- a/crates/core/src/tests/tenant_shares.rs
+++ b/crates/core/src/tests/tenant_shares.rs
@@ -14,7 +14,7 @@
     requests: usize,
 ) -> usize {
     let now = Instant::from_micros(now);
-    let counted = (0..requests).filter(|_| !shares.is_exceeded(tenant, rate, now));
+    let counted = (0..requests).filter(|_| !shares.count_request(tenant, rate, now));
     counted.count()
 }
 
