--- a/crates/core/src/scheduler/attempts.rs
+++ b/crates/core/src/scheduler/attempts.rs
@@ -101,7 +101,9 @@
         health.errors = 0;
         health.declined = 0;
         self.observe_worker(ended.worker);
-        let ran = self.since(ended.started.unwrap_or(ended.sent)).max(1.0);
+        let ran = self
+            .micros_since(ended.started.unwrap_or(ended.sent))
+            .max(1.0);
         self.observe_run(ended.class, ended.worker, ran, ended.size);
         let work = WorkDone {
             measured: ended.slots * ran,
@@ -129,7 +131,7 @@
     fn on_declined(&mut self, ended: &EndedAttempt) {
         let w = ended.worker;
         // The worker is draining, which the endpoint list may not show yet.
-        let is_late = self.since(ended.sent) > LATE_DECLINE_SHARE * self.slack(ended.class);
+        let is_late = self.micros_since(ended.sent) > LATE_DECLINE_SHARE * self.slack(ended.class);
         if !self.workers[w].listing.is_active || is_late {
             return self.back_off_worker(w);
         }
--- a/crates/core/src/scheduler/failure_detection.rs
+++ b/crates/core/src/scheduler/failure_detection.rs
@@ -176,7 +176,7 @@
         } else {
             RUNNING_RESPONSE_TIMEOUT_RUNS
         };
-        self.since(worker.health.unobserved_since) > timeout * self.mean_run
+        self.micros_since(worker.health.unobserved_since) > timeout * self.mean_run
     }
 
     /// Counts attempts that should have started by now as late starts. Otherwise a queue would be
@@ -191,7 +191,7 @@
             }
             let slots = request.slots;
             let record = &request.attempts[attempt.number];
-            let waited = self.since(record.sent);
+            let waited = self.micros_since(record.sent);
             let is_overdue = record.started.is_none()
                 && waited > LATE_START_SHARE * self.slack(request.class)
                 && self.mark_late(attempt);
--- a/crates/core/src/scheduler/load_estimate.rs
+++ b/crates/core/src/scheduler/load_estimate.rs
@@ -118,7 +118,7 @@
         self.workers[w]
             .load
             .observed_at
-            .map_or(0.0, |at| (-self.since(at) / self.mean_run).exp())
+            .map_or(0.0, |at| (-self.micros_since(at) / self.mean_run).exp())
     }
 
     /// The expected free slots of a worker: those last observed, discounted with age towards the
--- a/crates/core/src/scheduler/probing.rs
+++ b/crates/core/src/scheduler/probing.rs
@@ -33,7 +33,7 @@
         let latest_answer =
             self.now.as_micros() as f64 + QUEUED_START_SHARE * self.slack(request.class);
         let is_late = latest_answer >= request.dispatch_deadline.as_micros() as f64;
-        let is_known = self.since(self.workers[w].wait.observed_at) <= self.mean_run;
+        let is_known = self.micros_since(self.workers[w].wait.observed_at) <= self.mean_run;
         self.settings.may_probe && request.probe.is_none() && !is_late && !is_known
     }
 
@@ -45,7 +45,8 @@
             return false;
         };
         let is_answered = self.workers[probe.worker].health.probed_at >= probe.sent;
-        !is_answered && self.since(probe.sent) < QUEUED_START_SHARE * self.slack(request.class)
+        !is_answered
+            && self.micros_since(probe.sent) < QUEUED_START_SHARE * self.slack(request.class)
     }
 
     /// Handles the answer to a probe, or its failure.
--- a/crates/core/src/scheduler/waits.rs
+++ b/crates/core/src/scheduler/waits.rs
@@ -40,7 +40,7 @@
     /// number of workers that this scheduler's jobs are spread over.
     pub(super) fn wait_freshness(&self, observed_at: Instant, workers: usize) -> f64 {
         let contact_gap = (workers as f64 / self.rates.arrivals.last).min(MAX_CONTACT_GAP_MICROS);
-        (-self.since(observed_at) / (WAIT_LIFETIME_RUNS * self.mean_run + contact_gap)).exp()
+        (-self.micros_since(observed_at) / (WAIT_LIFETIME_RUNS * self.mean_run + contact_gap)).exp()
     }
 
     /// The penalty of a worker for recent waits, in slots. The wait in its zone is used to the
--- a/crates/core/src/scheduler/worker_selection.rs
+++ b/crates/core/src/scheduler/worker_selection.rs
@@ -200,7 +200,8 @@
         let at_worker = &worker.in_flight;
         at_worker.unstarted > 0
             && at_worker.excluded_slots == 0.0
-            && self.since(at_worker.last_sent) > QUEUED_START_SHARE * self.slack(request.class)
+            && self.micros_since(at_worker.last_sent)
+                > QUEUED_START_SHARE * self.slack(request.class)
     }
 }
 
--- a/crates/core/src/state/list.rs
+++ b/crates/core/src/state/list.rs
@@ -130,11 +130,11 @@
     /// warm.
     pub(crate) fn warm_up_progress(&self, w: WorkerIndex) -> f64 {
         let (settings, since) = (&self.settings, self.workers[w].listing.started_at);
-        if since == Instant::ZERO || self.since(since) >= settings.ramp.as_micros_f64() {
+        if since == Instant::ZERO || self.micros_since(since) >= settings.ramp.as_micros_f64() {
             return 1.0;
         }
         settings.cold_share
-            + (1.0 - settings.cold_share) * self.since(since) / settings.ramp.as_micros_f64()
+            + (1.0 - settings.cold_share) * self.micros_since(since) / settings.ramp.as_micros_f64()
     }
 
     /// Whether a worker is known. Active workers always are.
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -91,7 +91,7 @@
     }
 
     /// The time elapsed since `at`, in microseconds; 0 if `at` is in the future.
-    pub(crate) fn since(&self, at: Instant) -> f64 {
+    pub(crate) fn micros_since(&self, at: Instant) -> f64 {
         self.now.saturating_since(at).as_micros_f64()
     }
 
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -176,7 +176,7 @@
     /// Stores a worker's report and updates the statistics of report changes. Returns whether the
     /// report equals the worker's previous one.
     pub(crate) fn record_report(&mut self, w: WorkerIndex, report: &Report) -> bool {
-        let gap = self.since(self.workers[w].load.reported_at);
+        let gap = self.micros_since(self.workers[w].load.reported_at);
         let load = &mut self.workers[w].load;
         let is_same = load.report == *report;
         if load.reported_at > Instant::ZERO && gap < self.mean_run {
