--- a/crates/core/src/scheduler/discovery_polling.rs
+++ b/crates/core/src/scheduler/discovery_polling.rs
@@ -124,7 +124,7 @@
                 worker.listing.is_active = false;
             }
         }
-        self.enter_all(kind, rows);
+        self.apply_rows(kind, rows);
         self.refill_pools();
         self.concurrency_limit
             .initialize(self.pools.live.len(), self.settings.schedulers);
--- a/crates/core/src/scheduler/slow_start.rs
+++ b/crates/core/src/scheduler/slow_start.rs
@@ -64,7 +64,7 @@
     /// scaled by the slowest permitted ramp. If all do so, the sum stays below `fall_multiple`
     /// times the capacity of the worker. Throughput counts completed work only, because waiting
     /// jobs are no capacity. If the budget is below one job per span, the random initial debt set
-    /// in `enter_all` decides which scheduler sends one.
+    /// in `apply_rows` decides which scheduler sends one.
     pub(super) fn slow_start_allows(&mut self, w: WorkerIndex) -> bool {
         let capacity_share = self.warm_up_progress(w);
         if capacity_share >= 1.0 {
--- a/crates/core/src/state/list.rs
+++ b/crates/core/src/state/list.rs
@@ -59,7 +59,7 @@
     /// Applies the rows of a list. The slow-start budget of a worker that has restarted or become usable
     /// again begins with a random debt of up to the mean cost of one job, so that not all schedulers send
     /// their first job to it at once.
-    pub(crate) fn enter_all(&mut self, kind: ListKind, rows: &[Row]) {
+    pub(crate) fn apply_rows(&mut self, kind: ListKind, rows: &[Row]) {
         for row in rows.iter().filter(|row| row.online_since > 0) {
             let start = Instant::from_micros(row.online_since);
             self.start_times.observe_start(self.now, start);
