--- a/crates/core/src/scheduler/failure_detection.rs
+++ b/crates/core/src/scheduler/failure_detection.rs
@@ -8,7 +8,7 @@
 use super::attempts::LATE_START_SHARE;
 use crate::interface::WorkerId;
 use crate::scheduler::Scheduler;
-use crate::state::{Moves, WorkerIndex};
+use crate::state::{IndexRemap, WorkerIndex};
 use crate::time::{Instant, Span};
 
 /// Time without an observation after which a worker with unstarted jobs is unresponsive, in mean
@@ -110,7 +110,7 @@
     }
 
     /// Removes workers that are no longer known and updates the indices of the others.
-    pub(crate) fn retain(&mut self, moves: &Moves) {
+    pub(crate) fn retain(&mut self, moves: &IndexRemap) {
         self.queue
             .retain_mut(|watched| moves.apply(&mut watched.worker));
     }
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -35,7 +35,7 @@
 pub(crate) use start_times::{StartTimes, WorkerStart};
 pub(crate) use tenant_shares::TenantShares;
 pub(crate) use worker::{AttemptId, Wait, Worker};
-pub(crate) use worker_table::{Moves, Retained, WorkerIndex, WorkerTable};
+pub(crate) use worker_table::{IndexRemap, Retained, WorkerIndex, WorkerTable};
 pub(crate) use zone::Zone;
 
 impl Scheduler {
--- a/crates/core/src/state/worker_table.rs
+++ b/crates/core/src/state/worker_table.rs
@@ -1,7 +1,7 @@
 //! The table of all known workers, whether or not they are still in the endpoint list.
 //!
 //! The rest of the scheduler refers to a worker by its [`WorkerIndex`]. When workers are removed, the indices
-//! of the others change, and every stored index must be updated with [`Moves`].
+//! of the others change, and every stored index must be updated with [`IndexRemap`].
 
 use std::ops::{Index, IndexMut};
 
@@ -68,8 +68,8 @@
     }
 
     /// Removes the workers that are not in `retained` and closes the gaps. Returns the new indices.
-    pub(crate) fn retain(&mut self, retained: &Retained) -> Moves {
-        let mut moves = Moves {
+    pub(crate) fn retain(&mut self, retained: &Retained) -> IndexRemap {
+        let mut moves = IndexRemap {
             new_indices: vec![None; retained.flags.len()],
         };
         let workers = std::mem::take(&mut self.workers);
@@ -118,11 +118,11 @@
 }
 
 /// Maps the indices from before a [`WorkerTable::retain`] to those after it.
-pub(crate) struct Moves {
+pub(crate) struct IndexRemap {
     new_indices: Vec<Option<WorkerIndex>>,
 }
 
-impl Moves {
+impl IndexRemap {
     /// Replaces an index by the worker's new one. Returns whether the worker is still known.
     pub(crate) fn apply(&self, index: &mut WorkerIndex) -> bool {
         let new_index = self.new_indices[index.as_usize()];
