--- a/crates/core/src/scheduler/attempts.rs
+++ b/crates/core/src/scheduler/attempts.rs
@@ -109,10 +109,10 @@
             measured: ended.slots * ran,
             estimated: ended.slots * ended.size * self.classes[ended.class].run,
         };
-        self.update_warmth();
-        let warmth = self.pools.warmth;
+        self.update_warm_capacity();
+        let warm_capacity = self.pools.warm_capacity;
         self.rates
-            .count_work(self.now, self.mean_run, &work, warmth);
+            .count_work(self.now, self.mean_run, &work, warm_capacity);
         if !self.settings.reports_start {
             self.increase_limit(ended.slots);
         }
--- a/crates/core/src/state/pool.rs
+++ b/crates/core/src/state/pool.rs
@@ -135,7 +135,7 @@
     /// The mean size of the live workers.
     pub mean_size: f64,
     /// The capacity of the live workers in units of a warm worker: the sum of their warm-up progress.
-    pub warmth: f64,
+    pub warm_capacity: f64,
     /// When the sizes were last rescaled.
     rescaled_at: Instant,
 }
@@ -147,7 +147,7 @@
             own_zone: Pool::default(),
             by_kind: FxHashMap::default(),
             mean_size: 1.0,
-            warmth: 0.0,
+            warm_capacity: 0.0,
             rescaled_at: Instant::ZERO,
         }
     }
@@ -164,7 +164,7 @@
         for pool in self.all() {
             pool.clear();
         }
-        self.warmth = 0.0;
+        self.warm_capacity = 0.0;
     }
 
     /// Drops the pools and groups of machine kinds without workers.
@@ -207,7 +207,7 @@
             if listing.zone == self.settings.own_zone() {
                 pools.own_zone.push(w, kind, size);
             }
-            pools.warmth += self.warm_up_progress(w);
+            pools.warm_capacity += self.warm_up_progress(w);
         }
         pools.drop_empty();
         pools.rescale(self.now, |w| self.raw_size(w));
@@ -225,11 +225,11 @@
     }
 
     /// Recomputes the capacity of the live workers while some of them warm up.
-    pub(crate) fn update_warmth(&mut self) {
+    pub(crate) fn update_warm_capacity(&mut self) {
         let live = &self.pools.live;
-        if self.pools.warmth < live.len() as f64 {
+        if self.pools.warm_capacity < live.len() as f64 {
             let progress = live.workers.iter().map(|&w| self.warm_up_progress(w));
-            self.pools.warmth = progress.sum();
+            self.pools.warm_capacity = progress.sum();
         }
     }
 }
--- a/crates/core/src/state/rates.rs
+++ b/crates/core/src/state/rates.rs
@@ -100,13 +100,19 @@
             .add(now, 1.0, DEPARTURE_WINDOW_RUNS * mean_run);
     }
 
-    /// Counts completed work. `warmth` is the capacity of the live workers in units of a warm worker. The
-    /// work is divided by it on completion and not when the rate is read: when half of a fleet is replaced,
-    /// the remaining workers do no more than before.
-    pub(crate) fn count_work(&mut self, now: Instant, mean_run: f64, work: &WorkDone, warmth: f64) {
+    /// Counts completed work. `warm_capacity` is the capacity of the live workers in units of a warm worker.
+    /// The work is divided by it on completion and not when the rate is read: when half of a fleet is
+    /// replaced, the remaining workers do no more than before.
+    pub(crate) fn count_work(
+        &mut self,
+        now: Instant,
+        mean_run: f64,
+        work: &WorkDone,
+        warm_capacity: f64,
+    ) {
         let window = ARRIVAL_WINDOW_RUNS * mean_run;
         self.work.add(now, work.measured, window);
-        let per_worker = work.estimated / warmth.max(1.0);
+        let per_worker = work.estimated / warm_capacity.max(1.0);
         self.work_per_warm_worker.add(now, per_worker, window);
     }
 
