--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -198,7 +198,7 @@
     pub fn dispatch(&mut self, now: Micros, actions: &mut Vec<Action>) {
         self.now = Instant::from_micros(now);
         self.detect_unresponsive();
-        self.reweigh_pools();
+        self.rescale_pools();
         self.requeue_backed_off();
         self.reject_expired();
         self.dispatch_queued();
--- a/crates/core/src/state/pool.rs
+++ b/crates/core/src/state/pool.rs
@@ -216,7 +216,7 @@
 
     /// Rescales the pools once per mean running time to follow the estimates for machine kinds. Workers that
     /// warm up keep their full size: their slow-start budgets limit what they get.
-    pub(crate) fn reweigh_pools(&mut self) {
+    pub(crate) fn rescale_pools(&mut self) {
         if self.micros_since(self.pools.rescaled_at) > self.mean_run {
             let mut pools = std::mem::take(&mut self.pools);
             pools.rescale(self.now, |w| self.raw_size(w));
