--- a/crates/core/src/scheduler/failure_detection.rs
+++ b/crates/core/src/scheduler/failure_detection.rs
@@ -156,7 +156,7 @@
     /// limit.
     pub(super) fn detect_unresponsive(&mut self) {
         while let Some(w) = self.next_due_for_check(self.mean_run / 2.0) {
-            self.lose_without_progress(w);
+            self.mark_stalled_as_lost(w);
             self.count_overdue_starts(w);
             if self.is_unresponsive(w) {
                 // Its jobs would otherwise hold slots of the limit until their deadlines.
--- a/crates/core/src/state/attempts.rs
+++ b/crates/core/src/state/attempts.rs
@@ -226,7 +226,7 @@
 
     /// Marks attempts as lost whose jobs have missed two progress reports: such a job has stopped running, or
     /// its connection no longer delivers anything.
-    pub(crate) fn lose_without_progress(&mut self, w: WorkerIndex) {
+    pub(crate) fn mark_stalled_as_lost(&mut self, w: WorkerIndex) {
         if self.settings.progress_every == Span::ZERO {
             return;
         }
