--- a/crates/core/src/facade/mod.rs
+++ b/crates/core/src/facade/mod.rs
@@ -239,7 +239,7 @@
         }
         self.actions = actions;
         let wake_at = self.wake_at.unwrap_or(Micros::MAX);
-        let is_set = wake_at == self.scheduler.wake_wanted().as_micros();
+        let is_set = wake_at == self.scheduler.timer_due_at().as_micros();
         self.check_invariant(is_set, "timer differs from the scheduler's");
     }
 
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -86,7 +86,7 @@
     }
 
     /// When the timer is due, or [`Instant::MAX`] if none is set.
-    pub(crate) fn wake_wanted(&self) -> Instant {
+    pub(crate) fn timer_due_at(&self) -> Instant {
         self.wake_at
     }
 
