--- a/crates/core/src/scheduler/worker_selection.rs
+++ b/crates/core/src/scheduler/worker_selection.rs
@@ -147,7 +147,7 @@
             None => &self.pools.live,
         };
         match criteria.home {
-            Some(home) if !self.ring.is_empty() => Some(self.ring.worker_behind(home, draw)),
+            Some(home) if !self.ring.is_empty() => Some(self.ring.worker_after(home, draw)),
             _ => pool.draw(&mut self.rng),
         }
     }
--- a/crates/core/src/state/ring.rs
+++ b/crates/core/src/state/ring.rs
@@ -41,7 +41,7 @@
     }
 
     /// The worker `offset` points after a home, wrapping around at the end of the ring.
-    pub(crate) fn worker_behind(&self, home: usize, offset: usize) -> WorkerIndex {
+    pub(crate) fn worker_after(&self, home: usize, offset: usize) -> WorkerIndex {
         self.points[(home + offset) % self.points.len()].worker
     }
 
--- a/crates/core/src/tests/ring.rs
+++ b/crates/core/src/tests/ring.rs
@@ -11,7 +11,7 @@
 /// The first worker for each of a thousand keys.
 fn first_workers(ring: &HashRing) -> Vec<WorkerIndex> {
     let keys = 0..1_000;
-    keys.map(|key| ring.worker_behind(ring.home(key), 0))
+    keys.map(|key| ring.worker_after(ring.home(key), 0))
         .collect()
 }
 
