--- a/crates/core/src/scheduler/admission.rs
+++ b/crates/core/src/scheduler/admission.rs
@@ -82,7 +82,7 @@
         // is used.
         request.size = request
             .hint
-            .map_or(1.0, |hint| estimate.size(hint, LEARNING_RATE));
+            .map_or(1.0, |hint| estimate.observe_hint(hint, LEARNING_RATE));
         let work = request.hint.unwrap_or(estimate.work);
         let run = estimate.run * request.size;
         request.latency_objective = (first_try + class.latency_objective)
--- a/crates/core/src/state/classes.rs
+++ b/crates/core/src/state/classes.rs
@@ -98,7 +98,7 @@
 
     /// Adds a hint to the mean of the hints with a weight, and returns its ratio to that mean, from 0.1 to
     /// 10.
-    pub(crate) fn size(&mut self, hint: f64, weight: f64) -> f64 {
+    pub(crate) fn observe_hint(&mut self, hint: f64, weight: f64) -> f64 {
         self.hinted += (hint - self.hinted) * if self.hinted > 0.0 { weight } else { 1.0 };
         (hint / self.hinted.max(1.0)).clamp(0.1, 10.0)
     }
