--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -251,7 +251,7 @@
     fn of(&self, class: &Class) -> Tier {
         let rank = Rank::of(class);
         let above = self.ranks.iter().position(|r| *r == rank);
-        Tier::below(above.unwrap_or(0))
+        Tier::from_top(above.unwrap_or(0))
     }
 }
 
--- a/crates/core/src/state/queues.rs
+++ b/crates/core/src/state/queues.rs
@@ -36,7 +36,7 @@
 
 impl Tier {
     /// The tier that has `tiers` tiers above it.
-    pub(crate) fn below(tiers: usize) -> Self {
+    pub(crate) fn from_top(tiers: usize) -> Self {
         Tier(tiers)
     }
 }
--- a/crates/core/src/tests/queues.rs
+++ b/crates/core/src/tests/queues.rs
@@ -17,7 +17,7 @@
 
 #[test]
 fn requests_of_a_tier_are_ordered_by_dispatch_deadline_then_id() {
-    let top = Tier::below(0);
+    let top = Tier::from_top(0);
     let mut queues = TierQueues::new(1);
     for entry in [queued(20, 1), queued(10, 3), queued(10, 2)] {
         queues.insert(top, entry);
@@ -33,17 +33,17 @@
 
 #[test]
 fn request_expires_at_its_dispatch_deadline() {
-    let top = Tier::below(0);
+    let top = Tier::from_top(0);
     let mut queues = TierQueues::new(2);
     queues.insert(top, queued(10, 1));
     assert_eq!(queues.first_expired(top, at(9)), None);
     assert_eq!(queues.first_expired(top, at(10)), Some(queued(10, 1)));
-    assert_eq!(queues.first_expired(Tier::below(1), at(10)), None);
+    assert_eq!(queues.first_expired(Tier::from_top(1), at(10)), None);
 }
 
 #[test]
 fn requests_above_the_lowest_tier_are_counted_separately() {
-    let (top, lowest) = (Tier::below(0), Tier::below(1));
+    let (top, lowest) = (Tier::from_top(0), Tier::from_top(1));
     let mut queues = TierQueues::new(2);
     queues.insert(top, queued(30, 1));
     queues.insert(lowest, queued(20, 2));
@@ -58,7 +58,7 @@
 #[test]
 fn tiers_for_requests_beyond_shares_are_below_all_others() {
     let queues = TierQueues::new(4);
-    assert_eq!(queues.beyond_share(Tier::below(0)), Tier::below(2));
-    assert_eq!(queues.beyond_share(Tier::below(1)), Tier::below(3));
-    assert!(queues.is_lowest(Tier::below(3)) && !queues.is_lowest(Tier::below(1)));
+    assert_eq!(queues.beyond_share(Tier::from_top(0)), Tier::from_top(2));
+    assert_eq!(queues.beyond_share(Tier::from_top(1)), Tier::from_top(3));
+    assert!(queues.is_lowest(Tier::from_top(3)) && !queues.is_lowest(Tier::from_top(1)));
 }
