--- a/crates/core/src/scheduler/attempts.rs
+++ b/crates/core/src/scheduler/attempts.rs
@@ -7,7 +7,7 @@
 use super::load_estimate::QUEUED_START_SHARE;
 use crate::interface::{Action, Ending, Report, RequestId};
 use crate::scheduler::Scheduler;
-use crate::state::{AttemptId, EndedAttempt, WorkDone, WorkerIndex};
+use crate::state::{AttemptId, CompletedWork, EndedAttempt, WorkerIndex};
 use crate::time::Instant;
 
 /// A job declined after more than this share of its class's slack had already been accepted by the
@@ -105,7 +105,7 @@
             .micros_since(ended.started.unwrap_or(ended.sent))
             .max(1.0);
         self.observe_run(ended.class, ended.worker, ran, ended.size);
-        let work = WorkDone {
+        let work = CompletedWork {
             measured: ended.slots * ran,
             estimated: ended.slots * ended.size * self.classes[ended.class].run,
         };
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -28,7 +28,7 @@
 pub(crate) use list::BoundGroup;
 pub(crate) use pool::WorkerPools;
 pub(crate) use queues::{QueuedRequest, Tier, TierQueues};
-pub(crate) use rates::{Rates, WorkDone};
+pub(crate) use rates::{CompletedWork, Rates};
 use request::Attempt;
 pub(crate) use request::{EndedAttempt, Request, RequestProbe};
 pub(crate) use ring::HashRing;
--- a/crates/core/src/state/rates.rs
+++ b/crates/core/src/state/rates.rs
@@ -65,7 +65,7 @@
 }
 
 /// Completed work, in slot-microseconds.
-pub(crate) struct WorkDone {
+pub(crate) struct CompletedWork {
     /// From the measured running time.
     pub measured: f64,
     /// From the estimated running time of the job's class. Costs charged to slow-start budgets are estimated
@@ -107,7 +107,7 @@
         &mut self,
         now: Instant,
         mean_run: f64,
-        work: &WorkDone,
+        work: &CompletedWork,
         warm_capacity: f64,
     ) {
         let window = ARRIVAL_WINDOW_RUNS * mean_run;
--- a/crates/core/src/tests/rates.rs
+++ b/crates/core/src/tests/rates.rs
@@ -1,6 +1,6 @@
 //! Tests of the rates of arrivals and completed work.
 
-use crate::state::{Rates, WorkDone};
+use crate::state::{CompletedWork, Rates};
 use crate::time::Instant;
 
 /// The mean running time in these tests, in microseconds.
@@ -42,7 +42,7 @@
 #[test]
 fn utilisation_decays_when_no_work_is_completed() {
     let mut rates = Rates::default();
-    let work = WorkDone {
+    let work = CompletedWork {
         measured: MEAN_RUN,
         estimated: MEAN_RUN,
     };
