--- a/crates/core/src/facade/hot_restart.rs
+++ b/crates/core/src/facade/hot_restart.rs
@@ -17,7 +17,7 @@
     /// Sets how many processes of this scheduler are alive, including this one. Each uses its share of the
     /// scheduler's limits.
     pub fn share(&mut self, processes: usize) {
-        self.scheduler.share(processes);
+        self.scheduler.set_process_count(processes);
     }
 
     /// Returns the estimates and backoffs for the successor.
--- a/crates/core/src/state/hot_restart.rs
+++ b/crates/core/src/state/hot_restart.rs
@@ -11,7 +11,7 @@
 
 impl Scheduler {
     /// Sets how many processes of this scheduler are running, this one included.
-    pub fn share(&mut self, processes: usize) {
+    pub fn set_process_count(&mut self, processes: usize) {
         self.sharing_processes = processes.saturating_sub(1);
     }
 
--- a/crates/core/tests/mechanism/slow_start_fleet.rs
+++ b/crates/core/tests/mechanism/slow_start_fleet.rs
@@ -110,7 +110,7 @@
             ..self.plan.settings.clone()
         };
         let mut new = Scheduler::new(settings, self.rng.u64(..)).expect("usable");
-        new.share(self.plan.processes);
+        new.set_process_count(self.plan.processes);
         new
     }
 
