--- a/crates/core/src/scheduler/attempts.rs
+++ b/crates/core/src/scheduler/attempts.rs
@@ -7,7 +7,7 @@
 use super::load_estimate::QUEUED_START_SHARE;
 use crate::interface::{Action, Ending, Report, RequestId};
 use crate::scheduler::Scheduler;
-use crate::state::{AttemptId, EndedAttempt, WorkDone, WorkerIndex};
+use crate::state::{AttemptId, CompletedWork, EndedAttempt, WorkerIndex};
 use crate::time::Instant;
 
 /// A job declined after more than this share of its class's slack had already been accepted by the
@@ -101,16 +101,18 @@
         health.errors = 0;
         health.declined = 0;
         self.observe_worker(ended.worker);
-        let ran = self.since(ended.started.unwrap_or(ended.sent)).max(1.0);
+        let ran = self
+            .micros_since(ended.started.unwrap_or(ended.sent))
+            .max(1.0);
         self.observe_run(ended.class, ended.worker, ran, ended.size);
-        let work = WorkDone {
+        let work = CompletedWork {
             measured: ended.slots * ran,
             estimated: ended.slots * ended.size * self.classes[ended.class].run,
         };
-        self.update_warmth();
-        let warmth = self.pools.warmth;
+        self.update_warm_capacity();
+        let warm_capacity = self.pools.warm_capacity;
         self.rates
-            .count_work(self.now, self.mean_run, &work, warmth);
+            .count_work(self.now, self.mean_run, &work, warm_capacity);
         if !self.settings.reports_start {
             self.increase_limit(ended.slots);
         }
@@ -129,7 +131,7 @@
     fn on_declined(&mut self, ended: &EndedAttempt) {
         let w = ended.worker;
         // The worker is draining, which the endpoint list may not show yet.
-        let is_late = self.since(ended.sent) > LATE_DECLINE_SHARE * self.slack(ended.class);
+        let is_late = self.micros_since(ended.sent) > LATE_DECLINE_SHARE * self.slack(ended.class);
         if !self.workers[w].listing.is_active || is_late {
             return self.back_off_worker(w);
         }
--- a/crates/core/src/scheduler/load_estimate.rs
+++ b/crates/core/src/scheduler/load_estimate.rs
@@ -93,7 +93,7 @@
         let Some(free) = report.free_slots.filter(|x| x.is_finite()) else {
             return;
         };
-        if self.is_repeated_report(w, &report) && self.settings.reports == Reports::Answers {
+        if self.record_report(w, &report) && self.settings.reports == Reports::Answers {
             return; // no new sample
         }
         let lag = self.reports.lag(self.settings.reports);
@@ -118,7 +118,7 @@
         self.workers[w]
             .load
             .observed_at
-            .map_or(0.0, |at| (-self.since(at) / self.mean_run).exp())
+            .map_or(0.0, |at| (-self.micros_since(at) / self.mean_run).exp())
     }
 
     /// The expected free slots of a worker: those last observed, discounted with age towards the
--- a/crates/core/src/state/list.rs
+++ b/crates/core/src/state/list.rs
@@ -59,7 +59,7 @@
     /// Applies the rows of a list. The slow-start budget of a worker that has restarted or become usable
     /// again begins with a random debt of up to the mean cost of one job, so that not all schedulers send
     /// their first job to it at once.
-    pub(crate) fn enter_all(&mut self, kind: ListKind, rows: &[Row]) {
+    pub(crate) fn apply_rows(&mut self, kind: ListKind, rows: &[Row]) {
         for row in rows.iter().filter(|row| row.online_since > 0) {
             let start = Instant::from_micros(row.online_since);
             self.start_times.observe_start(self.now, start);
@@ -130,11 +130,11 @@
     /// warm.
     pub(crate) fn warm_up_progress(&self, w: WorkerIndex) -> f64 {
         let (settings, since) = (&self.settings, self.workers[w].listing.started_at);
-        if since == Instant::ZERO || self.since(since) >= settings.ramp.as_micros_f64() {
+        if since == Instant::ZERO || self.micros_since(since) >= settings.ramp.as_micros_f64() {
             return 1.0;
         }
         settings.cold_share
-            + (1.0 - settings.cold_share) * self.since(since) / settings.ramp.as_micros_f64()
+            + (1.0 - settings.cold_share) * self.micros_since(since) / settings.ramp.as_micros_f64()
     }
 
     /// Whether a worker is known. Active workers always are.
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -28,14 +28,14 @@
 pub(crate) use list::BoundGroup;
 pub(crate) use pool::WorkerPools;
 pub(crate) use queues::{QueuedRequest, Tier, TierQueues};
-pub(crate) use rates::{Rates, WorkDone};
+pub(crate) use rates::{CompletedWork, Rates};
 use request::Attempt;
 pub(crate) use request::{EndedAttempt, Request, RequestProbe};
 pub(crate) use ring::HashRing;
 pub(crate) use start_times::{StartTimes, WorkerStart};
 pub(crate) use tenant_shares::TenantShares;
 pub(crate) use worker::{AttemptId, Wait, Worker};
-pub(crate) use worker_table::{Moves, Retained, WorkerIndex, WorkerTable};
+pub(crate) use worker_table::{IndexRemap, Retained, WorkerIndex, WorkerTable};
 pub(crate) use zone::Zone;
 
 impl Scheduler {
@@ -86,12 +86,12 @@
     }
 
     /// When the timer is due, or [`Instant::MAX`] if none is set.
-    pub(crate) fn wake_wanted(&self) -> Instant {
+    pub(crate) fn timer_due_at(&self) -> Instant {
         self.wake_at
     }
 
     /// The time elapsed since `at`, in microseconds; 0 if `at` is in the future.
-    pub(crate) fn since(&self, at: Instant) -> f64 {
+    pub(crate) fn micros_since(&self, at: Instant) -> f64 {
         self.now.saturating_since(at).as_micros_f64()
     }
 
