--- a/crates/server/src/net/discovery/mod.rs
+++ b/crates/server/src/net/discovery/mod.rs
@@ -67,7 +67,7 @@
     let number = known.generation;
     info!(
         number,
-        "endpoint list {number} (cached): {} entries, to be confirmed by discovery",
+        "endpoint list {number}: {} entries cached, to be confirmed",
         entries.len()
     );
 }
