--- a/crates/server/src/net/durable/observer.rs
+++ b/crates/server/src/net/durable/observer.rs
@@ -17,7 +17,7 @@
 pub(super) struct JobAttempt(pub(super) JobId, pub(super) u64);
 
 impl AttemptObserver for JobAttempt {
-    fn alive(self, net: &Net, started: bool) {
+    fn on_progress(self, net: &Net, started: bool) {
         let JobAttempt(id, token) = self;
         let Some(durable) = &net.durable else { return };
         let now = net.clock.now();
@@ -28,7 +28,7 @@
         durable.changed.notify_one();
     }
 
-    fn ended(self, net: &Rc<Net>, ending: Ending, result: Option<Bytes>, load: Option<Report>) {
+    fn on_ended(self, net: &Rc<Net>, ending: Ending, result: Option<Bytes>, load: Option<Report>) {
         let JobAttempt(id, token) = self;
         let Some(durable) = &net.durable else { return };
         // Removed without being stopped: its task still reads the rest of the response from the connection.
--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -154,7 +154,7 @@
 struct RequestAttempt(Handle, usize);
 
 impl AttemptObserver for RequestAttempt {
-    fn alive(self, net: &Net, started: bool) {
+    fn on_progress(self, net: &Net, started: bool) {
         let RequestAttempt(request, attempt) = self;
         net.report(if started {
             Seen::Started(request, attempt)
@@ -163,7 +163,7 @@
         });
     }
 
-    fn ended(self, net: &Rc<Net>, ending: Ending, _: Option<Bytes>, load: Option<Report>) {
+    fn on_ended(self, net: &Rc<Net>, ending: Ending, _: Option<Bytes>, load: Option<Report>) {
         let RequestAttempt(request, attempt) = self;
         net.report(Seen::Ended(request, attempt, ending, load));
     }
--- a/crates/server/src/net/workers/attempt.rs
+++ b/crates/server/src/net/workers/attempt.rs
@@ -90,10 +90,10 @@
 /// Is notified of the start, progress and end of an attempt. Implemented by those that start attempts.
 pub(crate) trait AttemptObserver {
     /// The worker reports that the job has started (`started`) or is still running.
-    fn alive(self, net: &Net, started: bool);
+    fn on_progress(self, net: &Net, started: bool);
 
     /// The attempt has ended. `load` is the load report that came with the answer.
-    fn ended(self, net: &Rc<Net>, ending: Ending, result: Option<Bytes>, load: Option<Report>);
+    fn on_ended(self, net: &Rc<Net>, ending: Ending, result: Option<Bytes>, load: Option<Report>);
 }
 
 /// The deadlines of an attempt.
@@ -167,7 +167,8 @@
         if let Some(bytes) = end.result.clone() {
             _ = result.send(bytes);
         }
-        self.observer.ended(&self.net, ending, end.result, end.load);
+        self.observer
+            .on_ended(&self.net, ending, end.result, end.load);
         let Dispatch {
             net, forwarded, to, ..
         } = self;
--- a/crates/server/src/net/workers/stream_reader.rs
+++ b/crates/server/src/net/workers/stream_reader.rs
@@ -28,7 +28,7 @@
                 match read_line(&self.net, &self.forwarded, &line, has_started) {
                     LineMeaning::Alive { started } => {
                         has_started = true;
-                        self.observer.alive(&self.net, started);
+                        self.observer.on_progress(&self.net, started);
                     }
                     LineMeaning::Unknown => {}
                     LineMeaning::Unusable => return Ending::Dropped.into(),
