--- a/crates/server/src/net/durable/fence.rs
+++ b/crates/server/src/net/durable/fence.rs
@@ -24,7 +24,7 @@
 /// Fences a job's attempts up to `token` at a worker; returns its reply, or `None` if no usable one came.
 pub(super) async fn fence(net: &Net, worker: &str, id: JobId, token: u64) -> Option<FenceReply> {
     let path = format!("/leases/{id}/fence");
-    let body = workers::consult(net, worker, &path, token, Bytes::new()).await?;
+    let body = workers::call_lease_endpoint(net, worker, &path, token, Bytes::new()).await?;
     let reply: FenceBody = serde_json::from_slice(&body).ok()?;
     if reply.id != id.to_string() {
         return None;
--- a/crates/server/src/net/durable/mod.rs
+++ b/crates/server/src/net/durable/mod.rs
@@ -273,7 +273,8 @@
                     until,
                     write_deadline,
                 };
-                let attempt = workers::start(net, &forwarded, observer, None, worker, times);
+                let attempt =
+                    workers::start_attempt(net, &forwarded, observer, None, worker, times);
                 self.attempts.borrow_mut().insert((id, token), attempt);
             }
             Effect::Fence {
--- a/crates/server/src/net/durable/run.rs
+++ b/crates/server/src/net/durable/run.rs
@@ -132,7 +132,13 @@
                         .iter()
                         .map(|(id, token)| format!("{id} {token}\n"))
                         .collect();
-                    let call = workers::consult(&net, &worker, "/leases/safe", 0, lines.into());
+                    let call = workers::call_lease_endpoint(
+                        &net,
+                        &worker,
+                        "/leases/safe",
+                        0,
+                        lines.into(),
+                    );
                     _ = tokio::time::timeout(FENCE_TIMEOUT, call).await;
                 }
             });
--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -179,7 +179,7 @@
     ) {
         let observer = RequestAttempt(self.request, self.attempts.len());
         let client = Some(connection.clone());
-        let attempt = workers::start(self.net, forwarded, observer, client, to, times);
+        let attempt = workers::start_attempt(self.net, forwarded, observer, client, to, times);
         self.attempts.push(attempt);
     }
 
--- a/crates/server/src/net/serve.rs
+++ b/crates/server/src/net/serve.rs
@@ -167,7 +167,7 @@
     } = signals;
     tokio::task::spawn_local(run_timer(net.clone()));
     tokio::task::spawn_local(discovery::run(net.clone(), inherited_list));
-    tokio::task::spawn_local(workers::sweep(net.clone()));
+    tokio::task::spawn_local(workers::close_expired_connections(net.clone()));
     tokio::task::spawn_local(log_counters(net.clone()));
     tokio::task::spawn_local(reload_on_signal(net.clone(), hangup));
     tokio::task::spawn_local(shut_down_on_signal(net.clone(), terminate, interrupt));
--- a/crates/server/src/net/workers/attempt.rs
+++ b/crates/server/src/net/workers/attempt.rs
@@ -119,7 +119,7 @@
 
 /// Starts an attempt at the worker `to` on a task of its own, which reports the end to `observer` even if the returned
 /// handle is dropped. If a `client` is given, nothing is written unless it is still connected at the first byte.
-pub(crate) fn start<W: AttemptObserver + Copy + 'static>(
+pub(crate) fn start_attempt<W: AttemptObserver + Copy + 'static>(
     net: &Rc<Net>,
     forwarded: &Rc<ForwardedRequest>,
     observer: W,
--- a/crates/server/src/net/workers/mod.rs
+++ b/crates/server/src/net/workers/mod.rs
@@ -34,10 +34,10 @@
 use link::{Socket, SocketSlot};
 use oakshed_core::facade::{Condition, Entry, Micros, Settings, Span};
 
-pub(crate) use attempt::{start, Attempt, AttemptObserver, AttemptTimes};
+pub(crate) use attempt::{start_attempt, Attempt, AttemptObserver, AttemptTimes};
 pub(crate) use client::ClientConnection;
 pub(crate) use link::{Link, LinkError};
-pub(crate) use probe::{consult, probe};
+pub(crate) use probe::{call_lease_endpoint, probe};
 
 /// The time limit for connecting if the settings have none.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -304,7 +304,7 @@
 }
 
 /// Closes expired idle connections at regular intervals, for as long as the process runs.
-pub(crate) async fn sweep(net: Rc<Net>) {
+pub(crate) async fn close_expired_connections(net: Rc<Net>) {
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
         net.workers.close_expired();
--- a/crates/server/src/net/workers/probe.rs
+++ b/crates/server/src/net/workers/probe.rs
@@ -1,6 +1,6 @@
 //! Calls to workers that start no job: probes for their load, and calls to their lease endpoints.
 //!
-//! A probe has a time limit of its own. The caller of `consult` sets the limit for the answer.
+//! A probe has a time limit of its own. The caller of `call_lease_endpoint` sets the limit for the answer.
 
 use std::rc::Rc;
 
@@ -77,7 +77,7 @@
 
 /// Calls a lease endpoint of a worker on a new connection, and returns the body of the answer if its status is 200. The
 /// worker need not be ready: one that is draining still knows its leases.
-pub(crate) async fn consult(
+pub(crate) async fn call_lease_endpoint(
     net: &Net,
     to: &str,
     path: &str,
