--- a/crates/server/src/net/durable/mod.rs
+++ b/crates/server/src/net/durable/mod.rs
@@ -35,7 +35,7 @@
 
 use super::answers::{LEASE_ID, LEASE_MS, LEASE_TOKEN, REQ_ID};
 use super::forwarded_request::ForwardedRequest;
-use super::workers::{self, Attempt, AttemptTimes};
+use super::workers::{self, Attempt, AttemptDeadlines};
 use super::Net;
 use crate::config::Config;
 use crate::operator::Jobs as JobSettings;
@@ -269,12 +269,12 @@
             } => {
                 let forwarded = Rc::new(self.forwarded_request(id, token, until, &payload));
                 let observer = JobAttempt(id, token);
-                let times = AttemptTimes {
-                    until,
+                let deadlines = AttemptDeadlines {
+                    answer_deadline: until,
                     write_deadline,
                 };
                 let attempt =
-                    workers::start_attempt(net, &forwarded, observer, None, worker, times);
+                    workers::start_attempt(net, &forwarded, observer, None, worker, deadlines);
                 self.attempts.borrow_mut().insert((id, token), attempt);
             }
             Effect::Fence {
--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -16,7 +16,7 @@
 use super::super::answers::{not_allowed, plain, rejection};
 use super::super::durable;
 use super::super::forwarded_request::ForwardedRequest;
-use super::super::workers::{self, Attempt, AttemptObserver, AttemptTimes, ClientConnection};
+use super::super::workers::{self, Attempt, AttemptDeadlines, AttemptObserver, ClientConnection};
 use super::super::Net;
 use super::clients::Client;
 use super::request::{class_of, read_request};
@@ -175,11 +175,11 @@
         connection: &ClientConnection,
         forwarded: &Rc<ForwardedRequest>,
         to: Rc<str>,
-        times: AttemptTimes,
+        deadlines: AttemptDeadlines,
     ) {
         let observer = RequestAttempt(self.request, self.attempts.len());
         let client = Some(connection.clone());
-        let attempt = workers::start_attempt(self.net, forwarded, observer, client, to, times);
+        let attempt = workers::start_attempt(self.net, forwarded, observer, client, to, deadlines);
         self.attempts.push(attempt);
     }
 
@@ -233,11 +233,11 @@
                     attempt == handler.attempts.len(),
                     "attempts are numbered in order",
                 );
-                let times = AttemptTimes {
-                    until,
+                let deadlines = AttemptDeadlines {
+                    answer_deadline: until,
                     write_deadline,
                 };
-                handler.start_attempt(connection, &forwarded, worker, times);
+                handler.start_attempt(connection, &forwarded, worker, deadlines);
             }
             Step::Serve { attempt } => return handler.serve(attempt).await,
             Step::Reject { retry_after } => return rejection(retry_after),
--- a/crates/server/src/net/workers/attempt.rs
+++ b/crates/server/src/net/workers/attempt.rs
@@ -98,9 +98,9 @@
 
 /// The deadlines of an attempt.
 #[derive(Clone, Copy)]
-pub(crate) struct AttemptTimes {
+pub(crate) struct AttemptDeadlines {
     /// When the answer must have arrived.
-    pub until: Micros,
+    pub answer_deadline: Micros,
     /// When the request must have been written in full.
     pub write_deadline: Micros,
 }
@@ -112,7 +112,7 @@
     pub(super) observer: W,
     /// The worker's name.
     to: Rc<str>,
-    times: AttemptTimes,
+    deadlines: AttemptDeadlines,
     cancellation: Rc<Cancellation>,
     progress: WriteProgress,
 }
@@ -125,19 +125,19 @@
     observer: W,
     client: Option<ClientConnection>,
     to: Rc<str>,
-    times: AttemptTimes,
+    deadlines: AttemptDeadlines,
 ) -> Attempt {
     let (tx, rx) = oneshot::channel();
     let cancellation = Rc::new(Cancellation::new(client));
-    let until = times.until.min(forwarded.deadline);
+    let answer_deadline = deadlines.answer_deadline.min(forwarded.deadline);
     let dispatch = Dispatch {
         net: net.clone(),
         forwarded: forwarded.clone(),
         observer,
         to,
-        times: AttemptTimes {
-            until,
-            write_deadline: times.write_deadline.min(until),
+        deadlines: AttemptDeadlines {
+            answer_deadline,
+            write_deadline: deadlines.write_deadline.min(answer_deadline),
         },
         cancellation: cancellation.clone(),
         progress: WriteProgress::default(),
@@ -180,17 +180,17 @@
 
     /// Waits until one of the attempt's deadlines has passed.
     async fn time_out(&self) -> Ending {
-        let AttemptTimes {
-            until,
+        let AttemptDeadlines {
+            answer_deadline,
             write_deadline,
-        } = self.times;
+        } = self.deadlines;
         let clock = &self.net.clock;
         tokio::time::sleep_until(clock.instant(write_deadline)).await;
         // Ends the attempt as soon as it can no longer run, so that its client does not wait for it in vain.
-        if write_deadline < until && !self.progress.is_complete() {
+        if write_deadline < answer_deadline && !self.progress.is_complete() {
             return Ending::Unused;
         }
-        tokio::time::sleep_until(clock.instant(until)).await;
+        tokio::time::sleep_until(clock.instant(answer_deadline)).await;
         Ending::Expired
     }
 }
@@ -250,7 +250,7 @@
     fn arm_write_guard(&self, link: &Link, request: &Request<Full<Bytes>>) -> u64 {
         let size = encoded_len(request, self.forwarded.body.len());
         let job = (self.forwarded.deadline, self.cancellation.clone());
-        let write_deadline = self.times.write_deadline;
+        let write_deadline = self.deadlines.write_deadline;
         let end = link.guard_request(&self.net, &self.to, size, write_deadline, Some(job));
         *self.progress.0.borrow_mut() = Some((link.socket.clone(), end));
         end
--- a/crates/server/src/net/workers/mod.rs
+++ b/crates/server/src/net/workers/mod.rs
@@ -34,7 +34,7 @@
 use link::{Socket, SocketSlot};
 use oakshed_core::facade::{Condition, Entry, Micros, Settings, Span};
 
-pub(crate) use attempt::{start_attempt, Attempt, AttemptObserver, AttemptTimes};
+pub(crate) use attempt::{start_attempt, Attempt, AttemptDeadlines, AttemptObserver};
 pub(crate) use client::ClientConnection;
 pub(crate) use link::{Link, LinkError};
 pub(crate) use probe::{call_lease_endpoint, probe};
