--- a/crates/server/src/net/admin.rs
+++ b/crates/server/src/net/admin.rs
@@ -231,7 +231,9 @@
 /// The operators' figures.
 fn telemetry(net: &Net) -> String {
     let members = net.facade.borrow().members();
-    net.ledger
-        .render(&net.config.names.classes, net.workers.attempts(), members)
-        + "END\n"
+    net.ledger.render(
+        &net.config.names.classes,
+        net.workers.written_attempts(),
+        members,
+    ) + "END\n"
 }
--- a/crates/server/src/net/discovery/state.rs
+++ b/crates/server/src/net/discovery/state.rs
@@ -36,7 +36,7 @@
     }
 
     /// Changes the address; the discovery task then drops its watch and polls the new one.
-    pub(crate) fn move_to(&self, new: SocketAddr) {
+    pub(crate) fn set_address(&self, new: SocketAddr) {
         self.address
             .send_if_modified(|address| std::mem::replace(address, new) != new);
     }
--- a/crates/server/src/net/front/accept.rs
+++ b/crates/server/src/net/front/accept.rs
@@ -87,7 +87,7 @@
         // Connections to workers go first: they can be reopened, whereas a client may be about to use its own.
         let out_of_descriptors =
             kind == AcceptError::ProcessLimit && self.consecutive_errors >= ERRORS_BEFORE_CLOSING;
-        if out_of_descriptors && !net.workers.close_oldest() {
+        if out_of_descriptors && !net.workers.close_longest_idle() {
             clients.close_idle(net.clock.now());
         }
     }
--- a/crates/server/src/net/reload.rs
+++ b/crates/server/src/net/reload.rs
@@ -37,6 +37,6 @@
             "; other changes need a restart"
         };
         info!(discovery = %new.discovery, "reload: discovery {}{rest}", new.discovery);
-        net.discovery.move_to(new.discovery);
+        net.discovery.set_address(new.discovery);
     }
 }
--- a/crates/server/src/net/workers/mod.rs
+++ b/crates/server/src/net/workers/mod.rs
@@ -76,7 +76,7 @@
     /// The number of sockets that are open or being opened.
     open_sockets: Rc<Cell<usize>>,
     /// The number of attempts that were written in full.
-    attempts: Cell<u64>,
+    written_attempts: Cell<u64>,
     /// The connections on which an update of the endpoint list may arrive.
     watches: RefCell<Vec<Rc<Socket>>>,
     /// `None` until an idle connection has been reset.
@@ -97,7 +97,7 @@
             by_name: RefCell::default(),
             ready: Cell::new(0),
             open_sockets: Rc::default(),
-            attempts: Cell::new(0),
+            written_attempts: Cell::new(0),
             watches: RefCell::default(),
             reduced_idle_limit: Cell::new(None),
         }
@@ -171,8 +171,8 @@
     }
 
     /// The number of attempts whose requests were written in full, whatever their outcome.
-    pub(crate) fn attempts(&self) -> u64 {
-        self.attempts.get()
+    pub(crate) fn written_attempts(&self) -> u64 {
+        self.written_attempts.get()
     }
 
     /// Registers a connection on which updates of the endpoint list arrive, until the returned guard is dropped.
@@ -233,14 +233,14 @@
     /// Reserves a socket within the budget `limit`. If the budget is used up, the connection that has been idle for
     /// longest is closed to make room.
     fn reserve_slot(&self, limit: usize) -> Option<SocketSlot> {
-        if self.open_sockets.get() >= limit && !self.close_oldest() {
+        if self.open_sockets.get() >= limit && !self.close_longest_idle() {
             return None;
         }
         Some(SocketSlot::new(&self.open_sockets))
     }
 
     /// Closes the connection that has been idle for longest. Returns false if there is no idle connection.
-    pub(crate) fn close_oldest(&self) -> bool {
+    pub(crate) fn close_longest_idle(&self) -> bool {
         let mut by_name = self.by_name.borrow_mut();
         let oldest = by_name
             .values_mut()
--- a/crates/server/src/net/workers/write_guard.rs
+++ b/crates/server/src/net/workers/write_guard.rs
@@ -109,7 +109,7 @@
 
     /// Called when the request has been written in full; counts it if it is a job.
     pub(super) fn complete(self) {
-        let attempts = &self.net.workers.attempts;
-        attempts.set(attempts.get() + u64::from(self.deadline.is_some()));
+        let written_attempts = &self.net.workers.written_attempts;
+        written_attempts.set(written_attempts.get() + u64::from(self.deadline.is_some()));
     }
 }
