--- a/crates/server/src/net/discovery/error.rs
+++ b/crates/server/src/net/discovery/error.rs
@@ -2,7 +2,7 @@
 
 use hyper::StatusCode;
 
-use super::super::workers::LinkError;
+use super::super::workers::ConnectionError;
 
 /// The reason why a call to discovery returned no endpoint list.
 #[derive(Debug, thiserror::Error)]
@@ -12,7 +12,7 @@
     ConnectTimeout,
     /// The connection could not be established.
     #[error("cannot connect: {0}")]
-    Connect(#[source] LinkError),
+    Connect(#[source] ConnectionError),
     /// The HTTP request could not be built.
     #[error(transparent)]
     Request(#[from] hyper::http::Error),
--- a/crates/server/src/net/discovery/mod.rs
+++ b/crates/server/src/net/discovery/mod.rs
@@ -22,7 +22,7 @@
 use tokio::time::timeout;
 use tracing::{info, warn};
 
-use super::workers::Link;
+use super::workers::Connection;
 use super::{durable, peers, Net};
 use crate::list::{Answer, EndpointList, UpdateKind};
 use error::CallError;
@@ -194,20 +194,20 @@
 }
 
 impl watch::Discovery for DiscoveryClient<'_> {
-    type Link = Link;
+    type Connection = Connection;
 
     async fn call(
         &self,
-        link: Option<Link>,
+        connection: Option<Connection>,
         from: Option<u64>,
         hold: Duration,
-    ) -> Result<(Answer, Link), CallError> {
+    ) -> Result<(Answer, Connection), CallError> {
         self.net.counters.discovery.calls.increment();
-        let mut link = match link.filter(|link| !link.is_dead()) {
-            Some(link) => link,
+        let mut connection = match connection.filter(|connection| !connection.is_dead()) {
+            Some(connection) => connection,
             None => {
                 self.unreachable.set(true);
-                timeout(CONNECT_TIMEOUT, Link::dial(self.address))
+                timeout(CONNECT_TIMEOUT, Connection::dial(self.address))
                     .await
                     .map_err(|_| CallError::ConnectTimeout)?
                     .map_err(CallError::Connect)?
@@ -216,7 +216,7 @@
         self.unreachable.set(false);
         // From the moment an update arrives it counts as notified, so the write guard of attempts checks this socket
         // for unread updates until the call ends. The caller applies the answer without yielding after that.
-        let _watch = self.net.workers.track_watch(&link);
+        let _watch = self.net.workers.track_watch(&connection);
         let path = match from {
             Some(from) => format!("{ENDPOINTS_PATH}?from={from}&hold_ms={}", hold.as_millis()),
             None => ENDPOINTS_PATH.to_owned(),
@@ -224,8 +224,8 @@
         let request = Request::get(path)
             .header(HOST, self.address.to_string())
             .body(Full::<Bytes>::default())?;
-        link.sender.ready().await?;
-        let response = link.sender.send_request(request).await?;
+        connection.sender.ready().await?;
+        let response = connection.sender.send_request(request).await?;
         if response.status() != StatusCode::OK {
             return Err(CallError::Status(response.status()));
         }
@@ -238,7 +238,7 @@
             CallError::MalformedList(e)
         })?;
         answer.reset |= from.is_none();
-        Ok((answer, link))
+        Ok((answer, connection))
     }
 
     async fn poll_requested(&self) {
--- a/crates/server/src/net/discovery/tests/fleet.rs
+++ b/crates/server/src/net/discovery/tests/fleet.rs
@@ -14,7 +14,7 @@
 use tokio::sync::{oneshot, watch, Mutex};
 use tokio::time::{sleep, sleep_until, timeout, Instant};
 
-use super::super::super::workers::LinkError;
+use super::super::super::workers::ConnectionError;
 use super::super::error::CallError;
 use super::super::watch::{Discovery, Watch};
 use crate::list::Answer;
@@ -22,7 +22,7 @@
 use oakshed_core::interface::{Class, Effect, Scope};
 
 fn connect_error(kind: ErrorKind) -> CallError {
-    CallError::Connect(LinkError::Connect(kind.into()))
+    CallError::Connect(ConnectionError::Connect(kind.into()))
 }
 
 pub(super) const MS: Duration = Duration::from_millis(1);
@@ -309,7 +309,7 @@
 }
 
 impl Discovery for SimulatedScheduler {
-    type Link = ();
+    type Connection = ();
 
     async fn call(
         &self,
--- a/crates/server/src/net/discovery/watch.rs
+++ b/crates/server/src/net/discovery/watch.rs
@@ -36,15 +36,15 @@
 /// The interface to discovery and to the scheduler's list, which the tests replace.
 pub(super) trait Discovery {
     /// A connection, reused from one call to the next.
-    type Link;
+    type Connection;
     /// Makes one call, on the given connection or a new one. `from` is the generation to report changes since; `None`
     /// requests the whole list.
     async fn call(
         &self,
-        link: Option<Self::Link>,
+        connection: Option<Self::Connection>,
         from: Option<u64>,
         hold: Duration,
-    ) -> Result<(Answer, Self::Link), CallError>;
+    ) -> Result<(Answer, Self::Connection), CallError>;
     /// Returns when the facade requests a poll.
     async fn poll_requested(&self);
     /// The span over which all schedulers currently spread their calls, in microseconds.
@@ -80,7 +80,7 @@
     discovery: &'a D,
     settings: &'a Settings,
     rng: fastrand::Rng,
-    link: Option<D::Link>,
+    connection: Option<D::Connection>,
     /// The moving average of the delay of recent answers beyond their holds, which is the time that discovery takes to
     /// serve a call, with the wait in its queue.
     answer_delay: Duration,
@@ -93,7 +93,7 @@
             discovery,
             settings,
             rng,
-            link: None,
+            connection: None,
             answer_delay: Duration::ZERO,
         }
     }
@@ -185,7 +185,7 @@
         let hedged_hold = hold.min(REPOLL_PAUSE);
         let called_at = Instant::now();
         let hedged_call = || discovery.call(None, from, hedged_hold);
-        let first = classify_failure(discovery.call(self.link.take(), from, hold));
+        let first = classify_failure(discovery.call(self.connection.take(), from, hold));
         let second = hedge(discovery, first, overdue, classify_failure(hedged_call()));
         let third = hedge(
             discovery,
@@ -196,8 +196,8 @@
         // Queued calls keep their places for this long. If they were cancelled and repeated sooner, a slow discovery
         // service would spend its time on calls whose callers have gone.
         let outcome = timeout(overdue + quarter + DETECTION_LIMIT, third).await;
-        let (answer, link) = outcome.unwrap_or(Err(Failure::TIMEOUT))?;
-        self.link = Some(link);
+        let (answer, connection) = outcome.unwrap_or(Err(Failure::TIMEOUT))?;
+        self.connection = Some(connection);
         if called_at.elapsed() < overdue && (from.is_none() || answer.instances.is_empty()) {
             let delay = called_at.elapsed().saturating_sub(hold);
             self.answer_delay = if self.answer_delay.is_zero() {
--- a/crates/server/src/net/workers/attempt.rs
+++ b/crates/server/src/net/workers/attempt.rs
@@ -20,9 +20,9 @@
 use super::super::forwarded_request::ForwardedRequest;
 use super::super::Net;
 use super::client::{Cancellation, ClientConnection};
+use super::connection::{Connection, ConnectionError, Socket};
 use super::eligible_address;
 use super::fault::is_local_fault;
-use super::link::{Link, LinkError, Socket};
 use super::stream::{load_from_headers, MAX_LINE_BYTES};
 use oakshed_core::facade::{Ending, Micros, Report};
 
@@ -173,8 +173,8 @@
             net, forwarded, to, ..
         } = self;
         drop(forwarded); // frees the request's id and memory, which the rest does not need
-        if let Some((link, body)) = end.reusable {
-            _ = timeout(DRAIN_TIMEOUT, drain(&net, &to, link, body)).await;
+        if let Some((connection, body)) = end.reusable {
+            _ = timeout(DRAIN_TIMEOUT, drain(&net, &to, connection, body)).await;
         }
     }
 
@@ -201,7 +201,7 @@
     pub(super) result: Option<Bytes>,
     pub(super) load: Option<Report>,
     /// The connection, if it can be used again once the remaining body has been read.
-    pub(super) reusable: Option<(Link, Incoming)>,
+    pub(super) reusable: Option<(Connection, Incoming)>,
 }
 
 impl From<Ending> for AttemptEnd {
@@ -219,16 +219,16 @@
     /// Connects, writes the request, and reads the answer.
     async fn exchange(&self) -> AttemptEnd {
         let net = &self.net;
-        let mut link = match connect(net, &self.to).await {
-            Ok(link) => link,
+        let mut connection = match connect(net, &self.to).await {
+            Ok(connection) => connection,
             Err(ending) => return ending.into(),
         };
         let Ok(request) = self.forwarded.request(net.clock.now()) else {
             return Ending::Unused.into();
         };
-        let end = self.arm_write_guard(&link, &request);
-        let Ok(response) = link.sender.send_request(request).await else {
-            return self.classify_lost_connection(&link).into();
+        let end = self.arm_write_guard(&connection, &request);
+        let Ok(response) = connection.sender.send_request(request).await else {
+            return self.classify_lost_connection(&connection).into();
         };
         // The worker answered before it had the whole request, without which no job starts. The rest is not sent.
         if !self.progress.is_complete() {
@@ -236,37 +236,37 @@
             return Ending::Dropped.into();
         }
         net.counters.check_invariant(
-            link.socket.written.get() == end,
+            connection.socket.written.get() == end,
             "the computed length of a request is the number of bytes written",
         );
         let (head, body) = response.into_parts();
         if head.status != StatusCode::OK {
             return classify_error_status(&head);
         }
-        self.read_stream(link, body).await
+        self.read_stream(connection, body).await
     }
 
     /// Sets up the write guard for the request; returns the socket's byte count at the end of the request.
-    fn arm_write_guard(&self, link: &Link, request: &Request<Full<Bytes>>) -> u64 {
+    fn arm_write_guard(&self, connection: &Connection, request: &Request<Full<Bytes>>) -> u64 {
         let size = encoded_len(request, self.forwarded.body.len());
         let job = (self.forwarded.deadline, self.cancellation.clone());
         let write_deadline = self.deadlines.write_deadline;
-        let end = link.guard_request(&self.net, &self.to, size, write_deadline, Some(job));
-        *self.progress.0.borrow_mut() = Some((link.socket.clone(), end));
+        let end = connection.guard_request(&self.net, &self.to, size, write_deadline, Some(job));
+        *self.progress.0.borrow_mut() = Some((connection.socket.clone(), end));
         end
     }
 
     /// The ending of an attempt whose connection failed before the response headers arrived.
-    fn classify_lost_connection(&self, link: &Link) -> Ending {
+    fn classify_lost_connection(&self, connection: &Connection) -> Ending {
         let net = &self.net;
         let counters = &net.counters.workers;
         // The write guard stopped the request before it was complete, so it never ran.
-        if link.socket.is_write_denied.get() {
+        if connection.socket.is_write_denied.get() {
             counters.drained_before_send.increment();
             return Ending::Unused;
         }
         counters.resets.increment();
-        if let Some(idle) = link.idle {
+        if let Some(idle) = connection.idle {
             counters.idle_resets.increment();
             net.workers.reduce_idle_limit(idle);
         }
@@ -295,20 +295,25 @@
 }
 
 /// Takes an idle connection to a worker or opens a new one. The error is the ending of an attempt that cannot connect.
-pub(super) async fn connect(net: &Net, to: &str) -> Result<Link, Ending> {
+pub(super) async fn connect(net: &Net, to: &str) -> Result<Connection, Ending> {
     let address = eligible_address(net, to).ok_or(Ending::Unused)?;
-    if let Some(link) = net.workers.take_idle(&net.counters.workers, to) {
+    if let Some(connection) = net.workers.take_idle(&net.counters.workers, to) {
         net.counters.workers.reused.increment();
-        return Ok(link);
+        return Ok(connection);
     }
     let Some(slot) = net.workers.reserve_slot(net.socket_share()) else {
         net.counters.workers.no_socket.increment();
         return Err(Ending::LocalFault);
     };
     net.counters.workers.dials.increment();
-    match timeout(net.workers.connect_timeout, Link::open(address, Some(slot))).await {
-        Ok(Ok(link)) => Ok(link),
-        Ok(Err(LinkError::Connect(error))) if is_local_fault(&error) => {
+    match timeout(
+        net.workers.connect_timeout,
+        Connection::open(address, Some(slot)),
+    )
+    .await
+    {
+        Ok(Ok(connection)) => Ok(connection),
+        Ok(Err(ConnectionError::Connect(error))) if is_local_fault(&error) => {
             net.counters.workers.local_faults.increment();
             Err(Ending::LocalFault)
         }
@@ -317,7 +322,7 @@
 }
 
 /// Reads an answer to its end, so that its connection can be used again. A longer remainder than one line is not read.
-async fn drain(net: &Net, to: &str, mut link: Link, mut body: Incoming) {
+async fn drain(net: &Net, to: &str, mut connection: Connection, mut body: Incoming) {
     let mut left = MAX_LINE_BYTES;
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { return };
@@ -327,7 +332,7 @@
         };
         left = remaining;
     }
-    if link.sender.ready().await.is_ok() {
-        net.workers.put_back(to, link);
+    if connection.sender.ready().await.is_ok() {
+        net.workers.put_back(to, connection);
     }
 }
--- a/crates/server/src/net/workers/link.rs
+++ b/crates/server/src/net/workers/connection.rs
@@ -148,7 +148,7 @@
 
 /// The reason why a connection could not be opened.
 #[derive(Debug, Error)]
-pub(crate) enum LinkError {
+pub(crate) enum ConnectionError {
     /// The TCP connection could not be established.
     #[error(transparent)]
     Connect(#[from] io::Error),
@@ -158,7 +158,7 @@
 }
 
 /// An HTTP/1 connection, which carries one request at a time. Dropping it closes the socket.
-pub(crate) struct Link {
+pub(crate) struct Connection {
     pub(super) address: SocketAddr,
     pub(crate) sender: SendRequest<Full<Bytes>>,
     pub(super) socket: Rc<Socket>,
@@ -167,12 +167,12 @@
     pub(super) idle: Option<Micros>,
 }
 
-impl Link {
+impl Connection {
     /// Opens a connection. `slot` is its place in the socket budget; `None` if the connection is not counted.
     pub(super) async fn open(
         address: SocketAddr,
         slot: Option<SocketSlot>,
-    ) -> Result<Link, LinkError> {
+    ) -> Result<Connection, ConnectionError> {
         let stream = TcpStream::connect(address).await?;
         // Ignored on failure: without TCP_NODELAY the connection is slower, but works.
         _ = stream.set_nodelay(true);
@@ -190,9 +190,9 @@
             write_retry: TransientRetry::default(),
         });
         let handshake = Builder::new().max_buf_size(MAX_LINE_BYTES).handshake(io);
-        let (sender, connection) = handshake.await?;
-        let task = tokio::task::spawn_local(async move { _ = connection.await });
-        Ok(Link {
+        let (sender, driver) = handshake.await?;
+        let task = tokio::task::spawn_local(async move { _ = driver.await });
+        Ok(Connection {
             address,
             sender,
             socket,
@@ -235,10 +235,10 @@
     }
 
     /// Opens a connection outside the socket budget. Retries for as long as it fails because of local faults.
-    pub(crate) async fn dial(address: SocketAddr) -> Result<Link, LinkError> {
+    pub(crate) async fn dial(address: SocketAddr) -> Result<Connection, ConnectionError> {
         loop {
-            match Link::open(address, None).await {
-                Err(LinkError::Connect(error)) if is_local_fault(&error) => {
+            match Connection::open(address, None).await {
+                Err(ConnectionError::Connect(error)) if is_local_fault(&error) => {
                     sleep(LOCAL_FAULT_PAUSE.mul_f64(0.5 + fastrand::f64())).await;
                 }
                 opened => return opened,
@@ -257,7 +257,7 @@
     }
 }
 
-impl Drop for Link {
+impl Drop for Connection {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/crates/server/src/net/workers/mod.rs
+++ b/crates/server/src/net/workers/mod.rs
@@ -1,6 +1,6 @@
 //! The worker client: the table of workers with their addresses, and the pool of connections to them.
 //!
-//! - `attempt` sends a request over a connection (`link`); `stream_reader` reads the job stream that `stream` defines.
+//! - `attempt` sends a request over a `connection`; `stream_reader` reads the job stream that `stream` defines.
 //! - `write_guard` checks each write immediately before it is made, with the help of `client` (is the client still
 //!   connected?) and `deadline` (the remaining time sent to the worker).
 //! - `probe` makes calls that start no job, and `fault` recognizes local causes of failed connections.
@@ -11,9 +11,9 @@
 
 mod attempt;
 mod client;
+mod connection;
 mod deadline;
 mod fault;
-mod link;
 mod probe;
 mod stream;
 mod stream_reader;
@@ -31,12 +31,12 @@
 use super::counters::WorkerCounters;
 use super::{Clock, Net};
 use crate::list::UpdateKind;
-use link::{Socket, SocketSlot};
+use connection::{Socket, SocketSlot};
 use oakshed_core::facade::{Condition, Entry, Micros, Settings, Span};
 
 pub(crate) use attempt::{start_attempt, Attempt, AttemptDeadlines, AttemptObserver};
 pub(crate) use client::ClientConnection;
-pub(crate) use link::{Link, LinkError};
+pub(crate) use connection::{Connection, ConnectionError};
 pub(crate) use probe::{call_lease_endpoint, probe};
 
 /// The time limit for connecting if the settings have none.
@@ -54,7 +54,7 @@
     address: SocketAddr,
     ready: bool,
     /// Idle connections and the time since when they are idle, newest last.
-    idle: Vec<(Micros, Link)>,
+    idle: Vec<(Micros, Connection)>,
 }
 
 /// An idle limit that was reduced after an idle connection was reset.
@@ -176,10 +176,10 @@
     }
 
     /// Registers a connection on which updates of the endpoint list arrive, until the returned guard is dropped.
-    pub(crate) fn track_watch(&self, link: &Link) -> OpenWatch<'_> {
-        link.socket.has_unread_update.set(false);
-        self.watches.borrow_mut().push(link.socket.clone());
-        OpenWatch(self, link.socket.clone())
+    pub(crate) fn track_watch(&self, connection: &Connection) -> OpenWatch<'_> {
+        connection.socket.has_unread_update.set(false);
+        self.watches.borrow_mut().push(connection.socket.clone());
+        OpenWatch(self, connection.socket.clone())
     }
 
     /// Whether an update of the endpoint list has arrived, or may have, that is not applied yet.
@@ -204,14 +204,14 @@
     }
 
     /// Takes the newest idle connection to a worker that is still usable.
-    fn take_idle(&self, counters: &WorkerCounters, name: &str) -> Option<Link> {
+    fn take_idle(&self, counters: &WorkerCounters, name: &str) -> Option<Connection> {
         let mut by_name = self.by_name.borrow_mut();
         let worker = by_name.get_mut(name)?;
-        while let Some((since, mut link)) = worker.idle.pop() {
+        while let Some((since, mut connection)) = worker.idle.pop() {
             let idle = self.clock.now().saturating_sub(since);
-            if idle < self.idle_limit() && !link.is_dead() && link.sender.is_ready() {
-                link.idle = Some(idle);
-                return Some(link);
+            if idle < self.idle_limit() && !connection.is_dead() && connection.sender.is_ready() {
+                connection.idle = Some(idle);
+                return Some(connection);
             }
             counters.dead_idle.increment();
         }
@@ -219,14 +219,14 @@
     }
 
     /// Returns a connection to the pool, or closes it if the worker is no longer ready or has another address.
-    fn put_back(&self, name: &str, link: Link) {
+    fn put_back(&self, name: &str, connection: Connection) {
         if let Some(worker) = self
             .by_name
             .borrow_mut()
             .get_mut(name)
-            .filter(|worker| worker.ready && worker.address == link.address)
+            .filter(|worker| worker.ready && worker.address == connection.address)
         {
-            worker.idle.push((self.clock.now(), link));
+            worker.idle.push((self.clock.now(), connection));
         }
     }
 
@@ -276,9 +276,9 @@
         let now = self.clock.now();
         let limit = self.idle_limit();
         for worker in self.by_name.borrow_mut().values_mut() {
-            worker
-                .idle
-                .retain(|(since, link)| now < since + limit && !link.sender.is_closed());
+            worker.idle.retain(|(since, connection)| {
+                now < since + limit && !connection.sender.is_closed()
+            });
         }
     }
 }
--- a/crates/server/src/net/workers/probe.rs
+++ b/crates/server/src/net/workers/probe.rs
@@ -13,7 +13,7 @@
 use super::super::answers::LEASE_TOKEN;
 use super::super::Net;
 use super::attempt::{connect, encoded_len};
-use super::link::Link;
+use super::connection::Connection;
 use super::stream::{load_from_headers, parse_load, LoadForm, MAX_LINE_BYTES};
 use oakshed_core::facade::{Ending, Micros, Report, Seen};
 
@@ -35,8 +35,8 @@
     to: &Rc<str>,
     deadline: Micros,
 ) -> Result<Option<Report>, Ending> {
-    let link = connect(net, to).await?;
-    Ok(request_load(net, to, deadline, link).await)
+    let connection = connect(net, to).await?;
+    Ok(request_load(net, to, deadline, connection).await)
 }
 
 /// Requests the load report, which may be in a header or in a JSON or text body.
@@ -44,15 +44,15 @@
     net: &Rc<Net>,
     to: &Rc<str>,
     deadline: Micros,
-    mut link: Link,
+    mut connection: Connection,
 ) -> Option<Report> {
-    let host = link.address.to_string();
+    let host = connection.address.to_string();
     let request = Request::get("/status/load")
         .header(HOST, host)
         .body(Full::default())
         .ok()?;
-    link.guard_request(net, to, encoded_len(&request, 0), deadline, None);
-    let response = link.sender.send_request(request).await.ok()?;
+    connection.guard_request(net, to, encoded_len(&request, 0), deadline, None);
+    let response = connection.sender.send_request(request).await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
     }
@@ -62,8 +62,8 @@
         .await
         .ok()?
         .to_bytes();
-    if link.sender.ready().await.is_ok() {
-        net.workers.put_back(to, link);
+    if connection.sender.ready().await.is_ok() {
+        net.workers.put_back(to, connection);
     }
     let in_json = || {
         serde_json::from_slice::<LoadForm>(&body)
@@ -86,16 +86,19 @@
 ) -> Option<Bytes> {
     let address = net.workers.last_address(to)?;
     let slot = net.workers.reserve_slot(net.socket_share())?;
-    let mut link = timeout(net.workers.connect_timeout, Link::open(address, Some(slot)))
-        .await
-        .ok()?
-        .ok()?;
+    let mut connection = timeout(
+        net.workers.connect_timeout,
+        Connection::open(address, Some(slot)),
+    )
+    .await
+    .ok()?
+    .ok()?;
     let request = Request::post(path)
         .header(HOST, address.to_string())
         .header(&LEASE_TOKEN, token)
         .header(CONTENT_LENGTH, body.len())
         .body(Full::new(body));
-    let response = link.sender.send_request(request.ok()?).await.ok()?;
+    let response = connection.sender.send_request(request.ok()?).await.ok()?;
     if response.status() != StatusCode::OK {
         return None;
     }
--- a/crates/server/src/net/workers/stream_reader.rs
+++ b/crates/server/src/net/workers/stream_reader.rs
@@ -10,13 +10,17 @@
 use super::super::forwarded_request::ForwardedRequest;
 use super::super::Net;
 use super::attempt::{AttemptEnd, AttemptObserver, Dispatch};
-use super::link::Link;
+use super::connection::Connection;
 use super::stream::{result_bytes, Line, MAX_LINE_BYTES};
 use oakshed_core::facade::{Ending, Report};
 
 impl<W: AttemptObserver + Copy> Dispatch<W> {
     /// Reads the lines of a job stream up to the final one.
-    pub(super) async fn read_stream(&self, link: Link, mut body: Incoming) -> AttemptEnd {
+    pub(super) async fn read_stream(
+        &self,
+        connection: Connection,
+        mut body: Incoming,
+    ) -> AttemptEnd {
         let mut buffer = BytesMut::new();
         let mut has_started = false;
         while let Some(Ok(frame)) = body.frame().await {
@@ -41,7 +45,7 @@
                             ending,
                             result,
                             load,
-                            reusable: Some((link, body)),
+                            reusable: Some((connection, body)),
                         }
                     }
                 }
--- a/crates/server/src/net/workers/tests.rs
+++ b/crates/server/src/net/workers/tests.rs
@@ -22,7 +22,7 @@
 use super::super::{Clock, Net};
 use super::attempt::{encoded_len, WriteProgress};
 use super::client::{Cancellation, ClientConnection};
-use super::link::Link;
+use super::connection::Connection;
 use crate::config::Config;
 use crate::list::UpdateKind;
 use oakshed_core::facade::{Condition, Entry, Facade};
@@ -41,8 +41,8 @@
         .build()
         .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let mut link = Link::dial(address).await.expect("a connection");
-        socket2::SockRef::from(&*link.socket.stream.borrow())
+        let mut connection = Connection::dial(address).await.expect("a connection");
+        socket2::SockRef::from(&*connection.socket.stream.borrow())
             .set_send_buffer_size(4_096)
             .expect("a small buffer");
         let (mut peer, _) = listener.accept().expect("accepted");
@@ -52,12 +52,12 @@
             .header(CONTENT_LENGTH, body.len());
         let request = request.body(Full::new(body.clone())).expect("a request");
         let end = encoded_len(&request, body.len());
-        let progress = WriteProgress(RefCell::new(Some((link.socket.clone(), end))));
-        let mut response = std::pin::pin!(link.sender.send_request(request));
+        let progress = WriteProgress(RefCell::new(Some((connection.socket.clone(), end))));
+        let mut response = std::pin::pin!(connection.sender.send_request(request));
         // The peer reads nothing, so that the socket buffers fill up and writing stops.
         let mut last = 0;
-        while last == 0 || link.socket.written.get() > last {
-            last = link.socket.written.get();
+        while last == 0 || connection.socket.written.get() > last {
+            last = connection.socket.written.get();
             assert!(timeout(Duration::from_millis(100), response.as_mut())
                 .await
                 .is_err());
@@ -75,7 +75,7 @@
             );
             _ = timeout(Duration::from_millis(10), response.as_mut()).await;
         }
-        assert_eq!(link.socket.written.get(), end, "the computed length");
+        assert_eq!(connection.socket.written.get(), end, "the computed length");
     });
 }
 
@@ -90,21 +90,21 @@
         .build()
         .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let mut link = Link::dial(address).await.expect("a connection");
-        link.sender.ready().await.expect("ready");
-        assert!(!link.is_dead());
+        let mut connection = Connection::dial(address).await.expect("a connection");
+        connection.sender.ready().await.expect("ready");
+        assert!(!connection.is_dead());
         drop(listener.accept().expect("accepted"));
         // Nothing is awaited from here on, so that hyper cannot read from the socket.
         let start = std::time::Instant::now();
-        while !link.is_dead() {
+        while !connection.is_dead() {
             assert!(
                 start.elapsed() < Duration::from_secs(20),
                 "the close was not detected"
             );
         }
-        assert!(!link.sender.is_closed());
+        assert!(!connection.sender.is_closed());
         let net = net_with_worker(address);
-        net.workers.put_back("s-1", link);
+        net.workers.put_back("s-1", connection);
         assert!(
             net.workers
                 .take_idle(&net.counters.workers, "s-1")
@@ -181,7 +181,7 @@
 /// written.
 async fn send_after_pause(
     net: &Rc<Net>,
-    link: &mut Link,
+    connection: &mut Connection,
     forwarded: &ForwardedRequest,
     cancellation: Cancellation,
     pause: impl FnOnce(),
@@ -189,11 +189,11 @@
     let request = forwarded.request(net.clock.now()).expect("a request");
     let size = encoded_len(&request, forwarded.body.len());
     let job = Some((forwarded.deadline, Rc::new(cancellation)));
-    let end = link.guard_request(net, &"s-1".into(), size, forwarded.deadline, job);
-    let response = link.sender.send_request(request);
+    let end = connection.guard_request(net, &"s-1".into(), size, forwarded.deadline, job);
+    let response = connection.sender.send_request(request);
     pause();
     _ = timeout(Duration::from_millis(100), response).await; // no worker answers
-    link.socket.written.get() == end
+    connection.socket.written.get() == end
 }
 
 /// The worker must be told the time that its client has left when the request is written, not when it was built.
@@ -205,13 +205,20 @@
         let net = net_with_worker(address);
         // The value after the pause has as many digits as before, or fewer.
         for wait in [5_000, 1_100, 130] {
-            let mut link = Link::dial(address).await.expect("a connection");
+            let mut connection = Connection::dial(address).await.expect("a connection");
             let (peer, _) = listener.accept().expect("accepted");
             let forwarded = forwarded(&net, Duration::from_millis(wait));
             let pause = || std::thread::sleep(Duration::from_millis(wait.min(400) / 2));
             let left_before = forwarded.deadline - net.clock.now();
             assert!(
-                send_after_pause(&net, &mut link, &forwarded, Cancellation::default(), pause).await
+                send_after_pause(
+                    &net,
+                    &mut connection,
+                    &forwarded,
+                    Cancellation::default(),
+                    pause
+                )
+                .await
             );
             let message = Message::read(&mut BufReader::new(peer)).expect("a request");
             let sent: u64 = message
@@ -235,11 +242,17 @@
     block_on_local(async {
         let net = net_with_worker(address);
         for (spent, begins) in [(0, true), (470, false)] {
-            let mut link = Link::dial(address).await.expect("a connection");
+            let mut connection = Connection::dial(address).await.expect("a connection");
             let forwarded = forwarded(&net, Duration::from_millis(500));
             let pause = || std::thread::sleep(Duration::from_millis(spent));
-            let began =
-                send_after_pause(&net, &mut link, &forwarded, Cancellation::default(), pause).await;
+            let began = send_after_pause(
+                &net,
+                &mut connection,
+                &forwarded,
+                Cancellation::default(),
+                pause,
+            )
+            .await;
             assert_eq!(began, begins, "after {spent} ms of 500");
         }
     });
@@ -297,15 +310,16 @@
                 TcpStream::from_std(accepted).expect("registered"),
             ));
             let cancellation = || Cancellation::new(Some(ClientConnection::new(&stream)));
-            let mut link = Link::dial(address).await.expect("a connection");
+            let mut connection = Connection::dial(address).await.expect("a connection");
             let (mut peer, _) = listener.accept().expect("accepted");
             let forwarded = forwarded(&net, Duration::from_secs(5));
             let pause = || {
                 disconnect(client);
                 until(name, || cancellation().is_cancelled() != begins);
             };
-            let began = send_after_pause(&net, &mut link, &forwarded, cancellation(), pause).await;
-            drop(link);
+            let began =
+                send_after_pause(&net, &mut connection, &forwarded, cancellation(), pause).await;
+            drop(connection);
             // On another thread, because this one has to close the connection.
             let received = tokio::task::spawn_blocking(move || {
                 let mut received = Vec::new();
