--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -16,7 +16,7 @@
 use super::super::answers::{not_allowed, plain, rejection};
 use super::super::durable;
 use super::super::forwarded_request::ForwardedRequest;
-use super::super::workers::{self, Attempt, AttemptObserver, AttemptTimes, ClientConnection};
+use super::super::workers::{self, Attempt, AttemptDeadlines, AttemptObserver, ClientConnection};
 use super::super::Net;
 use super::clients::Client;
 use super::request::{class_of, read_request};
@@ -154,7 +154,7 @@
 struct RequestAttempt(Handle, usize);
 
 impl AttemptObserver for RequestAttempt {
-    fn alive(self, net: &Net, started: bool) {
+    fn on_progress(self, net: &Net, started: bool) {
         let RequestAttempt(request, attempt) = self;
         net.report(if started {
             Seen::Started(request, attempt)
@@ -163,7 +163,7 @@
         });
     }
 
-    fn ended(self, net: &Rc<Net>, ending: Ending, _: Option<Bytes>, load: Option<Report>) {
+    fn on_ended(self, net: &Rc<Net>, ending: Ending, _: Option<Bytes>, load: Option<Report>) {
         let RequestAttempt(request, attempt) = self;
         net.report(Seen::Ended(request, attempt, ending, load));
     }
@@ -175,11 +175,11 @@
         connection: &ClientConnection,
         forwarded: &Rc<ForwardedRequest>,
         to: Rc<str>,
-        times: AttemptTimes,
+        deadlines: AttemptDeadlines,
     ) {
         let observer = RequestAttempt(self.request, self.attempts.len());
         let client = Some(connection.clone());
-        let attempt = workers::start(self.net, forwarded, observer, client, to, times);
+        let attempt = workers::start_attempt(self.net, forwarded, observer, client, to, deadlines);
         self.attempts.push(attempt);
     }
 
@@ -233,11 +233,11 @@
                     attempt == handler.attempts.len(),
                     "attempts are numbered in order",
                 );
-                let times = AttemptTimes {
-                    until,
+                let deadlines = AttemptDeadlines {
+                    answer_deadline: until,
                     write_deadline,
                 };
-                handler.start_attempt(connection, &forwarded, worker, times);
+                handler.start_attempt(connection, &forwarded, worker, deadlines);
             }
             Step::Serve { attempt } => return handler.serve(attempt).await,
             Step::Reject { retry_after } => return rejection(retry_after),
--- a/crates/server/src/net/workers/attempt.rs
+++ b/crates/server/src/net/workers/attempt.rs
@@ -20,9 +20,9 @@
 use super::super::forwarded_request::ForwardedRequest;
 use super::super::Net;
 use super::client::{Cancellation, ClientConnection};
+use super::connection::{Connection, ConnectionError, Socket};
 use super::eligible_address;
 use super::fault::is_local_fault;
-use super::link::{Link, LinkError, Socket};
 use super::stream::{load_from_headers, MAX_LINE_BYTES};
 use oakshed_core::facade::{Ending, Micros, Report};
 
@@ -90,17 +90,17 @@
 /// Is notified of the start, progress and end of an attempt. Implemented by those that start attempts.
 pub(crate) trait AttemptObserver {
     /// The worker reports that the job has started (`started`) or is still running.
-    fn alive(self, net: &Net, started: bool);
+    fn on_progress(self, net: &Net, started: bool);
 
     /// The attempt has ended. `load` is the load report that came with the answer.
-    fn ended(self, net: &Rc<Net>, ending: Ending, result: Option<Bytes>, load: Option<Report>);
+    fn on_ended(self, net: &Rc<Net>, ending: Ending, result: Option<Bytes>, load: Option<Report>);
 }
 
 /// The deadlines of an attempt.
 #[derive(Clone, Copy)]
-pub(crate) struct AttemptTimes {
+pub(crate) struct AttemptDeadlines {
     /// When the answer must have arrived.
-    pub until: Micros,
+    pub answer_deadline: Micros,
     /// When the request must have been written in full.
     pub write_deadline: Micros,
 }
@@ -112,32 +112,32 @@
     pub(super) observer: W,
     /// The worker's name.
     to: Rc<str>,
-    times: AttemptTimes,
+    deadlines: AttemptDeadlines,
     cancellation: Rc<Cancellation>,
     progress: WriteProgress,
 }
 
 /// Starts an attempt at the worker `to` on a task of its own, which reports the end to `observer` even if the returned
 /// handle is dropped. If a `client` is given, nothing is written unless it is still connected at the first byte.
-pub(crate) fn start<W: AttemptObserver + Copy + 'static>(
+pub(crate) fn start_attempt<W: AttemptObserver + Copy + 'static>(
     net: &Rc<Net>,
     forwarded: &Rc<ForwardedRequest>,
     observer: W,
     client: Option<ClientConnection>,
     to: Rc<str>,
-    times: AttemptTimes,
+    deadlines: AttemptDeadlines,
 ) -> Attempt {
     let (tx, rx) = oneshot::channel();
     let cancellation = Rc::new(Cancellation::new(client));
-    let until = times.until.min(forwarded.deadline);
+    let answer_deadline = deadlines.answer_deadline.min(forwarded.deadline);
     let dispatch = Dispatch {
         net: net.clone(),
         forwarded: forwarded.clone(),
         observer,
         to,
-        times: AttemptTimes {
-            until,
-            write_deadline: times.write_deadline.min(until),
+        deadlines: AttemptDeadlines {
+            answer_deadline,
+            write_deadline: deadlines.write_deadline.min(answer_deadline),
         },
         cancellation: cancellation.clone(),
         progress: WriteProgress::default(),
@@ -167,29 +167,30 @@
         if let Some(bytes) = end.result.clone() {
             _ = result.send(bytes);
         }
-        self.observer.ended(&self.net, ending, end.result, end.load);
+        self.observer
+            .on_ended(&self.net, ending, end.result, end.load);
         let Dispatch {
             net, forwarded, to, ..
         } = self;
         drop(forwarded); // frees the request's id and memory, which the rest does not need
-        if let Some((link, body)) = end.reusable {
-            _ = timeout(DRAIN_TIMEOUT, drain(&net, &to, link, body)).await;
+        if let Some((connection, body)) = end.reusable {
+            _ = timeout(DRAIN_TIMEOUT, drain(&net, &to, connection, body)).await;
         }
     }
 
     /// Waits until one of the attempt's deadlines has passed.
     async fn time_out(&self) -> Ending {
-        let AttemptTimes {
-            until,
+        let AttemptDeadlines {
+            answer_deadline,
             write_deadline,
-        } = self.times;
+        } = self.deadlines;
         let clock = &self.net.clock;
         tokio::time::sleep_until(clock.instant(write_deadline)).await;
         // Ends the attempt as soon as it can no longer run, so that its client does not wait for it in vain.
-        if write_deadline < until && !self.progress.is_complete() {
+        if write_deadline < answer_deadline && !self.progress.is_complete() {
             return Ending::Unused;
         }
-        tokio::time::sleep_until(clock.instant(until)).await;
+        tokio::time::sleep_until(clock.instant(answer_deadline)).await;
         Ending::Expired
     }
 }
@@ -200,7 +201,7 @@
     pub(super) result: Option<Bytes>,
     pub(super) load: Option<Report>,
     /// The connection, if it can be used again once the remaining body has been read.
-    pub(super) reusable: Option<(Link, Incoming)>,
+    pub(super) reusable: Option<(Connection, Incoming)>,
 }
 
 impl From<Ending> for AttemptEnd {
@@ -218,16 +219,16 @@
     /// Connects, writes the request, and reads the answer.
     async fn exchange(&self) -> AttemptEnd {
         let net = &self.net;
-        let mut link = match connect(net, &self.to).await {
-            Ok(link) => link,
+        let mut connection = match connect(net, &self.to).await {
+            Ok(connection) => connection,
             Err(ending) => return ending.into(),
         };
         let Ok(request) = self.forwarded.request(net.clock.now()) else {
             return Ending::Unused.into();
         };
-        let end = self.arm_write_guard(&link, &request);
-        let Ok(response) = link.sender.send_request(request).await else {
-            return self.classify_lost_connection(&link).into();
+        let end = self.arm_write_guard(&connection, &request);
+        let Ok(response) = connection.sender.send_request(request).await else {
+            return self.classify_lost_connection(&connection).into();
         };
         // The worker answered before it had the whole request, without which no job starts. The rest is not sent.
         if !self.progress.is_complete() {
@@ -235,37 +236,37 @@
             return Ending::Dropped.into();
         }
         net.counters.check_invariant(
-            link.socket.written.get() == end,
+            connection.socket.written.get() == end,
             "the computed length of a request is the number of bytes written",
         );
         let (head, body) = response.into_parts();
         if head.status != StatusCode::OK {
             return classify_error_status(&head);
         }
-        self.read_stream(link, body).await
+        self.read_stream(connection, body).await
     }
 
     /// Sets up the write guard for the request; returns the socket's byte count at the end of the request.
-    fn arm_write_guard(&self, link: &Link, request: &Request<Full<Bytes>>) -> u64 {
+    fn arm_write_guard(&self, connection: &Connection, request: &Request<Full<Bytes>>) -> u64 {
         let size = encoded_len(request, self.forwarded.body.len());
         let job = (self.forwarded.deadline, self.cancellation.clone());
-        let write_deadline = self.times.write_deadline;
-        let end = link.guard_request(&self.net, &self.to, size, write_deadline, Some(job));
-        *self.progress.0.borrow_mut() = Some((link.socket.clone(), end));
+        let write_deadline = self.deadlines.write_deadline;
+        let end = connection.guard_request(&self.net, &self.to, size, write_deadline, Some(job));
+        *self.progress.0.borrow_mut() = Some((connection.socket.clone(), end));
         end
     }
 
     /// The ending of an attempt whose connection failed before the response headers arrived.
-    fn classify_lost_connection(&self, link: &Link) -> Ending {
+    fn classify_lost_connection(&self, connection: &Connection) -> Ending {
         let net = &self.net;
         let counters = &net.counters.workers;
         // The write guard stopped the request before it was complete, so it never ran.
-        if link.socket.is_write_denied.get() {
+        if connection.socket.is_write_denied.get() {
             counters.drained_before_send.increment();
             return Ending::Unused;
         }
         counters.resets.increment();
-        if let Some(idle) = link.idle {
+        if let Some(idle) = connection.idle {
             counters.idle_resets.increment();
             net.workers.reduce_idle_limit(idle);
         }
@@ -294,20 +295,25 @@
 }
 
 /// Takes an idle connection to a worker or opens a new one. The error is the ending of an attempt that cannot connect.
-pub(super) async fn connect(net: &Net, to: &str) -> Result<Link, Ending> {
+pub(super) async fn connect(net: &Net, to: &str) -> Result<Connection, Ending> {
     let address = eligible_address(net, to).ok_or(Ending::Unused)?;
-    if let Some(link) = net.workers.take_idle(&net.counters.workers, to) {
+    if let Some(connection) = net.workers.take_idle(&net.counters.workers, to) {
         net.counters.workers.reused.increment();
-        return Ok(link);
+        return Ok(connection);
     }
     let Some(slot) = net.workers.reserve_slot(net.socket_share()) else {
         net.counters.workers.no_socket.increment();
         return Err(Ending::LocalFault);
     };
     net.counters.workers.dials.increment();
-    match timeout(net.workers.connect_timeout, Link::open(address, Some(slot))).await {
-        Ok(Ok(link)) => Ok(link),
-        Ok(Err(LinkError::Connect(error))) if is_local_fault(&error) => {
+    match timeout(
+        net.workers.connect_timeout,
+        Connection::open(address, Some(slot)),
+    )
+    .await
+    {
+        Ok(Ok(connection)) => Ok(connection),
+        Ok(Err(ConnectionError::Connect(error))) if is_local_fault(&error) => {
             net.counters.workers.local_faults.increment();
             Err(Ending::LocalFault)
         }
@@ -316,7 +322,7 @@
 }
 
 /// Reads an answer to its end, so that its connection can be used again. A longer remainder than one line is not read.
-async fn drain(net: &Net, to: &str, mut link: Link, mut body: Incoming) {
+async fn drain(net: &Net, to: &str, mut connection: Connection, mut body: Incoming) {
     let mut left = MAX_LINE_BYTES;
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { return };
@@ -326,7 +332,7 @@
         };
         left = remaining;
     }
-    if link.sender.ready().await.is_ok() {
-        net.workers.put_back(to, link);
+    if connection.sender.ready().await.is_ok() {
+        net.workers.put_back(to, connection);
     }
 }
--- a/crates/server/src/net/workers/mod.rs
+++ b/crates/server/src/net/workers/mod.rs
@@ -1,6 +1,6 @@
 //! The worker client: the table of workers with their addresses, and the pool of connections to them.
 //!
-//! - `attempt` sends a request over a connection (`link`); `stream_reader` reads the job stream that `stream` defines.
+//! - `attempt` sends a request over a `connection`; `stream_reader` reads the job stream that `stream` defines.
 //! - `write_guard` checks each write immediately before it is made, with the help of `client` (is the client still
 //!   connected?) and `deadline` (the remaining time sent to the worker).
 //! - `probe` makes calls that start no job, and `fault` recognizes local causes of failed connections.
@@ -11,9 +11,9 @@
 
 mod attempt;
 mod client;
+mod connection;
 mod deadline;
 mod fault;
-mod link;
 mod probe;
 mod stream;
 mod stream_reader;
@@ -31,13 +31,13 @@
 use super::counters::WorkerCounters;
 use super::{Clock, Net};
 use crate::list::UpdateKind;
-use link::{Socket, SocketSlot};
+use connection::{Socket, SocketSlot};
 use oakshed_core::facade::{Condition, Entry, Micros, Settings, Span};
 
-pub(crate) use attempt::{start, Attempt, AttemptObserver, AttemptTimes};
+pub(crate) use attempt::{start_attempt, Attempt, AttemptDeadlines, AttemptObserver};
 pub(crate) use client::ClientConnection;
-pub(crate) use link::{Link, LinkError};
-pub(crate) use probe::{consult, probe};
+pub(crate) use connection::{Connection, ConnectionError};
+pub(crate) use probe::{call_lease_endpoint, probe};
 
 /// The time limit for connecting if the settings have none.
 const DEFAULT_CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -54,7 +54,7 @@
     address: SocketAddr,
     ready: bool,
     /// Idle connections and the time since when they are idle, newest last.
-    idle: Vec<(Micros, Link)>,
+    idle: Vec<(Micros, Connection)>,
 }
 
 /// An idle limit that was reduced after an idle connection was reset.
@@ -76,7 +76,7 @@
     /// The number of sockets that are open or being opened.
     open_sockets: Rc<Cell<usize>>,
     /// The number of attempts that were written in full.
-    attempts: Cell<u64>,
+    written_attempts: Cell<u64>,
     /// The connections on which an update of the endpoint list may arrive.
     watches: RefCell<Vec<Rc<Socket>>>,
     /// `None` until an idle connection has been reset.
@@ -97,7 +97,7 @@
             by_name: RefCell::default(),
             ready: Cell::new(0),
             open_sockets: Rc::default(),
-            attempts: Cell::new(0),
+            written_attempts: Cell::new(0),
             watches: RefCell::default(),
             reduced_idle_limit: Cell::new(None),
         }
@@ -171,15 +171,15 @@
     }
 
     /// The number of attempts whose requests were written in full, whatever their outcome.
-    pub(crate) fn attempts(&self) -> u64 {
-        self.attempts.get()
+    pub(crate) fn written_attempts(&self) -> u64 {
+        self.written_attempts.get()
     }
 
     /// Registers a connection on which updates of the endpoint list arrive, until the returned guard is dropped.
-    pub(crate) fn track_watch(&self, link: &Link) -> OpenWatch<'_> {
-        link.socket.has_unread_update.set(false);
-        self.watches.borrow_mut().push(link.socket.clone());
-        OpenWatch(self, link.socket.clone())
+    pub(crate) fn track_watch(&self, connection: &Connection) -> OpenWatch<'_> {
+        connection.socket.has_unread_update.set(false);
+        self.watches.borrow_mut().push(connection.socket.clone());
+        OpenWatch(self, connection.socket.clone())
     }
 
     /// Whether an update of the endpoint list has arrived, or may have, that is not applied yet.
@@ -204,14 +204,14 @@
     }
 
     /// Takes the newest idle connection to a worker that is still usable.
-    fn take_idle(&self, counters: &WorkerCounters, name: &str) -> Option<Link> {
+    fn take_idle(&self, counters: &WorkerCounters, name: &str) -> Option<Connection> {
         let mut by_name = self.by_name.borrow_mut();
         let worker = by_name.get_mut(name)?;
-        while let Some((since, mut link)) = worker.idle.pop() {
+        while let Some((since, mut connection)) = worker.idle.pop() {
             let idle = self.clock.now().saturating_sub(since);
-            if idle < self.idle_limit() && !link.is_dead() && link.sender.is_ready() {
-                link.idle = Some(idle);
-                return Some(link);
+            if idle < self.idle_limit() && !connection.is_dead() && connection.sender.is_ready() {
+                connection.idle = Some(idle);
+                return Some(connection);
             }
             counters.dead_idle.increment();
         }
@@ -219,28 +219,28 @@
     }
 
     /// Returns a connection to the pool, or closes it if the worker is no longer ready or has another address.
-    fn put_back(&self, name: &str, link: Link) {
+    fn put_back(&self, name: &str, connection: Connection) {
         if let Some(worker) = self
             .by_name
             .borrow_mut()
             .get_mut(name)
-            .filter(|worker| worker.ready && worker.address == link.address)
+            .filter(|worker| worker.ready && worker.address == connection.address)
         {
-            worker.idle.push((self.clock.now(), link));
+            worker.idle.push((self.clock.now(), connection));
         }
     }
 
     /// Reserves a socket within the budget `limit`. If the budget is used up, the connection that has been idle for
     /// longest is closed to make room.
     fn reserve_slot(&self, limit: usize) -> Option<SocketSlot> {
-        if self.open_sockets.get() >= limit && !self.close_oldest() {
+        if self.open_sockets.get() >= limit && !self.close_longest_idle() {
             return None;
         }
         Some(SocketSlot::new(&self.open_sockets))
     }
 
     /// Closes the connection that has been idle for longest. Returns false if there is no idle connection.
-    pub(crate) fn close_oldest(&self) -> bool {
+    pub(crate) fn close_longest_idle(&self) -> bool {
         let mut by_name = self.by_name.borrow_mut();
         let oldest = by_name
             .values_mut()
@@ -276,9 +276,9 @@
         let now = self.clock.now();
         let limit = self.idle_limit();
         for worker in self.by_name.borrow_mut().values_mut() {
-            worker
-                .idle
-                .retain(|(since, link)| now < since + limit && !link.sender.is_closed());
+            worker.idle.retain(|(since, connection)| {
+                now < since + limit && !connection.sender.is_closed()
+            });
         }
     }
 }
@@ -304,7 +304,7 @@
 }
 
 /// Closes expired idle connections at regular intervals, for as long as the process runs.
-pub(crate) async fn sweep(net: Rc<Net>) {
+pub(crate) async fn close_expired_connections(net: Rc<Net>) {
     loop {
         tokio::time::sleep(SWEEP_INTERVAL).await;
         net.workers.close_expired();
