--- a/crates/server/src/net/durable/mod.rs
+++ b/crates/server/src/net/durable/mod.rs
@@ -382,7 +382,7 @@
 
 /// Returns a notice for the log if jobs of a class must not run twice and workers do not support leases: a broken
 /// connection then leaves it unknown whether such a job ran.
-pub(super) fn advice(config: &Config) -> Option<&'static str> {
+pub(super) fn missing_lease_notice(config: &Config) -> Option<&'static str> {
     let jobs = config.operator.jobs.as_ref()?;
     let strict = config
         .settings
--- a/crates/server/src/net/serve.rs
+++ b/crates/server/src/net/serve.rs
@@ -39,8 +39,8 @@
     let peers = peers::open(&config, clock.now())?;
     let directory = SharedDirectory::open(config.tmp.as_deref(), config.listen).map(Rc::new);
     let start = Start::open(directory, &mut config, &mut facade, clock)?;
-    if let Some(advice) = durable::advice(&config) {
-        info!("store: {advice}");
+    if let Some(notice) = durable::missing_lease_notice(&config) {
+        info!("store: {notice}");
     }
     let mut net = Net::new(config, clock, facade, durable);
     net.peers = peers;
