--- a/crates/server/src/net/counters.rs
+++ b/crates/server/src/net/counters.rs
@@ -13,7 +13,7 @@
 
 use tracing::info;
 
-use super::durable::Durable;
+use super::durable::DurableJobs;
 use super::Net;
 use oakshed_core::facade::{Accounts, Tally};
 
@@ -160,7 +160,7 @@
     open_request_ids: usize,
     body_bytes: usize,
     worker_sockets: usize,
-    jobs: Option<&'a Durable>,
+    jobs: Option<&'a DurableJobs>,
 }
 
 impl<'a> Summary<'a> {
--- a/crates/server/src/net/durable/clients.rs
+++ b/crates/server/src/net/durable/clients.rs
@@ -19,7 +19,7 @@
 use super::super::answers::{not_allowed, plain, rejection, IDEMPOTENCY_KEY, REQ_OWNER};
 use super::super::forwarded_request::ForwardedRequest;
 use super::super::Net;
-use super::{Durable, JobUpdate};
+use super::{DurableJobs, JobUpdate};
 
 /// How long after the deadline a response waits for the answer to become durable, in microseconds.
 const SYNC_GRACE: Micros = 1_000_000;
@@ -192,7 +192,7 @@
 /// Waits until the job has its answer, is accepted if it is detached, or the limits are over; returns the response.
 async fn await_answer(
     net: &Net,
-    durable: &Durable,
+    durable: &DurableJobs,
     id: JobId,
     detached: bool,
     mut limits: WaitLimits,
@@ -279,7 +279,12 @@
 }
 
 /// Returns a job's status once the job is finished or `wait` seconds have passed.
-async fn await_status(net: &Net, durable: &Durable, id: JobId, wait: u64) -> Response<Full<Bytes>> {
+async fn await_status(
+    net: &Net,
+    durable: &DurableJobs,
+    id: JobId,
+    wait: u64,
+) -> Response<Full<Bytes>> {
     let now = net.clock.now();
     let end = net.shutdown.bounded(now, now + wait * 1_000_000);
     let limit = net.clock.instant(end);
@@ -296,7 +301,7 @@
 }
 
 /// Cancels a job that has not been sent to a worker yet.
-fn cancel(net: &Rc<Net>, durable: &Durable, id: JobId) -> Response<Full<Bytes>> {
+fn cancel(net: &Rc<Net>, durable: &DurableJobs, id: JobId) -> Response<Full<Bytes>> {
     let cancelled = {
         let facade = &mut net.facade.borrow_mut();
         let mut jobs = durable.jobs.borrow_mut();
--- a/crates/server/src/net/durable/mod.rs
+++ b/crates/server/src/net/durable/mod.rs
@@ -72,7 +72,7 @@
 }
 
 /// The durable jobs of this scheduler with their store, attempts and waiting clients.
-pub(crate) struct Durable {
+pub(crate) struct DurableJobs {
     jobs: RefCell<Jobs>,
     group_commit: GroupCommit,
     dir: std::path::PathBuf,
@@ -105,7 +105,7 @@
 pub(super) fn open(
     config: &Config,
     now: Micros,
-) -> Result<(Option<Durable>, StoreEvents), StoreError> {
+) -> Result<(Option<DurableJobs>, StoreEvents), StoreError> {
     let Some(settings) = &config.operator.jobs else {
         return Ok((None, None));
     };
@@ -128,7 +128,7 @@
     log_restored(&jobs, records, start.elapsed());
     let (tx, rx) = mpsc::unbounded_channel();
     let group_commit = GroupCommit::start(log, move |event| _ = tx.send(event))?;
-    let durable = Durable {
+    let durable = DurableJobs {
         jobs: RefCell::new(jobs),
         group_commit,
         dir: settings.dir.clone(),
@@ -211,7 +211,7 @@
     );
 }
 
-impl Durable {
+impl DurableJobs {
     /// Performs the pending effects of the state machine and appends its new records to the log.
     fn process_output(&self, net: &Rc<Net>) {
         loop {
--- a/crates/server/src/net/durable/run.rs
+++ b/crates/server/src/net/durable/run.rs
@@ -12,7 +12,7 @@
 use tracing::{info, warn};
 
 use super::super::{workers, Net};
-use super::{Durable, StoreEvents, FENCE_TIMEOUT};
+use super::{DurableJobs, StoreEvents, FENCE_TIMEOUT};
 
 /// The interval between two runs of [`maintain`].
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(500);
@@ -55,7 +55,7 @@
 }
 
 /// Reports an event of the store to the state machine, and logs changes of the store's condition.
-fn on_store_event(net: &Rc<Net>, durable: &Durable, event: StoreEvent) {
+fn on_store_event(net: &Rc<Net>, durable: &DurableJobs, event: StoreEvent) {
     let now = net.clock.now();
     let mut jobs = durable.jobs.borrow_mut();
     let mut facade = net.facade.borrow_mut();
--- a/crates/server/src/net/durable/summary.rs
+++ b/crates/server/src/net/durable/summary.rs
@@ -4,7 +4,7 @@
 
 use oakshed_jobs::machine::{Counts, Sizes};
 
-use super::Durable;
+use super::DurableJobs;
 
 /// The counters of durable jobs and of the store.
 pub(in super::super) struct JobsSummary {
@@ -15,7 +15,7 @@
     mean_sync_us: u64,
 }
 
-impl Durable {
+impl DurableJobs {
     /// Returns the current values.
     pub(in super::super) fn summary(&self) -> JobsSummary {
         let jobs = self.jobs.borrow();
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -74,13 +74,18 @@
     pub hot_restart: hot_restart::HotRestart,
     pub exclusions: exclusions::Exclusions,
     /// Durable jobs, where the operators have switched them on.
-    pub durable: Option<durable::Durable>,
+    pub durable: Option<durable::DurableJobs>,
     /// What schedulers share, where the operators have switched that on.
     pub peers: Option<peers::Peers>,
 }
 
 impl Net {
-    fn new(config: Config, clock: Clock, facade: Facade, durable: Option<durable::Durable>) -> Net {
+    fn new(
+        config: Config,
+        clock: Clock,
+        facade: Facade,
+        durable: Option<durable::DurableJobs>,
+    ) -> Net {
         Net {
             clock,
             facade: RefCell::new(facade),
