--- a/crates/core/src/figures.rs
+++ b/crates/core/src/figures.rs
@@ -1,6 +1,6 @@
 //! Counts requests by class and outcome, and renders the counts for operators.
 //!
-//! A request that has been taken in holds an [`Entry`]. Consuming or dropping the entry counts the
+//! A request that has been taken in holds a [`PendingRequest`]. Consuming or dropping it counts the
 //! end of the request, so that no end is counted twice or missed.
 
 use std::cell::RefCell;
@@ -9,14 +9,14 @@
 
 /// How a request ended, as seen by its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum RequestOutcome {
     /// Served with a worker's result.
     Completed,
     /// Rejected; the client may safely try again.
     Rejected,
     /// Failed for any reason.
     Failed,
-    /// The client disconnected before the end.
+    /// Ended without a final answer: the client disconnected, or the request became a durable job.
     Abandoned,
 }
 
@@ -45,8 +45,8 @@
 
 impl Inner {
     /// Asserts, in debug builds, that the requests taken are those ended and those pending;
-    /// otherwise one was counted twice or not at all. [`Entry`] already ensures this, so the check
-    /// guards against later changes.
+    /// otherwise one was counted twice or not at all. [`PendingRequest`] already ensures this, so
+    /// the check guards against later changes.
     fn assert_consistent(&self) {
         if !cfg!(debug_assertions) {
             return;
@@ -64,13 +64,13 @@
 
 /// Counts requests by class and outcome. Clones share the counts.
 #[derive(Clone, Debug)]
-pub struct Ledger(Rc<RefCell<Inner>>);
+pub struct RequestCounts(Rc<RefCell<Inner>>);
 
-impl Ledger {
+impl RequestCounts {
     /// Creates the counts for a number of classes.
     #[must_use]
-    pub fn new(classes: usize) -> Ledger {
-        Ledger(Rc::new(RefCell::new(Inner {
+    pub fn new(classes: usize) -> RequestCounts {
+        RequestCounts(Rc::new(RefCell::new(Inner {
             classes: vec![Counts::default(); classes + 1],
             pending: 0,
         })))
@@ -78,7 +78,7 @@
 
     /// Counts a request that has arrived; `None` if its class is unknown.
     #[must_use]
-    pub fn take(&self, class: Option<usize>) -> Entry {
+    pub fn begin(&self, class: Option<usize>) -> PendingRequest {
         let mut inner = self.0.borrow_mut();
         let unknown_class = inner.classes.len() - 1;
         let class = class
@@ -86,10 +86,10 @@
             .unwrap_or(unknown_class);
         inner.classes[class].taken += 1;
         inner.pending += 1;
-        Entry {
-            ledger: self.clone(),
+        PendingRequest {
+            counts: self.clone(),
             class,
-            end: End::Abandoned,
+            outcome: RequestOutcome::Abandoned,
         }
     }
 
@@ -102,10 +102,10 @@
     /// Returns how many requests of a class ended with an outcome; `None` stands for the unknown
     /// classes.
     #[must_use]
-    pub fn ended(&self, class: Option<usize>, end: End) -> u64 {
+    pub fn ended(&self, class: Option<usize>, outcome: RequestOutcome) -> u64 {
         let inner = self.0.borrow();
         let counts = class.map_or(inner.classes.last(), |c| inner.classes.get(c));
-        counts.map_or(0, |c| c.ended[end as usize])
+        counts.map_or(0, |c| c.ended[outcome as usize])
     }
 
     /// Renders the counts in the format for operators, one per line.
@@ -139,25 +139,25 @@
 }
 
 /// A request that was taken and has not ended. If it is dropped without an outcome, the request
-/// counts as [`End::Abandoned`].
+/// counts as [`RequestOutcome::Abandoned`].
 #[derive(Debug)]
-pub struct Entry {
-    ledger: Ledger,
+pub struct PendingRequest {
+    counts: RequestCounts,
     class: usize,
-    end: End,
+    outcome: RequestOutcome,
 }
 
-impl Entry {
+impl PendingRequest {
     /// Records the outcome of the request.
-    pub fn end(mut self, end: End) {
-        self.end = end;
+    pub fn end(mut self, outcome: RequestOutcome) {
+        self.outcome = outcome;
     }
 }
 
-impl Drop for Entry {
+impl Drop for PendingRequest {
     fn drop(&mut self) {
-        let mut inner = self.ledger.0.borrow_mut();
-        inner.classes[self.class].ended[self.end as usize] += 1;
+        let mut inner = self.counts.0.borrow_mut();
+        inner.classes[self.class].ended[self.outcome as usize] += 1;
         inner.pending -= 1;
         inner.assert_consistent();
     }
--- a/crates/core/tests/model/main.rs
+++ b/crates/core/tests/model/main.rs
@@ -8,7 +8,7 @@
 use std::task::Waker;
 
 use oakshed_core::facade::{Accounts, Ending, Facade, Micros, Report, Seen};
-use oakshed_core::figures::End;
+use oakshed_core::figures::RequestOutcome;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -36,7 +36,7 @@
         }
         world.wait_until(world.now + 20_000 * MS);
         check_counts(&world);
-        check_ledger(&world);
+        check_request_counts(&world);
         let accounts = world.facade.accounts();
         assert_eq!(
             accounts,
@@ -66,21 +66,27 @@
     assert_eq!((world.facade.owed(), tally.invariant_violations), (0, 0));
 }
 
-/// The ledger has counted the same ends.
-fn check_ledger(world: &World) {
+/// The request counts agree with the facade.
+fn check_request_counts(world: &World) {
     let tally = world.facade.tally();
     let counted = |end| {
-        let by_class = (0..2).map(|class| world.ledger.ended(Some(class), end));
+        let by_class = (0..2).map(|class| world.request_counts.ended(Some(class), end));
         by_class.sum::<u64>()
     };
-    let ends = [End::Completed, End::Rejected, End::Failed, End::Abandoned].map(counted);
+    let ends = [
+        RequestOutcome::Completed,
+        RequestOutcome::Rejected,
+        RequestOutcome::Failed,
+        RequestOutcome::Abandoned,
+    ]
+    .map(counted);
     assert_eq!(
-        ends.iter().sum::<u64>() + world.ledger.pending(),
+        ends.iter().sum::<u64>() + world.request_counts.pending(),
         tally.taken
     );
     // One that was answered in the moment in which its client disconnected counts as either.
     assert!(ends[0] <= tally.served && ends[1] <= tally.rejected && ends[2] <= tally.failed);
-    assert_eq!(world.ledger.pending(), 0);
+    assert_eq!(world.request_counts.pending(), 0);
 }
 
 /// Guards against a timer that is lost: nobody else wakes a scheduler without traffic, nor what is queued at one
--- a/crates/core/tests/model/request.rs
+++ b/crates/core/tests/model/request.rs
@@ -5,7 +5,7 @@
 use std::task::Wake;
 
 use oakshed_core::facade::{Ending, Micros};
-use oakshed_core::figures::Entry as Owed;
+use oakshed_core::figures::PendingRequest as Owed;
 
 /// Notes that it was woken.
 pub struct Flag(pub AtomicBool);
--- a/crates/core/tests/model/world.rs
+++ b/crates/core/tests/model/world.rs
@@ -8,7 +8,7 @@
 use oakshed_core::facade::{
     self, Condition, Ending, Entry, Facade, Handle, Job, ListKind, Micros, Seen, Settings,
 };
-use oakshed_core::figures::{End, Ledger};
+use oakshed_core::figures::{RequestCounts, RequestOutcome};
 use oakshed_core::interface::{Class, Effect, Scope, Span};
 
 use crate::request::{flag, Flag, Out, Waiting};
@@ -54,7 +54,7 @@
     timer: Arc<Flag>,
     next: Option<Micros>,
     pub subscriptions: u32,
-    pub ledger: Ledger,
+    pub request_counts: RequestCounts,
 }
 
 impl World {
@@ -72,7 +72,7 @@
             timer: flag(),
             next: None,
             subscriptions: 0,
-            ledger: Ledger::new(2),
+            request_counts: RequestCounts::new(2),
         };
         let all: Vec<Entry> = (0..4).map(|b| world.entry(b)).collect();
         world
@@ -150,7 +150,7 @@
             facade::Step::Serve { attempt } => {
                 let ended = self.requests[&request].attempts[attempt].ended;
                 assert_eq!(ended, Some(Ending::Delivered), "only a result is served");
-                End::Completed
+                RequestOutcome::Completed
             }
             facade::Step::Reject { .. } => {
                 let r = &self.requests[&request];
@@ -158,9 +158,9 @@
                     r.class != 0 || !r.may_have_run(),
                     "rejected though it may have run"
                 );
-                End::Rejected
+                RequestOutcome::Rejected
             }
-            facade::Step::Fail => End::Failed,
+            facade::Step::Fail => RequestOutcome::Failed,
             facade::Step::Cancel { attempt } => {
                 panic!("attempt {attempt} is to be dropped before the answer")
             }
@@ -297,7 +297,7 @@
         };
         let request = self.facade.take(self.now, &job);
         self.order.push(request);
-        let owed = Some(self.ledger.take(Some(class as usize)));
+        let owed = Some(self.request_counts.begin(Some(class as usize)));
         let new = Waiting {
             class,
             woken: flag(),
--- a/crates/server/src/net/admin.rs
+++ b/crates/server/src/net/admin.rs
@@ -231,7 +231,7 @@
 /// The operators' figures.
 fn telemetry(net: &Net) -> String {
     let members = net.facade.borrow().members();
-    net.ledger
+    net.request_counts
         .render(&net.config.names.classes, net.workers.attempts(), members)
         + "END\n"
 }
--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -2,7 +2,7 @@
 //!
 //! The scheduler decides what happens to a request: each step comes from the facade's `pick` and is performed here at
 //! once. This module also reports the progress of the request's attempts to the facade and counts the request and its
-//! outcome in the ledger.
+//! outcome in the request counts.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,7 +21,7 @@
 use super::clients::Client;
 use super::request::{class_of, read_request};
 use oakshed_core::facade::{Ending, Handle, Job, Micros, Report, Seen, Step};
-use oakshed_core::figures::{End, Entry};
+use oakshed_core::figures::{PendingRequest, RequestOutcome};
 
 /// Routes a request by its path, answers it, and counts its outcome.
 pub(super) async fn respond(
@@ -50,33 +50,33 @@
     };
     let response = answer(net, client, connection, &accounting, arrived, (head, body)).await;
     let end = match response.status() {
-        StatusCode::OK => End::Completed,
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => End::Rejected,
+        StatusCode::OK => RequestOutcome::Completed,
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => RequestOutcome::Rejected,
         // A durable job goes on without its client; its answer is returned by later queries.
-        StatusCode::ACCEPTED => End::Abandoned,
-        _ => End::Failed,
+        StatusCode::ACCEPTED => RequestOutcome::Abandoned,
+        _ => RequestOutcome::Failed,
     };
     accounting.take_entry().end(end);
     response
 }
 
-/// Counts a request in the ledger from its complete arrival or its answer, whichever is first.
+/// Counts a request from its complete arrival or its answer, whichever is first.
 struct Accounting<'a> {
     net: &'a Net,
     class: Option<usize>,
-    entry: RefCell<Option<Entry>>,
+    entry: RefCell<Option<PendingRequest>>,
 }
 
 impl Accounting<'_> {
     fn on_arrived(&self) {
-        *self.entry.borrow_mut() = Some(self.net.ledger.take(self.class));
+        *self.entry.borrow_mut() = Some(self.net.request_counts.begin(self.class));
     }
 
-    /// Takes the ledger entry, or creates it for a request that was answered before its complete arrival.
-    fn take_entry(&self) -> Entry {
+    /// Takes the entry, or creates one for a request that was answered before its complete arrival.
+    fn take_entry(&self) -> PendingRequest {
         self.entry
             .take()
-            .unwrap_or_else(|| self.net.ledger.take(self.class))
+            .unwrap_or_else(|| self.net.request_counts.begin(self.class))
     }
 }
 
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -42,7 +42,7 @@
 use counters::Counters;
 pub use error::{ListenError, ServeError};
 use oakshed_core::facade::{Entry, Facade, ListKind, Seen, Step};
-use oakshed_core::figures::Ledger;
+use oakshed_core::figures::RequestCounts;
 pub use serve::serve;
 use shutdown::Shutdown;
 pub use transient::retry_at_start;
@@ -67,7 +67,7 @@
     pub shutdown: Shutdown,
     pub counters: Counters,
     /// What became of requests, for operators.
-    pub ledger: Ledger,
+    pub request_counts: RequestCounts,
     /// The start is complete: requests may be served as far as the endpoint list allows.
     pub started: Cell<bool>,
     pub open_requests: Rc<forwarded_request::OpenRequests>,
@@ -88,7 +88,7 @@
             discovery: discovery::DiscoveryState::new(config.discovery),
             shutdown: Shutdown::new(clock),
             counters: Counters::default(),
-            ledger: Ledger::new(config.settings.classes.len()),
+            request_counts: RequestCounts::new(config.settings.classes.len()),
             started: Cell::new(false),
             open_requests: Rc::default(),
             hot_restart: hot_restart::HotRestart::default(),
