--- a/crates/core/src/scheduler/load_estimate.rs
+++ b/crates/core/src/scheduler/load_estimate.rs
@@ -26,7 +26,7 @@
     /// Mean of the free slots reported.
     mean_free: f64,
     /// Mean time between two reports of a worker, in microseconds.
-    pub mean_gap: f64,
+    pub mean_report_interval: f64,
     /// Share of the reports that differ from the same worker's previous one.
     pub change_share: f64,
 }
@@ -39,7 +39,7 @@
             } else {
                 UNREPORTED_FREE_SLOTS
             },
-            mean_gap: mean_run / 2.0,
+            mean_report_interval: mean_run / 2.0,
             change_share: 1.0,
         }
     }
@@ -48,7 +48,7 @@
     /// a worker's report changes between two answers. Probe results are current.
     fn lag(&self, source: Reports) -> f64 {
         match source {
-            Reports::Answers => self.mean_gap / self.change_share.max(0.01),
+            Reports::Answers => self.mean_report_interval / self.change_share.max(0.01),
             Reports::Probe | Reports::None => 0.0,
         }
     }
@@ -153,7 +153,7 @@
 
     /// The capacity of a worker: its weight in the endpoint list divided by the slowdown of its
     /// kind.
-    pub(crate) fn raw_size(&self, w: WorkerIndex) -> f64 {
+    pub(crate) fn capacity(&self, w: WorkerIndex) -> f64 {
         let listing = &self.workers[w].listing;
         let weight = if self.settings.weights == Weights::None {
             1.0
@@ -165,6 +165,6 @@
 
     /// The capacity of a worker relative to the mean of the live workers.
     pub(super) fn relative_capacity(&self, w: WorkerIndex) -> f64 {
-        self.raw_size(w) / self.pools.mean_size
+        self.capacity(w) / self.pools.mean_size
     }
 }
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -98,7 +98,7 @@
     concurrency_limit: ConcurrencyLimit,
 
     /// Other live processes of this scheduler, as during a hot restart.
-    pub(crate) sharing_processes: usize,
+    pub(crate) other_processes: usize,
     discovery_polling: DiscoveryPolling,
 }
 
--- a/crates/core/src/scheduler/slow_start.rs
+++ b/crates/core/src/scheduler/slow_start.rs
@@ -27,12 +27,12 @@
 impl SlowStartBudget {
     /// Restarts the accumulation of budget now. Otherwise all schedulers would save up budget while
     /// none of them may send to the worker.
-    pub(crate) fn restart(&mut self, now: Instant) {
+    pub(crate) fn restart_accrual(&mut self, now: Instant) {
         self.updated_at = now;
     }
 
     /// Sets an initial debt, in slot-microseconds.
-    pub(crate) fn begin_in_debt(&mut self, debt: f64) {
+    pub(crate) fn set_initial_debt(&mut self, debt: f64) {
         self.balance = -debt;
     }
 
@@ -75,7 +75,7 @@
         // itself.
         let min_throughput = MIN_THROUGHPUT_SLOTS
             / f64::from(settings.schedulers)
-            / (1 + self.sharing_processes) as f64;
+            / (1 + self.other_processes) as f64;
         // A larger worker gets no more than one of mean capacity, because capacity estimates are
         // imprecise.
         let size = self.relative_capacity(w).min(1.0);
--- a/crates/core/src/state/hot_restart.rs
+++ b/crates/core/src/state/hot_restart.rs
@@ -12,7 +12,7 @@
 impl Scheduler {
     /// Sets how many processes of this scheduler are running, this one included.
     pub fn share(&mut self, processes: usize) {
-        self.sharing_processes = processes.saturating_sub(1);
+        self.other_processes = processes.saturating_sub(1);
     }
 
     /// The estimates of load and running times for the successor.
--- a/crates/core/src/state/list.rs
+++ b/crates/core/src/state/list.rs
@@ -69,7 +69,7 @@
             if applied.is_fresh {
                 let debt = self.rng.f64() * self.mean_run;
                 let worker = &mut self.workers[applied.worker];
-                worker.slow_start.begin_in_debt(debt);
+                worker.slow_start.set_initial_debt(debt);
             }
         }
         let has_listed = self.workers.iter().any(|worker| worker.listing.is_listed);
@@ -91,7 +91,7 @@
         let is_fresh = has_restarted || is_usable_again;
         let worker = &mut self.workers[w];
         if is_fresh {
-            worker.slow_start.restart(self.now);
+            worker.slow_start.restart_accrual(self.now);
         }
         if let Some(backoff) = self.resumed_backoffs.remove(&row.worker) {
             worker.health.backoff = backoff;
--- a/crates/core/src/state/pool.rs
+++ b/crates/core/src/state/pool.rs
@@ -201,7 +201,7 @@
             }
             let listing = &self.workers[w].listing;
             let kind = listing.kind;
-            let size = self.raw_size(w);
+            let size = self.capacity(w);
             pools.live.push(w, kind, size);
             pools.by_kind.entry(kind).or_default().push(w, kind, size);
             if listing.zone == self.settings.own_zone() {
@@ -210,7 +210,7 @@
             pools.warmth += self.warm_up_progress(w);
         }
         pools.drop_empty();
-        pools.rescale(self.now, |w| self.raw_size(w));
+        pools.rescale(self.now, |w| self.capacity(w));
         self.pools = pools;
     }
 
@@ -219,7 +219,7 @@
     pub(crate) fn reweigh_pools(&mut self) {
         if self.since(self.pools.rescaled_at) > self.mean_run {
             let mut pools = std::mem::take(&mut self.pools);
-            pools.rescale(self.now, |w| self.raw_size(w));
+            pools.rescale(self.now, |w| self.capacity(w));
             self.pools = pools;
         }
     }
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -181,7 +181,8 @@
         let is_same = load.report == *report;
         if load.reported_at > Instant::ZERO && gap < self.mean_run {
             let differs = f64::from(u8::from(!is_same));
-            self.reports.mean_gap += REPORT_SMOOTHING * (gap - self.reports.mean_gap);
+            self.reports.mean_report_interval +=
+                REPORT_SMOOTHING * (gap - self.reports.mean_report_interval);
             self.reports.change_share += REPORT_SMOOTHING * (differs - self.reports.change_share);
         }
         load.reported_at = self.now;
