--- a/crates/server/src/net/admin.rs
+++ b/crates/server/src/net/admin.rs
@@ -231,9 +231,10 @@
 /// The operators' figures.
 fn telemetry(net: &Net) -> String {
     let members = net.facade.borrow().members();
-    net.ledger.render(
+    net.request_counts.render(
         &net.config.names.classes,
         net.workers.written_attempts(),
         members,
-    ) + "END\n"
+    ) + "END
+"
 }
