--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,16 +1,20 @@
-//! Durable jobs with leases: a scheduler that may be killed at any instruction runs no job twice that must
-//! not be, and gives every client its one final answer.
+//! Durable jobs with worker leases.
 //!
-//! - [`machine`]: the state machine. Commands, events and time go in; records to write, and effects to
-//!   carry out once these are durable, come out.
-//! - [`record`]: the records of the log, and how jobs are identified.
-//! - [`log`]: the file format and its recovery, over the trait [`log::Files`].
-//! - [`disk`]: that trait on a real directory; [`fault`]: one in memory that fails as disks do.
-//! - [`startup`]: opening a log while the system fails for a moment.
-//! - [`group_commit`]: one thread that writes and syncs all that waits; [`backoff`] when a disk fails.
+//! A scheduler may be killed at any instruction: a job that must run at most once is still not run twice,
+//! and every client gets exactly one final answer.
 //!
-//! HTTP and the endpoint list belong to `crates/server`; whether and where a job is sent is decided by
-//! `oakshed-core`. docs/durable-jobs.md gives the invariants; docs/leases.md the workers' side.
+//! - [`machine`]: the state machine. It takes commands, events and the time, and returns records to write
+//!   and effects to perform once those records are durable.
+//! - [`record`]: the log's record types and job identifiers.
+//! - [`log`]: the write-ahead log's file format and recovery, on top of the trait [`log::Files`].
+//! - [`disk`]: [`log::Files`] for a directory on disk.
+//! - [`fault`]: [`log::Files`] in memory, with injected disk faults, for tests.
+//! - [`startup`]: opening a log, with retries of transient I/O errors.
+//! - [`group_commit`]: the thread that writes and syncs records in groups.
+//! - [`backoff`]: retry delays for failed disk operations.
+//!
+//! `crates/server` implements HTTP and endpoint discovery; `oakshed-core` decides whether and where a job
+//! is sent. docs/durable-jobs.md lists the invariants, docs/leases.md the worker's side of the protocol.
 #![warn(missing_docs)]
 
 pub mod backoff;
