--- a/crates/jobs/src/backoff.rs
+++ b/crates/jobs/src/backoff.rs
@@ -1,29 +1,33 @@
-//! Jittered exponential backoff between retries of a disk operation, without a limit to their number.
+//! Jittered exponential backoff for disk operations that are retried without a limit.
 
 use std::time::Duration;
 
-/// The longest wait before the second try.
-const FIRST: Duration = Duration::from_millis(10);
-/// The longest wait of all.
-const LONGEST: Duration = Duration::from_secs(1);
+/// Upper bound of the first delay.
+const INITIAL_DELAY: Duration = Duration::from_millis(10);
+/// Upper bound of every delay.
+const MAX_DELAY: Duration = Duration::from_secs(1);
 
-/// Jittered exponential backoff.
+/// The retry delays of one failing operation.
 #[derive(Clone, Copy, Debug)]
 pub struct Backoff {
-    next: Duration,
+    /// Upper bound of the next delay.
+    next_bound: Duration,
 }
 
 impl Default for Backoff {
     fn default() -> Self {
-        Backoff { next: FIRST }
+        Backoff {
+            next_bound: INITIAL_DELAY,
+        }
     }
 }
 
 impl Backoff {
-    /// The wait before the next try: between half of the present step and all of it.
+    /// Returns the delay before the next retry, between half of the current bound and all of it, and
+    /// doubles the bound.
     pub fn delay(&mut self) -> Duration {
-        let step = self.next;
-        self.next = (step * 2).min(LONGEST);
-        step.mul_f64(0.5 + fastrand::f64() / 2.0)
+        let bound = self.next_bound;
+        self.next_bound = (bound * 2).min(MAX_DELAY);
+        bound.mul_f64(0.5 + fastrand::f64() / 2.0)
     }
 }
