--- a/crates/jobs/src/disk.rs
+++ b/crates/jobs/src/disk.rs
@@ -1,7 +1,7 @@
-//! The log's directory on a real disk.
+//! The log's directory on disk, and the settlement files that operators leave in it.
 //!
-//! It owns the lock that excludes a second process, and the preallocation of blocks. Every change of a name
-//! is durable when the call returns.
+//! A lock file keeps a second process out, and segments get their disk blocks when they are created.
+//! Creating, renaming and removing a file sync the directory before they return.
 
 use std::fs::{self, File, OpenOptions};
 use std::io;
@@ -14,15 +14,17 @@
 use crate::log::Files;
 use crate::record::{JobId, Outcome};
 
-/// A directory, locked by this process or opened for reading only.
+/// A log directory, either locked by this process or opened read-only.
 pub struct Disk {
     path: PathBuf,
-    folder: File,
+    /// The open directory, which is synced after its entries change.
+    directory: File,
+    /// The open lock file; closing it releases the lock.
     _lock: Option<File>,
 }
 
 impl Disk {
-    /// Locks a directory for this process, creating it where there is none.
+    /// Locks a directory for this process, and creates the directory if it does not exist.
     ///
     /// # Errors
     /// Fails when the directory cannot be created, opened or synced, and with
@@ -36,23 +38,23 @@
             .mode(0o600)
             .open(path.join("lock"))?;
         flock(&lock, FlockOperation::NonBlockingLockExclusive).map_err(lock_error)?;
-        let folder = File::open(path)?;
-        folder.sync_all()?;
+        let directory = File::open(path)?;
+        directory.sync_all()?;
         Ok(Disk {
             path: path.to_owned(),
-            folder,
+            directory,
             _lock: Some(lock),
         })
     }
 
-    /// Opens a directory for reading only, without locking it.
+    /// Opens a directory read-only, without locking it.
     ///
     /// # Errors
     /// Fails when the directory cannot be opened.
     pub fn open_read_only(path: &Path) -> io::Result<Disk> {
         Ok(Disk {
             path: path.to_owned(),
-            folder: File::open(path)?,
+            directory: File::open(path)?,
             _lock: None,
         })
     }
@@ -62,7 +64,7 @@
     match errno {
         Errno::WOULDBLOCK => io::Error::new(
             io::ErrorKind::ResourceBusy,
-            "another process uses this directory",
+            "the directory is locked by another process",
         ),
         errno => errno.into(),
     }
@@ -96,18 +98,18 @@
         match fallocate(&file, FallocateFlags::empty(), 0, size as u64) {
             Err(Errno::OPNOTSUPP | Errno::NOSYS) => {
                 let zeros = vec![0; 1 << 20];
-                for at in (0..size).step_by(zeros.len()) {
-                    file.write_all_at(&zeros[..zeros.len().min(size - at)], at as u64)?;
+                for offset in (0..size).step_by(zeros.len()) {
+                    file.write_all_at(&zeros[..zeros.len().min(size - offset)], offset as u64)?;
                 }
             }
-            done => done?,
+            result => result?,
         }
         file.sync_all()?;
-        self.folder.sync_all()
+        self.directory.sync_all()
     }
 
-    fn write(&self, file: &File, at: usize, bytes: &[u8]) -> io::Result<()> {
-        file.write_all_at(bytes, at as u64)
+    fn write(&self, file: &File, offset: usize, bytes: &[u8]) -> io::Result<()> {
+        file.write_all_at(bytes, offset as u64)
     }
 
     fn sync(&self, file: &File) -> io::Result<()> {
@@ -116,33 +118,33 @@
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
         fs::rename(self.path.join(from), self.path.join(to))?;
-        self.folder.sync_all()
+        self.directory.sync_all()
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
         match fs::remove_file(self.path.join(name)) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => {}
-            outcome => outcome?,
+            result => result?,
         }
-        // Also where it was gone: that may be the work of a call whose sync failed.
-        self.folder.sync_all()
+        // Needed for an absent file too: an earlier call may have removed it and then failed to sync.
+        self.directory.sync_all()
     }
 }
 
-/// The machine's present boot and its up-time. Where the system does not tell, each start counts as a new
-/// boot.
+/// Returns the machine's boot identifier and uptime. If the boot identifier cannot be read it is 0, and
+/// every process start counts as a new boot.
 pub fn boot() -> crate::machine::Boot {
-    let text = fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
-    let digits: String = text.chars().filter(char::is_ascii_hexdigit).collect();
-    let up = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
+    let boot_id = fs::read_to_string("/proc/sys/kernel/random/boot_id").unwrap_or_default();
+    let digits: String = boot_id.chars().filter(char::is_ascii_hexdigit).collect();
+    let uptime = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     crate::machine::Boot {
         id: u128::from_str_radix(&digits, 16).unwrap_or(0),
-        uptime: up.tv_sec as u64 * 1_000_000 + up.tv_nsec as u64 / 1_000,
+        uptime: uptime.tv_sec as u64 * 1_000_000 + uptime.tv_nsec as u64 / 1_000,
     }
 }
 
-/// Leaves an operator's settlement of an indeterminate job for the process that has the directory locked.
-/// Returns the file.
+/// Writes an operator's settlement of an indeterminate job as a file, which the process that has locked the
+/// directory picks up. Returns the file's path.
 ///
 /// # Errors
 /// Fails when the file cannot be created or synced.
@@ -159,15 +161,16 @@
 /// An operator's settlement of an indeterminate job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settlement {
-    /// The file, to be removed once the settlement is durable.
+    /// The settlement file, which can be removed once the settlement is durable in the log.
     pub path: PathBuf,
-    /// The job.
+    /// The settled job.
     pub id: JobId,
-    /// What became of it.
+    /// Whether the job ran.
     pub outcome: Outcome,
 }
 
 impl Settlement {
+    /// Parses the name of a settlement file, `settle-<job id>-<ran|never>`.
     fn parse(path: PathBuf) -> Option<Settlement> {
         let name = path.file_name()?.to_str()?;
         let (id, suffix) = name.strip_prefix("settle-")?.split_once('-')?;
@@ -181,7 +184,8 @@
     }
 }
 
-/// The settlements that operators have left. Other files are ignored.
+/// Returns the settlements that operators have written to a directory. Other files are ignored, and a
+/// directory that cannot be read has none.
 #[must_use]
 pub fn settlements(dir: &Path) -> Vec<Settlement> {
     let Ok(entries) = fs::read_dir(dir) else {
