--- a/crates/jobs/src/fault.rs
+++ b/crates/jobs/src/fault.rs
@@ -1,9 +1,8 @@
-//! A directory in memory that fails as disks do, for tests: what no sync has confirmed may be lost or
-//! torn at a crash, any call may fail for a while with or without its effect, space may run out, bytes may
-//! rot.
+//! In-memory directory with injected disk faults, for tests.
 //!
-//! It models a disk whose guarantees are the weakest that the system allows. All randomness comes from the
-//! seeds given.
+//! It models the weakest guarantees that the operating system allows. A crash may lose or tear unsynced
+//! writes, any call may fail with or without taking effect, the disk may fill up, and stored bytes may be
+//! corrupted. All randomness comes from generators that the caller seeds.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,39 +13,41 @@
 
 use crate::log::Files;
 
-/// The unit in which writes arrive on the disk.
+/// Size in bytes of the unit that the disk writes as a whole.
 const SECTOR: usize = 512;
-/// Linux' number for an error of the device.
+/// Linux error number of a device error.
 const EIO: i32 = 5;
-/// Linux' number for a full disk.
+/// Linux error number of a full disk.
 const ENOSPC: i32 = 28;
 
 #[derive(Default)]
-struct Image {
+struct FileContents {
+    /// The bytes that survive a crash.
     durable: Vec<u8>,
-    present: Vec<u8>,
+    /// The bytes that a read returns, as in the page cache.
+    cached: Vec<u8>,
     /// Ranges written since the last sync.
     dirty: Vec<(usize, usize)>,
 }
 
-impl Image {
-    /// Each sector that was not synced arrives on the disk, or not, by chance.
-    fn write_back_some(&mut self, rng: &mut Rng) {
+impl FileContents {
+    /// Makes each unsynced sector durable with probability one half. Afterwards no sector counts as unsynced.
+    fn write_back_random_sectors(&mut self, rng: &mut Rng) {
         for (from, to) in std::mem::take(&mut self.dirty) {
             for sector in from / SECTOR..to.div_ceil(SECTOR) {
                 if rng.bool() {
                     let start = (sector * SECTOR).max(from);
                     let end = ((sector + 1) * SECTOR).min(to);
-                    self.durable[start..end].copy_from_slice(&self.present[start..end]);
+                    self.durable[start..end].copy_from_slice(&self.cached[start..end]);
                 }
             }
         }
     }
 }
 
-type Directory = BTreeMap<String, Rc<RefCell<Image>>>;
+type FileTable = BTreeMap<String, Rc<RefCell<FileContents>>>;
 
-/// The calls that an outage concerns.
+/// An operation that an outage can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// [`Files::list`].
@@ -68,7 +69,7 @@
 }
 
 impl Operation {
-    /// All of them.
+    /// All operations.
     pub const ALL: [Operation; 8] = [
         Operation::List,
         Operation::Open,
@@ -81,90 +82,94 @@
     ];
 }
 
-/// Calls that fail for a while.
+/// A period in which operations fail at random.
 #[derive(Clone, Debug)]
 pub struct Outage {
-    /// Which calls may fail.
+    /// The operations that may fail.
     pub operations: Vec<Operation>,
-    /// How many of a thousand of them fail.
+    /// Failure probability of such an operation, in thousandths.
     pub per_mille: u32,
-    /// Decides which fail, and how much of their effect takes place all the same.
+    /// Decides which operations fail, and how much of a failed one takes effect.
     pub rng: Rng,
 }
 
 #[derive(Default)]
 struct State {
-    files: Directory,
-    /// The directory before the first of its changes that failed and that none has followed that worked:
-    /// what a crash may bring back.
-    unconfirmed_from: Option<Directory>,
-    /// How many files may still be created; `None`: any number.
+    files: FileTable,
+    /// The directory before the failed changes since the last successful one. A crash may revert to it.
+    revert_to: Option<FileTable>,
+    /// Number of files that can still be created; `None` for any number.
     capacity: Option<usize>,
     fail_sync: bool,
     outage: Option<Outage>,
+    /// Number of operations that outages have failed.
     faults: u64,
-    /// Operations until the machine stops; it has stopped at 0.
+    /// Number of operations until the machine stops, which it has at 0; `None` if it does not stop.
     operations_left: Option<u32>,
 }
 
-/// The directory; clones share it, as successive processes do.
+/// An in-memory directory with injected faults. Clones share its files, as successive processes would.
 #[derive(Clone, Default)]
 pub struct Faulty(Rc<RefCell<State>>);
 
 impl Faulty {
-    /// The machine stops: each sector that was not synced survives or is lost by chance; so do failed
-    /// changes of the directory.
+    /// Simulates a crash and restart of the machine. Each unsynced sector survives with probability one half;
+    /// with the same probability the directory reverts to its state before the failed changes.
     pub fn crash(&self, rng: &mut Rng) {
         let state = &mut *self.0.borrow_mut();
         state.fail_sync = false;
         state.operations_left = None;
-        if let Some(before) = state.unconfirmed_from.take() {
+        if let Some(before) = state.revert_to.take() {
             if rng.bool() {
                 state.files = before;
             }
         }
-        for image in state.files.values() {
-            let image = &mut *image.borrow_mut();
-            image.write_back_some(rng);
-            image.present.clone_from(&image.durable);
+        for file in state.files.values() {
+            let file = &mut *file.borrow_mut();
+            file.write_back_random_sectors(rng);
+            file.cached.clone_from(&file.durable);
         }
     }
 
-    /// The next sync fails, and what it should have confirmed is lost, as Linux does it.
+    /// Makes the next sync fail. The data that it should have written is lost and no later sync writes it, as
+    /// on Linux.
     pub fn fail_next_sync(&self) {
         self.0.borrow_mut().fail_sync = true;
     }
 
-    /// Makes calls fail from here on, until this is called with `None`. A failed write has taken place in
-    /// part; after a failed sync each sector is durable or not, and no later sync writes it; a failed change
-    /// of the directory has taken place, in part or not at all, and a crash may revert it. Returns the outage
-    /// that was set before.
+    /// Sets the outage, or ends it with `None`, and returns the previous one.
+    ///
+    /// During an outage a failed write takes effect in part. A failed sync makes a random subset of the
+    /// sectors durable, and no later sync writes the others. A failed change of the directory may take
+    /// effect, a failed `create` with a partial file, and a crash may revert it.
     #[allow(
         clippy::must_use_candidate,
-        reason = "most callers set an outage and need not know the one before"
+        reason = "most callers do not need the previous outage"
     )]
     pub fn set_outage(&self, outage: Option<Outage>) -> Option<Outage> {
         std::mem::replace(&mut self.0.borrow_mut().outage, outage)
     }
 
-    /// How many calls an outage has failed.
+    /// Returns the number of operations that outages have failed.
     #[must_use]
     pub fn faults(&self) -> u64 {
         self.0.borrow().faults
     }
 
-    /// Stops the machine after so many further operations: all calls fail until [`Faulty::crash`].
+    /// Stops the machine after the given number of modifying operations. All later ones fail until
+    /// [`Faulty::crash`].
     pub fn stop_after(&self, operations: u32) {
         self.0.borrow_mut().operations_left = Some(operations);
     }
 
-    /// Whether it has stopped.
+    /// Returns whether the machine has stopped.
     #[must_use]
     pub fn has_stopped(&self) -> bool {
         self.0.borrow().operations_left == Some(0)
     }
 
-    fn operate(&self) -> io::Result<()> {
+    /// Counts a modifying operation, and fails if the machine has stopped.
+    fn count_operation(&self) -> io::Result<()> {
         match &mut self.0.borrow_mut().operations_left {
             Some(0) => Err(io::Error::other("the machine has stopped")),
             Some(left) => {
@@ -175,24 +180,25 @@
         }
     }
 
-    /// Sets how many files can still be created; `None`: any number.
+    /// Sets the number of files that can still be created; `None` for any number.
     pub fn set_capacity(&self, capacity: Option<usize>) {
         self.0.borrow_mut().capacity = capacity;
     }
 
     /// Corrupts one byte.
     pub fn rot(&self, name: &str, at: usize) {
-        if let Some(image) = self.0.borrow().files.get(name) {
-            let image = &mut *image.borrow_mut();
-            image.durable[at] ^= 0x55;
-            image.present[at] = image.durable[at];
+        if let Some(file) = self.0.borrow().files.get(name) {
+            let file = &mut *file.borrow_mut();
+            file.durable[at] ^= 0x55;
+            file.cached[at] = file.durable[at];
         }
     }
 }
 
 impl State {
-    /// Whether an outage fails this call: then its error, and the chance by which its effect is there.
-    fn fault(&mut self, operation: Operation) -> Option<(io::Error, &mut Rng)> {
+    /// Decides whether the outage fails an operation. If so, returns the error and the generator that decides
+    /// how much of the operation takes effect.
+    fn inject_fault(&mut self, operation: Operation) -> Option<(io::Error, &mut Rng)> {
         let outage = self.outage.as_mut()?;
         let fails =
             outage.operations.contains(&operation) && outage.rng.u32(0..1_000) < outage.per_mille;
@@ -201,36 +207,37 @@
         }
         self.faults += 1;
         let takes_space = matches!(operation, Operation::Create | Operation::Write);
-        let number = if takes_space && outage.rng.bool() {
+        let error_number = if takes_space && outage.rng.bool() {
             ENOSPC
         } else {
             EIO
         };
-        Some((io::Error::from_raw_os_error(number), &mut outage.rng))
+        Some((io::Error::from_raw_os_error(error_number), &mut outage.rng))
     }
 
-    /// Changes the directory, or fails to: then the change is there by chance, and not confirmed.
-    fn change(
+    /// Changes the directory. If the outage fails the operation, the change is made with probability one half,
+    /// and a crash may revert it.
+    fn change_directory(
         &mut self,
         operation: Operation,
-        change: impl FnOnce(&mut Directory),
+        change: impl FnOnce(&mut FileTable),
     ) -> io::Result<()> {
-        let Some((error, rng)) = self.fault(operation) else {
+        let Some((error, rng)) = self.inject_fault(operation) else {
             change(&mut self.files);
-            self.unconfirmed_from = None;
+            self.revert_to = None;
             return Ok(());
         };
-        let has_effect = rng.bool();
-        if has_effect {
+        let takes_effect = rng.bool();
+        if takes_effect {
             let before = self.files.clone();
-            self.unconfirmed_from.get_or_insert(before);
+            self.revert_to.get_or_insert(before);
             change(&mut self.files);
         }
         Err(error)
     }
 }
 
-fn missing() -> io::Error {
+fn not_found() -> io::Error {
     io::Error::from(io::ErrorKind::NotFound)
 }
 
@@ -239,7 +246,7 @@
 
     fn list(&self) -> io::Result<Vec<String>> {
         let state = &mut *self.0.borrow_mut();
-        if let Some((error, _)) = state.fault(Operation::List) {
+        if let Some((error, _)) = state.inject_fault(Operation::List) {
             return Err(error);
         }
         Ok(state.files.keys().cloned().collect())
@@ -247,98 +254,98 @@
 
     fn open(&self, name: &str) -> io::Result<Self::File> {
         let state = &mut *self.0.borrow_mut();
-        if let Some((error, _)) = state.fault(Operation::Open) {
+        if let Some((error, _)) = state.inject_fault(Operation::Open) {
             return Err(error);
         }
-        let image = state.files.get(name).cloned().ok_or_else(missing)?;
-        Ok(FileHandle(image))
+        let file = state.files.get(name).cloned().ok_or_else(not_found)?;
+        Ok(FileHandle(file))
     }
 
     fn read(&self, name: &str) -> io::Result<Vec<u8>> {
         let state = &mut *self.0.borrow_mut();
-        if let Some((error, _)) = state.fault(Operation::Read) {
+        if let Some((error, _)) = state.inject_fault(Operation::Read) {
             return Err(error);
         }
-        let image = state.files.get(name).cloned().ok_or_else(missing)?;
-        let bytes = image.borrow().present.clone();
+        let file = state.files.get(name).cloned().ok_or_else(not_found)?;
+        let bytes = file.borrow().cached.clone();
         Ok(bytes)
     }
 
     fn create(&self, name: &str, size: usize) -> io::Result<()> {
-        self.operate()?;
+        self.count_operation()?;
         let state = &mut *self.0.borrow_mut();
         if let Some(capacity) = &mut state.capacity {
             *capacity = capacity.checked_sub(1).ok_or(io::ErrorKind::StorageFull)?;
         }
-        // Of a file that could not be created there may be a part.
+        // A failed creation may leave a partial file.
         let partial_size = state
             .outage
             .as_mut()
             .map_or(size, |outage| outage.rng.usize(0..=size));
-        let image = |size| Image {
+        let zeros = |size| FileContents {
             durable: vec![0; size],
-            present: vec![0; size],
+            cached: vec![0; size],
             dirty: Vec::new(),
         };
-        let created = state.change(Operation::Create, |files| {
-            files.insert(name.to_owned(), Rc::new(RefCell::new(image(partial_size))));
+        let created = state.change_directory(Operation::Create, |files| {
+            files.insert(name.to_owned(), Rc::new(RefCell::new(zeros(partial_size))));
         });
         if created.is_ok() {
             state
                 .files
-                .insert(name.to_owned(), Rc::new(RefCell::new(image(size))));
+                .insert(name.to_owned(), Rc::new(RefCell::new(zeros(size))));
         }
         created
     }
 
-    fn write(&self, file: &Self::File, at: usize, bytes: &[u8]) -> io::Result<()> {
-        self.operate()?;
+    fn write(&self, file: &Self::File, offset: usize, bytes: &[u8]) -> io::Result<()> {
+        self.count_operation()?;
         let state = &mut *self.0.borrow_mut();
-        let fault = state.fault(Operation::Write);
-        let (outcome, length) = match fault {
+        let fault = state.inject_fault(Operation::Write);
+        let (result, length) = match fault {
             Some((error, rng)) => (Err(error), rng.usize(0..=bytes.len())),
             None => (Ok(()), bytes.len()),
         };
-        let image = &mut *file.0.borrow_mut();
-        image.present[at..at + length].copy_from_slice(&bytes[..length]);
-        image.dirty.push((at, at + length));
-        outcome
+        let file = &mut *file.0.borrow_mut();
+        file.cached[offset..offset + length].copy_from_slice(&bytes[..length]);
+        file.dirty.push((offset, offset + length));
+        result
     }
 
     fn sync(&self, file: &Self::File) -> io::Result<()> {
-        self.operate()?;
+        self.count_operation()?;
         let state = &mut *self.0.borrow_mut();
-        let image = &mut *file.0.borrow_mut();
+        let file = &mut *file.0.borrow_mut();
         if std::mem::take(&mut state.fail_sync) {
-            image.dirty.clear();
+            file.dirty.clear();
             return Err(io::Error::other("the sync failed"));
         }
-        if let Some((error, rng)) = state.fault(Operation::Sync) {
-            image.write_back_some(rng);
+        if let Some((error, rng)) = state.inject_fault(Operation::Sync) {
+            file.write_back_random_sectors(rng);
             return Err(error);
         }
-        for (from, to) in std::mem::take(&mut image.dirty) {
-            image.durable[from..to].copy_from_slice(&image.present[from..to]);
+        for (from, to) in std::mem::take(&mut file.dirty) {
+            file.durable[from..to].copy_from_slice(&file.cached[from..to]);
         }
         Ok(())
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        self.operate()?;
+        self.count_operation()?;
         let state = &mut *self.0.borrow_mut();
-        let image = state.files.get(from).cloned().ok_or_else(missing)?;
-        state.change(Operation::Rename, |files| {
+        let file = state.files.get(from).cloned().ok_or_else(not_found)?;
+        state.change_directory(Operation::Rename, |files| {
             files.remove(from);
-            files.insert(to.to_owned(), image);
+            files.insert(to.to_owned(), file);
         })
     }
 
     fn remove(&self, name: &str) -> io::Result<()> {
-        self.operate()?;
+        self.count_operation()?;
         let state = &mut *self.0.borrow_mut();
-        let was_there = state.files.contains_key(name);
-        state.change(Operation::Remove, |files| _ = files.remove(name))?;
-        if let Some(capacity) = state.capacity.as_mut().filter(|_| was_there) {
+        let existed = state.files.contains_key(name);
+        state.change_directory(Operation::Remove, |files| _ = files.remove(name))?;
+        if let Some(capacity) = state.capacity.as_mut().filter(|_| existed) {
             *capacity += 1;
         }
         Ok(())
@@ -346,4 +353,4 @@
 }
 
 /// An open file of [`Faulty`].
-pub struct FileHandle(Rc<RefCell<Image>>);
+pub struct FileHandle(Rc<RefCell<FileContents>>);
