--- a/crates/jobs/src/group_commit.rs
+++ b/crates/jobs/src/group_commit.rs
@@ -1,9 +1,9 @@
-//! Group commit: one thread writes and syncs all records that wait, and retries when the disk fails.
+//! Group commit on a dedicated thread, with retries of failed disk operations.
 //!
-//! A group of records costs one sync, however many came during the last one, and the serving thread never
-//! waits for the disk. The thread owns the log while the program serves, and the records that are not
-//! durable yet; it reports no record before its sync. Its queue is bounded by the state machine, which
-//! accepts no new jobs beyond its limit of records that are not durable.
+//! The thread owns the log and the records that are not durable yet. All records that arrive during a sync
+//! form the next group, which needs only one sync, and the thread that serves requests never waits for the
+//! disk. Records are reported only once they are synced. The command queue has no limit of its own; the
+//! state machine bounds it, because it accepts no new jobs while too many bytes are unsynced.
 
 use std::io;
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError, Sender};
@@ -13,34 +13,36 @@
 use crate::backoff::Backoff;
 use crate::log::{Backlog, Files, Log, LogError};
 
-/// How long a stop waits for the last records: what is not durable then was promised to nobody.
-const STOP_LIMIT: Duration = Duration::from_millis(200);
+/// Time that a shutdown waits for the last records. Records that are not durable by then were not confirmed
+/// to any client.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A notification from the thread.
 #[derive(Debug)]
 pub enum StoreEvent {
     /// All records up to this number are durable.
     Synced {
-        /// The last record.
+        /// Number of the last durable record.
         number: u64,
-        /// What the group's write and sync took.
+        /// Duration of the group's write and sync.
         took: Duration,
-        /// How many records the group had.
+        /// Number of records in the group.
         records: usize,
     },
-    /// Whether the disk has capacity for a further segment.
+    /// Whether the disk has space for another segment.
     Capacity(bool),
-    /// Records cannot be made durable for now; they are retained, and retried until they are.
+    /// A group of records could not be made durable. It is kept and retried until it is durable.
     OutageBegan(LogError),
-    /// All that waited is durable.
+    /// All records that waited during the outage are durable.
     OutageEnded {
-        /// How long nothing could be made durable.
+        /// Time from the first failure to the first complete sync.
         lasted: Duration,
     },
-    /// Segments that are not needed any more cannot be removed for now; that is retried.
+    /// Segments that are no longer needed could not be removed. The removal is retried.
     TrimFailed(LogError),
 }
 
+/// A command to the thread.
 enum Command {
     Append {
         frames: Vec<u8>,
@@ -51,11 +53,12 @@
     CheckCapacity,
 }
 
-/// A handle to the thread.
+/// Handle of the group commit thread. Dropping it stops the thread.
 pub struct GroupCommit {
     commands: Option<Sender<Command>>,
     thread: Option<JoinHandle<()>>,
-    ended: Receiver<()>,
+    /// Disconnects when the thread has released the log.
+    terminated: Receiver<()>,
 }
 
 impl GroupCommit {
@@ -71,30 +74,30 @@
         F: Files + Send + 'static,
         F::File: Send,
     {
-        let (commands, received) = channel();
-        let (has_ended, ended) = channel::<()>();
+        let (commands, receiver) = channel();
+        let (termination_guard, terminated) = channel::<()>();
         let thread = std::thread::Builder::new()
             .name("store".into())
             .spawn(move || {
-                // Dropped after the log, whose directory is free for another process then.
-                let _has_ended = has_ended;
-                Writer::new(log, notify).run(&received);
+                // Dropped after the log, so that the directory's lock is released by then.
+                let _termination_guard = termination_guard;
+                Writer::new(log, notify).run(&receiver);
             })?;
         Ok(GroupCommit {
             commands: Some(commands),
             thread: Some(thread),
-            ended,
+            terminated,
         })
     }
 
     fn send(&self, command: Command) {
-        // The thread ends only when this end of the channel does.
+        // Cannot fail: the thread runs until this sender is dropped.
         if let Some(commands) = &self.commands {
             _ = commands.send(command);
         }
     }
 
-    /// Makes records durable: their frames, the frames' lengths, and the last one's number.
+    /// Queues frames with their lengths to be made durable. `last` is the number of the last record among them.
     pub fn append(&self, frames: Vec<u8>, lengths: Vec<usize>, last: u64) {
         self.send(Command::Append {
             frames,
@@ -103,31 +106,35 @@
         });
     }
 
-    /// Removes segments that hold only records before this number.
-    pub fn trim(&self, low: u64) {
-        self.send(Command::Trim(low));
+    /// Queues the removal of the segments that hold only records before `oldest_needed`.
+    pub fn trim(&self, oldest_needed: u64) {
+        self.send(Command::Trim(oldest_needed));
     }
 
-    /// Checks whether the disk has capacity again, which [`StoreEvent::Capacity`] reports.
+    /// Queues a check whether the disk has space again. [`StoreEvent::Capacity`] reports a change.
     pub fn check_capacity(&self) {
         self.send(Command::CheckCapacity);
     }
 }
 
 impl Drop for GroupCommit {
-    /// Makes durable what waits, where the disk lets it; a disk that does not answer is not waited for.
+    /// Stops the thread, which tries once more to make the queued records durable. After `SHUTDOWN_TIMEOUT` the
+    /// thread is detached, because the disk may never respond.
     fn drop(&mut self) {
         self.commands = None;
-        let ended = self.ended.recv_timeout(STOP_LIMIT) != Err(RecvTimeoutError::Timeout);
-        if let Some(thread) = self.thread.take().filter(|_| ended) {
+        let terminated =
+            self.terminated.recv_timeout(SHUTDOWN_TIMEOUT) != Err(RecvTimeoutError::Timeout);
+        if let Some(thread) = self.thread.take().filter(|_| terminated) {
             _ = thread.join();
         }
     }
 }
 
-/// An operation that has failed, and when it is retried.
+/// The retries of an operation that has failed.
 struct Retry {
+    /// Time of the first failure.
     since: Instant,
+    /// Time of the next retry.
     at: Instant,
     backoff: Backoff,
 }
@@ -139,24 +146,29 @@
             at: now,
             backoff: Backoff::default(),
         };
-        retry.failed_again(now);
+        retry.schedule_next(now);
         retry
     }
 
-    fn failed_again(&mut self, now: Instant) {
+    fn schedule_next(&mut self, now: Instant) {
         self.at = now + self.backoff.delay();
     }
 }
 
-/// The thread's side: what waits for the disk, and what is retried there.
+/// The state of the group commit thread.
 struct Writer<F: Files, T: Fn(StoreEvent)> {
     log: Log<F>,
     notify: T,
     backlog: Backlog,
-    trim: Option<u64>,
+    /// The requested trim that is not done yet: the number of the oldest record to keep.
+    trim_to: Option<u64>,
+    /// Whether a capacity check was requested.
     check_capacity: bool,
-    outage: Option<Retry>,
-    trim_outage: Option<Retry>,
+    /// The retries of a failed append.
+    append_retry: Option<Retry>,
+    /// The retries of a failed trim.
+    trim_retry: Option<Retry>,
+    /// The capacity that was reported last.
     has_capacity: bool,
 }
 
@@ -168,25 +180,25 @@
             log,
             notify,
             backlog: Backlog::default(),
-            trim: None,
+            trim_to: None,
             check_capacity: false,
-            outage: None,
-            trim_outage: None,
+            append_retry: None,
+            trim_retry: None,
             has_capacity,
         }
     }
 
     fn run(mut self, commands: &Receiver<Command>) {
-        while self.collect(commands) {
-            self.work();
+        while self.receive(commands) {
+            self.process();
         }
-        // The program stops: one more try, for what came last or during an outage.
+        // Last attempt at shutdown, for records that arrived last or during an outage.
         _ = self.backlog.flush(&mut self.log);
     }
 
-    /// Waits until there is something to do, and takes all commands that have come; returns whether more may
-    /// come.
-    fn collect(&mut self, commands: &Receiver<Command>) -> bool {
+    /// Waits until a command arrives or a retry is due, and takes over all queued commands. Returns false once
+    /// the handle has been dropped and no command is left.
+    fn receive(&mut self, commands: &Receiver<Command>) -> bool {
         loop {
             let now = Instant::now();
             let command = match self.next_retry() {
@@ -195,52 +207,52 @@
                 None => commands.recv().map_err(|_| RecvTimeoutError::Disconnected),
             };
             match command {
-                Ok(command) => self.take(command),
+                Ok(command) => self.enqueue(command),
                 Err(RecvTimeoutError::Timeout) => break,
                 Err(RecvTimeoutError::Disconnected) => return false,
             }
-            // During an outage what comes waits with the rest for the next try.
-            if self.outage.is_none() {
+            // During an outage, new records join the backlog and wait for the next retry.
+            if self.append_retry.is_none() {
                 break;
             }
         }
         for command in commands.try_iter() {
-            self.take(command);
+            self.enqueue(command);
         }
         true
     }
 
-    /// When what has failed is to be tried again.
+    /// Returns the time of the next retry.
     fn next_retry(&self) -> Option<Instant> {
-        let retries = [&self.outage, &self.trim_outage];
+        let retries = [&self.append_retry, &self.trim_retry];
         retries.into_iter().flatten().map(|retry| retry.at).min()
     }
 
-    fn take(&mut self, command: Command) {
+    fn enqueue(&mut self, command: Command) {
         match command {
             Command::Append {
                 frames,
                 lengths,
                 last,
             } => self.backlog.push(frames, lengths, last),
-            Command::Trim(low) => self.trim = Some(low),
+            Command::Trim(oldest_needed) => self.trim_to = Some(oldest_needed),
             Command::CheckCapacity => self.check_capacity = true,
         }
     }
 
-    fn work(&mut self) {
+    fn process(&mut self) {
         if std::mem::take(&mut self.check_capacity) {
             self.log.preallocate();
         }
         let now = Instant::now();
-        if self.outage.as_ref().is_none_or(|retry| retry.at <= now) {
-            self.flush();
-        }
         if self
-            .trim_outage
+            .append_retry
             .as_ref()
             .is_none_or(|retry| retry.at <= now)
         {
+            self.flush();
+        }
+        if self.trim_retry.as_ref().is_none_or(|retry| retry.at <= now) {
             self.remove_segments();
         }
         if self.has_capacity != self.log.has_capacity() {
@@ -255,7 +267,7 @@
         }
         let start = Instant::now();
         let before = self.backlog.len();
-        let outcome = self.backlog.flush(&mut self.log);
+        let result = self.backlog.flush(&mut self.log);
         let now = Instant::now();
         let records = before - self.backlog.len();
         if records > 0 {
@@ -266,32 +278,34 @@
                 records,
             });
         }
-        match (outcome, &mut self.outage) {
+        match (result, &mut self.append_retry) {
             (Ok(()), _) => {
-                if let Some(retry) = self.outage.take() {
+                if let Some(retry) = self.append_retry.take() {
                     (self.notify)(StoreEvent::OutageEnded {
                         lasted: now - retry.since,
                     });
                 }
             }
-            (Err(_), Some(retry)) => retry.failed_again(now),
+            (Err(_), Some(retry)) => retry.schedule_next(now),
             (Err(error), None) => {
-                self.outage = Some(Retry::new(now));
+                self.append_retry = Some(Retry::new(now));
                 (self.notify)(StoreEvent::OutageBegan(error));
             }
         }
     }
 
     fn remove_segments(&mut self) {
-        let Some(low) = self.trim else { return };
-        match (self.log.trim(low), &mut self.trim_outage) {
+        let Some(oldest_needed) = self.trim_to else {
+            return;
+        };
+        match (self.log.trim(oldest_needed), &mut self.trim_retry) {
             (Ok(_), _) => {
-                self.trim = None;
-                self.trim_outage = None;
+                self.trim_to = None;
+                self.trim_retry = None;
             }
-            (Err(_), Some(retry)) => retry.failed_again(Instant::now()),
+            (Err(_), Some(retry)) => retry.schedule_next(Instant::now()),
             (Err(error), None) => {
-                self.trim_outage = Some(Retry::new(Instant::now()));
+                self.trim_retry = Some(Retry::new(Instant::now()));
                 (self.notify)(StoreEvent::TrimFailed(error));
             }
         }
