--- a/crates/jobs/src/record.rs
+++ b/crates/jobs/src/record.rs
@@ -1,9 +1,9 @@
-//! The records of the log, and the identifiers of jobs.
+//! Log records and job identifiers.
 //!
-//! A record's form must never change under a version of the file format: what an older build has written
-//! is read, or rejected by its version ([`crate::log`]). Variants and fields are stored by their order, so
-//! names may change and places may not. Times are microseconds of the logical clock, which goes on over
-//! restarts ([`crate::machine`]).
+//! The encoding of a record is fixed within a version of the file format: a build reads the records of older
+//! builds, or rejects the file by its version (see [`crate::log`]). Variants and fields are encoded by
+//! position, so they may be renamed but not reordered. Times are in microseconds of the logical clock, which
+//! continues across restarts (see [`crate::machine`]).
 
 use std::fmt;
 use std::str::FromStr;
@@ -13,41 +13,44 @@
 use sha2::{Digest, Sha256};
 use thiserror::Error;
 
-/// Bytes accounted for a header field or a lease beside its texts.
+/// Bytes accounted for a header field or a lease, in addition to its strings.
 const ENTRY_OVERHEAD: usize = 48;
-/// Bytes accounted for a payload beside its texts.
+/// Bytes accounted for a payload, in addition to its strings, header fields and body.
 const PAYLOAD_OVERHEAD: usize = 200;
-/// Bytes accounted for a record beside its payload, result and leases.
+/// Bytes accounted for a record, in addition to its payload, result and leases.
 const RECORD_OVERHEAD: usize = 64;
 
-/// A job's identifier: 128 bits of a hash of its owner and its key.
+/// A job's identifier: a 128-bit hash of the job's owner and key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct JobId(pub u128);
 
-/// What identifies a job to its client.
+/// The client's identifier of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Key<'a> {
-    /// Its `Idempotency-Key`.
+    /// The `Idempotency-Key` header.
     Idempotency(&'a [u8]),
-    /// Its `Req-Id`, where it came without a key.
+    /// The `Req-Id` header, for a request without an `Idempotency-Key`.
     ReqId(&'a [u8]),
 }
 
+/// Returns the first 128 bits of the SHA-256 hash of the parts.
 fn hash(parts: &[&[u8]]) -> u128 {
     let mut hasher = Sha256::new();
     for part in parts {
-        // Lengths keep `a`, `bc` from being `ab`, `c`.
+        // The length prefix distinguishes the parts `a`, `bc` from `ab`, `c`.
         hasher.update((part.len() as u64).to_be_bytes());
         hasher.update(part);
     }
-    let sum = hasher.finalize();
-    sum.iter()
+    let digest = hasher.finalize();
+    digest
+        .iter()
         .take(16)
         .fold(0, |number, byte| number << 8 | u128::from(*byte))
 }
 
 impl JobId {
-    /// The identifier of an owner's job. Owners do not share keys: one must not see another's answers.
+    /// Returns the identifier of an owner's job. The owner is part of the hash, so that no owner can read
+    /// another owner's answers by using the same key.
     #[must_use]
     pub fn of(owner: &[u8], key: Key<'_>) -> JobId {
         match key {
@@ -63,53 +66,53 @@
     }
 }
 
-/// A text that is no [`JobId`].
+/// The error for a string that is not a valid [`JobId`].
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("'{0}' is not a job's id: 32 hexadecimal digits")]
+#[error("invalid job id '{0}': expected 32 hexadecimal digits")]
 pub struct InvalidJobId(String);
 
 impl FromStr for JobId {
     type Err = InvalidJobId;
 
     fn from_str(text: &str) -> Result<Self, InvalidJobId> {
-        let has_form = text.len() == 32 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        let is_well_formed = text.len() == 32 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         u128::from_str_radix(text, 16)
             .ok()
-            .filter(|_| has_form)
+            .filter(|_| is_well_formed)
             .map(JobId)
             .ok_or_else(|| InvalidJobId(text.to_owned()))
     }
 }
 
-/// A client's request, as far as the worker or the scheduler needs it.
+/// The parts of a client's request that the worker or the scheduler needs.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct JobPayload {
-    /// The class's name.
+    /// Name of the request class.
     pub class: String,
-    /// The tenant's name, where one was given.
+    /// Name of the tenant, if the client gave one.
     pub owner: Option<String>,
-    /// Path and query.
+    /// Path and query of the URI.
     pub target: String,
-    /// The header fields that are forwarded, `Req-Id` among them.
+    /// Header fields to forward, including `Req-Id`.
     pub fields: Vec<(String, Vec<u8>)>,
-    /// The request's body.
+    /// Request body.
     pub body: Vec<u8>,
-    /// Slots that it takes at a worker.
+    /// Number of worker slots that the job occupies.
     pub slots: Option<f64>,
-    /// Memory that it takes at a worker.
+    /// Memory that the job needs on a worker.
     pub memory: Option<f64>,
-    /// The key by which a worker is preferred.
+    /// Affinity key by which the scheduler prefers a worker.
     pub key: Option<u64>,
 }
 
 impl JobPayload {
-    /// A hash that differs where the same key comes with another payload.
+    /// Returns a hash that detects the reuse of a job's key with a different payload.
     #[must_use]
     pub fn fingerprint(&self) -> u128 {
         hash(&[self.class.as_bytes(), self.target.as_bytes(), &self.body])
     }
 
-    /// The bytes accounted for it, roughly.
+    /// Returns the approximate number of bytes that the payload occupies.
     #[must_use]
     pub fn size(&self) -> usize {
         let fields: usize = self
@@ -126,35 +129,36 @@
 pub enum Answer {
     /// A worker's result.
     Served(Vec<u8>),
-    /// Not served, and nothing is promised: it may have run.
+    /// Not served; the job may have run.
     Failed,
-    /// Not served, and trying again is harmless; after how many microseconds, where that may be said.
+    /// Not served, and safe to retry, after the given number of microseconds if there is one.
     Rejected(Option<Micros>),
-    /// Cancelled before it was ever sent.
+    /// Cancelled before any attempt was sent.
     Cancelled,
 }
 
-/// The start time in the lease of an attempt that was sent by a cached endpoint list. Another worker may have
-/// the cached address by now, and may have run what the named one never saw: no worker's memory reaches back
-/// to this time, also for builds that do not know it.
+/// Worker start time in the lease of an attempt that was sent using a cached endpoint list. The cached address
+/// may belong to another worker by now, which may have run the job that the named worker never received. No
+/// worker's job history reaches back to this time, so builds without this constant also treat the attempt
+/// correctly.
 pub const UNCONFIRMED_START: u64 = 1;
 
-/// One attempt at a worker, which may have run.
+/// The recorded lease of one attempt. The attempt may have run.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The fencing token: the number of its record in the log, so that none is ever used twice, not
-    /// even for a job that was dropped and comes again.
+    /// Fencing token: the number of the lease's record in the log. It is therefore never reused, even for a
+    /// job that was dropped and submitted again.
     pub token: u64,
-    /// The worker's name in the endpoint list.
+    /// Name of the worker in the endpoint list.
     pub worker: String,
-    /// When that worker had started, by the list, in Unix time milliseconds; 0: long ago;
-    /// [`UNCONFIRMED_START`]: not known.
+    /// Start time of the worker according to the endpoint list, in Unix milliseconds. 0 stands for an
+    /// unspecified time long ago, [`UNCONFIRMED_START`] for an unknown time.
     pub start_ms: u64,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub sent: Micros,
 }
 
-/// What became of an attempt that was indeterminate.
+/// Whether an indeterminate attempt turned out to have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
     /// It ran.
@@ -166,95 +170,97 @@
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// A process starts, or goes on: the clocks then.
+    /// The clocks at the start of a process, or at a later time when this record is written again so that
+    /// the log can be trimmed.
     Opened {
-        /// The logical time.
+        /// Logical time.
         at: Micros,
-        /// The wall clock.
+        /// Wall-clock time.
         wall: Micros,
-        /// Which boot of the machine this is.
+        /// Boot identifier of the machine.
         boot: u128,
-        /// How long the machine has been up.
+        /// Time since the machine booted.
         uptime: Micros,
     },
-    /// A job was accepted, or submitted again after a rejection; or it is written anew while it is open, so
-    /// that the log's old end can be trimmed. All earlier records of it are not needed any more.
+    /// A job was accepted, or submitted again after a rejection. The record of an open job is also written
+    /// again so that the log can be trimmed. It supersedes all earlier records of the job.
     Accepted {
-        /// When.
+        /// Time of the record.
         at: Micros,
-        /// Which.
+        /// The job.
         id: JobId,
-        /// Its fingerprint.
+        /// Fingerprint of the payload.
         fingerprint: u128,
-        /// The request.
+        /// The client's request.
         payload: JobPayload,
-        /// When its client gives up.
+        /// The client's deadline.
         deadline: Micros,
-        /// How long the client was ready to wait.
+        /// Time from the submission to the client's deadline.
         wait: Micros,
-        /// Whether the client does not wait but comes back for the answer.
+        /// Whether the client fetches the answer later instead of waiting for it.
         detached: bool,
-        /// Attempts that may have run.
+        /// Leases of the attempts that may have run.
         leases: Vec<Lease>,
     },
-    /// An attempt may be sent from here on.
+    /// An attempt may be sent once this record is durable.
     Leased {
-        /// Which job.
+        /// The job.
         id: JobId,
-        /// The attempt.
+        /// The attempt's lease.
         lease: Lease,
     },
     /// An attempt is known never to have run.
     Unsent {
-        /// Which job.
+        /// The job.
         id: JobId,
-        /// The attempt's token.
+        /// The attempt's fencing token.
         token: u64,
     },
-    /// The final answer. All earlier records of the job are not needed any more.
+    /// A job's final answer. It supersedes all earlier records of the job.
     Finished {
-        /// When.
+        /// Time of the record.
         at: Micros,
-        /// Which.
+        /// The job.
         id: JobId,
-        /// Its fingerprint.
+        /// Fingerprint of the payload.
         fingerprint: u128,
-        /// The answer.
+        /// The final answer.
         answer: Answer,
-        /// Attempts of which it is not known whether they ran.
+        /// Leases of the attempts that may have run without a known outcome; of a rejected job, of all
+        /// attempts that may have run.
         indeterminate: Vec<Lease>,
-        /// What was found out about these since.
+        /// Outcome of the indeterminate attempts, once one is settled.
         outcome: Option<Outcome>,
     },
-    /// Nothing of the job is retained.
+    /// The job is removed, and nothing of it is retained.
     Dropped {
-        /// Which.
+        /// The job.
         id: JobId,
     },
 }
 
 impl Record {
-    /// The bytes accounted for it, roughly.
+    /// Returns the approximate number of bytes that the record occupies.
     #[must_use]
     pub fn size(&self) -> usize {
         let content = match self {
             Record::Accepted {
                 payload, leases, ..
-            } => payload.size() + size_of_leases(leases),
+            } => payload.size() + leases_size(leases),
             Record::Finished {
                 answer: Answer::Served(result),
                 indeterminate,
                 ..
-            } => result.len() + size_of_leases(indeterminate),
-            Record::Finished { indeterminate, .. } => size_of_leases(indeterminate),
-            Record::Leased { lease, .. } => size_of_leases(std::slice::from_ref(lease)),
+            } => result.len() + leases_size(indeterminate),
+            Record::Finished { indeterminate, .. } => leases_size(indeterminate),
+            Record::Leased { lease, .. } => leases_size(std::slice::from_ref(lease)),
             Record::Opened { .. } | Record::Unsent { .. } | Record::Dropped { .. } => 0,
         };
         content + RECORD_OVERHEAD
     }
 }
 
-fn size_of_leases(leases: &[Lease]) -> usize {
+fn leases_size(leases: &[Lease]) -> usize {
     leases
         .iter()
         .map(|lease| lease.worker.len() + ENTRY_OVERHEAD)
