--- a/crates/jobs/src/startup.rs
+++ b/crates/jobs/src/startup.rs
@@ -1,7 +1,6 @@
-//! The opening of a log where the system fails for a moment.
+//! Opening of the log at startup, with retries of transient I/O errors.
 //!
-//! It decides which faults of a start are transient, and for how long they are retried. A store that cannot
-//! be read is not an empty one: the start fails.
+//! A log that stays unreadable is never treated as an empty one: startup fails instead.
 
 use std::io;
 use std::time::{Duration, Instant};
@@ -9,45 +8,46 @@
 use crate::backoff::Backoff;
 use crate::log::{Files, Log, LogError, Recovered};
 
-/// Opens a log in the directory that `files` takes. Transient faults are retried until `limit` is over, and
-/// each is passed to `on_fault`.
+/// Opens a log in the directory that `open_directory` returns. Transient errors are retried for up to
+/// `timeout`; `on_retry` is called with each of them before the next attempt.
 ///
 /// # Errors
-/// Returns the last error once `limit` is over, and at once an error that no retry can change.
+/// Returns the last error if the next retry would start after `timeout`. An error that is not transient is
+/// returned immediately.
 pub fn open_within<F: Files>(
-    limit: Duration,
-    size: usize,
-    mut files: impl FnMut() -> io::Result<F>,
-    mut on_fault: impl FnMut(&LogError),
+    timeout: Duration,
+    segment_size: usize,
+    mut open_directory: impl FnMut() -> io::Result<F>,
+    mut on_retry: impl FnMut(&LogError),
 ) -> Result<(Log<F>, Recovered), LogError> {
-    let end = Instant::now() + limit;
+    let end = Instant::now() + timeout;
     let mut backoff = Backoff::default();
     loop {
-        let taken = files().map_err(|source| LogError::Io {
-            action: "taking the directory".into(),
+        let directory = open_directory().map_err(|source| LogError::Io {
+            action: "opening the directory".into(),
             source,
         });
-        let fault = match taken.and_then(|files| Log::open(files, size)) {
-            Err(fault) if is_transient(&fault) => fault,
-            outcome => return outcome,
+        let error = match directory.and_then(|files| Log::open(files, segment_size)) {
+            Err(error) if is_transient(&error) => error,
+            result => return result,
         };
         let delay = backoff.delay();
         if Instant::now() + delay >= end {
-            return Err(fault);
+            return Err(error);
         }
-        on_fault(&fault);
+        on_retry(&error);
         std::thread::sleep(delay);
     }
 }
 
-/// Whether a retry may succeed.
-fn is_transient(fault: &LogError) -> bool {
-    let LogError::Io { source, .. } = fault else {
+/// Returns whether a retry may succeed.
+fn is_transient(error: &LogError) -> bool {
+    let LogError::Io { source, .. } = error else {
         return false;
     };
     !matches!(
         source.kind(),
-        // Another process has the directory, or the operator has to change something.
+        // These last until the other process exits or an operator changes the setup.
         io::ErrorKind::ResourceBusy
             | io::ErrorKind::PermissionDenied
             | io::ErrorKind::NotADirectory
