--- a/crates/jobs/src/log/error.rs
+++ b/crates/jobs/src/log/error.rs
@@ -1,4 +1,4 @@
-//! Why a log cannot be opened or written.
+//! Errors of opening, reading and writing the log.
 
 use std::borrow::Cow;
 use std::io;
@@ -7,78 +7,78 @@
 
 use super::MAGIC;
 
-/// Why a log cannot be used.
+/// An error of opening, reading or writing a log.
 #[derive(Debug, Error)]
 pub enum LogError {
-    /// A call of the system failed.
+    /// An I/O operation failed.
     #[error("{action}: {source}")]
     Io {
-        /// What was being done.
+        /// The operation that failed.
         action: Cow<'static, str>,
-        /// The system's error.
+        /// The underlying error.
         source: io::Error,
     },
-    /// A segment's version is not the one that this program reads.
-    #[error("{file} is of format version {version}; this program reads version {}", MAGIC[7])]
+    /// A segment has a format version that this build does not support.
+    #[error("{file} has format version {version}; this build supports only version {}", MAGIC[7])]
     UnsupportedVersion {
-        /// The file.
+        /// Name of the segment file.
         file: String,
-        /// Its version.
+        /// Version of the segment file.
         version: u8,
     },
-    /// Something that had been synced cannot be read.
+    /// Data that had been synced cannot be read back.
     #[error("{file} is damaged at offset {offset}: {defect}")]
     Damage {
-        /// The file.
+        /// Name of the segment file.
         file: String,
-        /// Where in it, in bytes.
+        /// Offset of the damage, in bytes.
         offset: usize,
-        /// What is wrong there.
+        /// Kind of damage.
         defect: Defect,
     },
 }
 
-/// What is wrong in a segment.
+/// A defect in a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum Defect {
-    /// The header is not that of a segment of this name.
-    #[error("it does not begin as a file of this log")]
+    /// The segment header lacks the magic bytes, or the record number in it differs from the file name's.
+    #[error("the segment header is invalid")]
     Header,
-    /// The frame's checksum is right, and the record's form is unknown.
-    #[error("record {number} has a right sum and no form that is known")]
-    UnknownForm {
-        /// The record.
+    /// The frame's checksum is valid, but the record in it cannot be decoded.
+    #[error("record {number} has a valid checksum but cannot be decoded")]
+    Undecodable {
+        /// Number of the record.
         number: u64,
     },
-    /// The frame is another record's.
-    #[error("record {number} where {expected} should be")]
+    /// The frame holds a different record than the one that comes next.
+    #[error("found record {number}, expected record {expected}")]
     OutOfOrder {
-        /// The record that is there.
+        /// Number of the record in the frame.
         number: u64,
-        /// The record that should be.
+        /// Number of the record that comes next.
         expected: u64,
     },
-    /// There is no readable frame.
+    /// There is no frame with a valid length and checksum.
     #[error("record {number} cannot be read")]
     Unreadable {
-        /// The record that should be there.
+        /// Number of the record that comes next.
         number: u64,
     },
-    /// The segment ends before a record that its successor follows.
+    /// The segment ends before the first record of the next segment is reached.
     #[error("record {number} is missing")]
     Missing {
-        /// The record.
+        /// Number of the missing record.
         number: u64,
     },
-    /// The log ends before a record that a frame says had been synced.
-    #[error("record {number} is missing, and had been synced")]
+    /// The log ends before a record that a later write names as synced.
+    #[error("record {number} is missing although it had been synced")]
     MissingSynced {
-        /// The record.
+        /// Number of the missing record.
         number: u64,
     },
 }
 
-/// Adds to a system's error what was being done.
+/// Returns a function that wraps an I/O error together with the operation that failed.
 pub(super) fn io_error(action: impl Into<Cow<'static, str>>) -> impl FnOnce(io::Error) -> LogError {
     move |source| LogError::Io {
         action: action.into(),
--- a/crates/jobs/src/log/frames.rs
+++ b/crates/jobs/src/log/frames.rs
@@ -1,32 +1,33 @@
-//! A segment's bytes: how a record is encoded as a frame, and how a segment is decoded frame by frame.
+//! Encoding of records as frames, and decoding of a segment's bytes.
 //!
-//! It owns the layout that [`crate::log`] describes, and touches no file. It returns what it could decode,
-//! and where that ends; what of the rest is torn and what is damage is decided by `recovery`.
+//! [`crate::log`] describes the layout. Decoding returns the readable records and the offset at which they
+//! end; `recovery` decides whether the remainder is a torn write or damage.
 
 use super::{Defect, LogError};
 use crate::record::Record;
 
-/// How a file begins; the last byte is the format's version.
+/// The first bytes of a segment file; the last of them is the format version.
 pub const MAGIC: [u8; 8] = *b"oakjobs\x01";
-/// Bytes before a segment's first frame: [`MAGIC`] and the first record's number.
+/// Length of a segment header in bytes: [`MAGIC`] and the number of the first record.
 pub(super) const HEADER_LENGTH: usize = 16;
-/// Bytes of a frame before its payload: length, checksum, number and synced number.
+/// Length of a frame header in bytes: payload length, checksum, record number and synced number.
 const FRAME_HEADER_LENGTH: usize = 24;
 
-/// The most bytes of an encoded record: 64 KiB of payload or answer, and what goes with them.
+/// Maximum length of an encoded record in bytes: 64 KiB of payload or answer, with room for header fields
+/// and leases.
 pub const MAX_RECORD_LENGTH: usize = 256 << 10;
 
-/// Appends a record's frame to a buffer; `synced` is the number up to which all records are durable.
+/// Appends a record's frame to a buffer. `synced` is the number up to which all records are durable.
 pub fn encode(buffer: &mut Vec<u8>, number: u64, synced: u64, record: &Record) {
     let start = buffer.len();
     buffer.extend_from_slice(&[0; 8]);
     buffer.extend_from_slice(&number.to_le_bytes());
     buffer.extend_from_slice(&synced.to_le_bytes());
-    // Writing to memory cannot fail, and no record holds what postcard cannot write.
+    // Cannot fail: the output is in memory, and postcard can encode every type in a record.
     let mut bytes = postcard::to_stdvec(record).unwrap_or_default();
     debug_assert!(
         !bytes.is_empty() && bytes.len() <= MAX_RECORD_LENGTH,
-        "a record of {} bytes",
+        "encoded record has {} bytes",
         bytes.len()
     );
     buffer.append(&mut bytes);
@@ -36,7 +37,8 @@
     buffer[start + 4..start + 8].copy_from_slice(&checksum.to_le_bytes());
 }
 
-/// The frames of records numbered from `first`, and their lengths, as [`Log::append`](super::Log::append) takes them.
+/// Encodes records numbered from `first`. Returns the frames and their lengths, the arguments of
+/// [`Log::append`](super::Log::append).
 #[must_use]
 pub fn encode_all(first: u64, synced: u64, records: &[Record]) -> (Vec<u8>, Vec<usize>) {
     let mut frames = Vec::new();
@@ -57,17 +59,18 @@
     Some(u64::from_le_bytes(bytes.get(at..at + 8)?.try_into().ok()?))
 }
 
-/// A frame whose checksum is right.
+/// A frame with a valid checksum.
 struct Frame<'a> {
     number: u64,
-    /// The number up to which all records were durable when it was written.
+    /// The number up to which all records were durable when the frame was written.
     synced: u64,
     payload: &'a [u8],
-    /// Where the next frame begins.
+    /// Offset of the next frame.
     end: usize,
 }
 
 impl Frame<'_> {
+    /// Decodes the frame at an offset. Returns `None` if its length or checksum is invalid.
     fn decode(bytes: &[u8], at: usize) -> Option<Frame<'_>> {
         let length = u32_at(bytes, at)? as usize;
         if length == 0 || length > MAX_RECORD_LENGTH {
@@ -88,18 +91,23 @@
     }
 }
 
-/// A decoded segment: its records up to the first frame that cannot be decoded, and where that is.
+/// A decoded segment.
 pub(super) struct Segment {
+    /// The records before the first defect, with their numbers.
     pub(super) records: Vec<(u64, Record)>,
+    /// Offset after the last of `records`.
     pub(super) end: usize,
-    /// What is wrong at `end`, where anything is.
+    /// The defect at `end`, if there is one.
     pub(super) defect: Option<Defect>,
-    /// The highest synced number of any readable frame, also behind `end`.
+    /// The highest synced number in any readable frame, including frames after `end`.
     pub(super) synced: u64,
 }
 
 impl Segment {
     /// Decodes a segment whose first record has the number `first`.
+    ///
+    /// # Errors
+    /// Fails when the segment has an unsupported version. Any other defect is part of the returned value.
     pub(super) fn decode(file: &str, bytes: &[u8], first: u64) -> Result<Segment, LogError> {
         let mut segment = Segment {
             records: Vec::new(),
@@ -124,17 +132,17 @@
             next += 1;
         }
         if segment.defect.is_some() {
-            segment.search_synced(bytes);
+            segment.scan_synced_numbers(bytes);
         }
         Ok(segment)
     }
 
-    /// Decodes the record that must come next; returns where its frame ends, or nothing at the end of the
-    /// segment or at a defect.
+    /// Decodes the record with the number `next` and returns the offset after its frame, or `None` at the
+    /// end of the segment and at a defect.
     fn decode_record(&mut self, bytes: &[u8], next: u64) -> Option<usize> {
         let Some(frame) = Frame::decode(bytes, self.end) else {
-            let is_end = bytes[self.end..].iter().all(|byte| *byte == 0);
-            self.defect = (!is_end).then_some(Defect::Unreadable { number: next });
+            let at_end = bytes[self.end..].iter().all(|byte| *byte == 0);
+            self.defect = (!at_end).then_some(Defect::Unreadable { number: next });
             return None;
         };
         let number = frame.number;
@@ -144,7 +152,7 @@
             return None;
         }
         let Ok(record) = postcard::from_bytes(frame.payload) else {
-            self.defect = Some(Defect::UnknownForm { number });
+            self.defect = Some(Defect::Undecodable { number });
             return None;
         };
         self.records.push((number, record));
@@ -152,8 +160,9 @@
         Some(frame.end)
     }
 
-    /// Searches what is readable behind a defect for frames that say that it had been synced.
-    fn search_synced(&mut self, bytes: &[u8]) {
+    /// Searches the bytes after a defect for readable frames, whose synced numbers may show that the defective
+    /// record had been synced.
+    fn scan_synced_numbers(&mut self, bytes: &[u8]) {
         for at in self.end..bytes.len().saturating_sub(FRAME_HEADER_LENGTH) {
             if bytes[at] == 0 && bytes[at + 1] == 0 {
                 continue;
