--- a/crates/jobs/src/log/backlog.rs
+++ b/crates/jobs/src/log/backlog.rs
@@ -1,21 +1,22 @@
-//! Records that are not durable yet.
+//! Queue of encoded records that are not durable yet.
 //!
-//! It retains their frames until the log has synced them, also through writes and syncs that fail. Its size
-//! is bounded by the state machine, which accepts no new jobs beyond its limit.
+//! Frames stay queued until the log has synced them, so a failed write or sync can be retried. The state
+//! machine bounds the queue: it accepts no new jobs while too many bytes are unsynced.
 
 use super::{Files, Log, LogError};
 
-/// Frames of records that are not durable yet, oldest first.
+/// Frames of the records that are not durable yet, oldest first.
 #[derive(Debug, Default)]
 pub struct Backlog {
     frames: Vec<u8>,
+    /// Length of each frame in bytes.
     lengths: Vec<usize>,
-    /// The last one's number.
+    /// Number of the last record.
     last: u64,
 }
 
 impl Backlog {
-    /// Adds frames, whose lengths are given, up to the record with this number.
+    /// Adds frames with their lengths. `last` is the number of the last record among them.
     pub fn push(&mut self, mut frames: Vec<u8>, mut lengths: Vec<usize>, last: u64) {
         if self.is_empty() {
             self.frames = frames;
@@ -27,33 +28,33 @@
         self.last = last;
     }
 
-    /// Whether all is durable.
+    /// Returns whether all records are durable.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.lengths.is_empty()
     }
 
-    /// The number of records.
+    /// Returns the number of records that are not durable yet.
     #[must_use]
     pub fn len(&self) -> usize {
         self.lengths.len()
     }
 
-    /// Appends all to the log, and removes what is durable then, also after an error.
+    /// Appends all records to the log and removes the durable ones, even if some could not be appended.
     ///
     /// # Errors
-    /// Returns the error of [`Log::append`]; records that are not durable yet stay in the backlog.
+    /// Returns the error of [`Log::append`]. Records that are not durable stay in the backlog.
     pub fn flush<F: Files>(&mut self, log: &mut Log<F>) -> Result<(), LogError> {
-        let outcome = log.append(&self.frames, &self.lengths);
+        let result = log.append(&self.frames, &self.lengths);
         let unsynced = (self.last + 1).saturating_sub(log.next()) as usize;
         let durable = self.len().saturating_sub(unsynced);
         let bytes: usize = self.lengths.drain(..durable).sum();
         if self.lengths.is_empty() {
-            // One large group must not keep its memory for good.
+            // Frees the buffer, so that one large group does not occupy its memory permanently.
             self.frames = Vec::new();
         } else {
             self.frames.drain(..bytes);
         }
-        outcome
+        result
     }
 }
