--- a/crates/jobs/src/log/mod.rs
+++ b/crates/jobs/src/log/mod.rs
@@ -1,32 +1,37 @@
-//! The write-ahead log: records in segments of one size, appended in groups, read back at a start.
+//! Write-ahead log in segment files of equal size, appended in groups and read back at startup.
 //!
-//! This module owns the file format and the step from one segment to the next; `recovery` reads segments
-//! back, `backlog` retains what is not durable yet. No record counts as durable before its sync, no file is
-//! synced again after a sync of it has failed, and no damage is passed over.
+//! A record counts as durable only after a successful sync. A segment whose write or sync failed is not used
+//! any further. The log is not opened if data that had been synced is damaged.
 //!
 //! # Format, version 1
 //!
-//! Files are named `<first record's number, 20 digits>.log`, and are made at their full size ahead of
-//! their use (`spare.log`), so that no append finds the disk full or changes a file's length. A file
-//! begins with [`MAGIC`], whose last byte is the version, and the first record's number (u64). Then
-//! frames: length of the payload (u32), CRC-32 of all that follows (u32), number (u64), the number up
-//! to which all was synced when this was written (u64), payload (a [`Record`](crate::record::Record) in postcard's form). All
-//! numbers are little-endian; a length of 0 ends the file.
+//! A segment file is named after its first record, `<record number, 20 digits>.log`. It is preallocated at
+//! its full size as `spare.log` before it is used, so that an append neither finds the disk full nor changes
+//! the length of a file. The file header is [`MAGIC`], whose last byte is the version, and the number of the
+//! first record (u64). Frames follow:
 //!
-//! # Torn, or damaged
+//! - length of the payload (u32); 0 marks the end of the segment
+//! - CRC-32 of the rest of the frame (u32)
+//! - record number (u64)
+//! - synced number: all records up to it were durable when the frame was written (u64)
+//! - payload: a [`Record`](crate::record::Record) encoded with postcard
 //!
-//! Writes that no sync has confirmed may be there in part after a crash, in any order. A frame that
-//! cannot be read is *torn* if nothing readable after it says that it had been synced; then it and all
-//! after it was never promised, and is cut. Otherwise it is *damage*, and the log is not opened.
+//! All integers in headers are little-endian.
 //!
-//! # After a failed write or sync
+//! # Torn writes and damage
 //!
-//! The segment is *suspect*: how much of the failed group is on the disk cannot be known, as the system
-//! may have dropped it and may call the next sync a success. It is never written or synced again. The next
-//! append begins a new segment with the first record that is not durable, and the caller passes all such
-//! records again. So a segment may hold records, whole or torn, that are in the next one too: the newer
-//! segment counts, and the older one answers only for what comes before the newer one's first record. A
-//! suspect segment of which no record is durable is replaced by its successor, which has the same name.
+//! After a crash, any subset of the writes since the last sync may be on the disk. An unreadable frame is
+//! *torn* if no readable frame names its record as synced. A torn frame and everything after it was never
+//! confirmed to anyone, and is cut off. Any other unreadable frame is *damage*, and the log is not opened.
+//!
+//! # Failed writes and syncs
+//!
+//! After a failed write or sync the segment is *suspect*: the kernel may have dropped any part of the group,
+//! and may report the next sync as successful all the same. The segment is never written or synced again.
+//! The next append starts a new segment at the first record that is not durable, and the caller passes all
+//! such records again. Two consecutive segments may therefore hold the same records; those in the newer
+//! segment are used, and the older segment is only read up to the newer one's first record. A suspect segment
+//! without a durable record is replaced by its successor, which has the same name.
 
 use std::io;
 
@@ -43,20 +48,20 @@
 use recovery::segment_numbers;
 pub use recovery::{read_all, Recovered, TornTail};
 
-/// The preallocated segment, which is used next.
+/// File name of the preallocated segment, which is used next.
 const PREALLOCATED: &str = "spare.log";
 
-/// What the log needs of a directory. Everything is as durable as its last `sync`, but `create`,
-/// `rename` and `remove`, which are durable when they return.
+/// The operations on a directory and its files that the log needs. A write is durable after the next `sync`
+/// of its file; `create`, `rename` and `remove` are durable when they return.
 pub trait Files {
     /// An open file.
     type File;
-    /// The names in the directory.
+    /// Lists the names of the files in the directory.
     ///
     /// # Errors
     /// Fails when the directory cannot be read.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// Opens a file to write to it.
+    /// Opens an existing file for writing.
     ///
     /// # Errors
     /// Fails when the file is absent or cannot be opened.
@@ -66,27 +71,28 @@
     /// # Errors
     /// Fails when the file is absent or cannot be read.
     fn read(&self, name: &str) -> io::Result<Vec<u8>>;
-    /// Makes a file of zeros, with its blocks taken on the disk. After an error it may be there in part.
+    /// Creates a file of zeros with its disk blocks allocated, or replaces an existing one. After an error a
+    /// partial file may be left.
     ///
     /// # Errors
     /// Fails when the file cannot be created, allocated or synced.
     fn create(&self, name: &str, size: usize) -> io::Result<()>;
-    /// Writes bytes at a place.
+    /// Writes bytes at an offset.
     ///
     /// # Errors
     /// Fails when not all bytes were written; some of them may have been.
-    fn write(&self, file: &Self::File, at: usize, bytes: &[u8]) -> io::Result<()>;
+    fn write(&self, file: &Self::File, offset: usize, bytes: &[u8]) -> io::Result<()>;
     /// Makes all writes to the file durable.
     ///
     /// # Errors
     /// Fails when the writes since the last sync may not be durable.
     fn sync(&self, file: &Self::File) -> io::Result<()>;
-    /// Gives a file another name, in place of a file that has it.
+    /// Renames a file, and replaces any file that has the new name.
     ///
     /// # Errors
     /// Fails when the file is absent or cannot be renamed.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
-    /// Removes a file; one that is not there has been removed already.
+    /// Removes a file. Succeeds if the file is absent.
     ///
     /// # Errors
     /// Fails when the file cannot be removed.
@@ -96,16 +102,20 @@
 /// The log, open for writing.
 pub struct Log<F: Files> {
     files: F,
-    size: usize,
-    /// The numbers of the segments' first records, oldest first.
+    /// Size of a segment file in bytes.
+    segment_size: usize,
+    /// Number of each segment's first record, oldest first.
     segments: Vec<u64>,
+    /// The segment that is being written.
     current: F::File,
-    at: usize,
+    /// Offset of the next frame in the current segment.
+    offset: usize,
+    /// Number of the next record.
     next: u64,
     has_preallocated: bool,
-    /// The last try to preallocate a segment found the disk full.
+    /// Whether the last attempt to preallocate a segment failed because the disk was full.
     disk_full: bool,
-    /// The current segment must not be written to any more.
+    /// Whether a write or sync of the current segment has failed. It must not be written any more.
     suspect: bool,
 }
 
@@ -114,13 +124,13 @@
 }
 
 impl<F: Files> Log<F> {
-    /// Opens the log in a directory, or begins one. A torn tail is cut; damage is an error. After an error
-    /// of the system it may be called again: nothing that was confirmed has been changed.
+    /// Opens the log in a directory, or creates one, and starts a new segment. A torn tail is cut off. The
+    /// call may be repeated after an I/O error, which leaves all confirmed records intact.
     ///
     /// # Errors
     /// Fails when a file or the directory cannot be read or written, when a segment has an unsupported
     /// version, and when a record is damaged.
-    pub fn open(files: F, size: usize) -> Result<(Log<F>, Recovered), LogError> {
+    pub fn open(files: F, segment_size: usize) -> Result<(Log<F>, Recovered), LogError> {
         let (recovered, damage) = read_all(&files)?;
         if let Some(error) = damage.into_iter().next() {
             return Err(error);
@@ -132,8 +142,8 @@
             .records
             .last()
             .map_or(last, |(number, _)| (number + 1).max(last));
-        // A new process begins a new segment. It takes the place of one without a record, which has the same
-        // name.
+        // Each process starts a new segment, which replaces a last segment without records: that one has the
+        // same name.
         if segments.last() == Some(&next) {
             segments.pop();
         } else if !segments.is_empty() {
@@ -145,16 +155,17 @@
                 .map_err(io_error("removing an old preallocated segment"))?;
         }
         files
-            .create(PREALLOCATED, size)
+            .create(PREALLOCATED, segment_size)
             .map_err(io_error("creating a segment"))?;
-        let current = begin(&files, next).map_err(io_error("creating a segment"))?;
+        let current =
+            activate_preallocated(&files, next).map_err(io_error("creating a segment"))?;
         segments.push(next);
         let mut log = Log {
             files,
-            size,
+            segment_size,
             segments,
             current,
-            at: HEADER_LENGTH,
+            offset: HEADER_LENGTH,
             next,
             has_preallocated: false,
             disk_full: false,
@@ -164,27 +175,28 @@
         Ok((log, recovered))
     }
 
-    /// The number that the next record gets.
+    /// Returns the number of the next record to be appended.
     pub fn next(&self) -> u64 {
         self.next
     }
 
-    /// Whether a segment could be preallocated, or could not for another reason than a full disk.
+    /// Returns whether the disk has space for another segment: false only if the last preallocation found the
+    /// disk full.
     pub fn has_capacity(&self) -> bool {
         !self.disk_full
     }
 
-    /// Whether a segment is preallocated.
+    /// Returns whether a segment is preallocated.
     pub fn has_preallocated(&self) -> bool {
         self.has_preallocated
     }
 
-    /// How many bytes the files take.
+    /// Returns the total size of the segment files in bytes.
     pub fn bytes(&self) -> usize {
-        (self.segments.len() + usize::from(self.has_preallocated)) * self.size
+        (self.segments.len() + usize::from(self.has_preallocated)) * self.segment_size
     }
 
-    /// Tries to have a segment preallocated; returns whether there is one.
+    /// Preallocates a segment unless there is one. Returns whether a segment is preallocated.
     pub fn preallocate(&mut self) -> bool {
         self.create_preallocated().is_ok()
     }
@@ -193,19 +205,19 @@
         if self.has_preallocated {
             return Ok(());
         }
-        let created = self.files.create(PREALLOCATED, self.size);
-        self.disk_full = created.as_ref().is_err_and(is_full);
+        let created = self.files.create(PREALLOCATED, self.segment_size);
+        self.disk_full = created.as_ref().is_err_and(is_disk_full);
         if created.is_err() {
-            // What is there in part would keep space from others; the next try begins anew anyway.
+            // A partial file only takes up disk space; the next attempt creates it again.
             _ = self.files.remove(PREALLOCATED);
         }
         self.has_preallocated = created.is_ok();
         created
     }
 
-    /// Appends frames, whose lengths are given, and makes them durable; the first frame's number is
-    /// [`Log::next`]. After an error `next` tells how many are durable: the others are to be passed again,
-    /// and go to a new segment.
+    /// Appends frames with the given lengths and makes them durable. The number of the first record must be
+    /// [`Log::next`]. After an error all records before [`Log::next`] are durable; the caller passes the
+    /// others again, and they are written to a new segment.
     ///
     /// # Errors
     /// Fails when a segment cannot be written, synced or created.
@@ -214,74 +226,76 @@
             return Ok(());
         }
         if self.suspect {
-            self.begin_segment()?;
+            self.start_segment()?;
             self.suspect = false;
         }
-        let outcome = self.write(frames, lengths);
-        self.suspect = outcome.is_err();
-        outcome
+        let result = self.write_frames(frames, lengths);
+        self.suspect = result.is_err();
+        result
     }
 
-    fn write(&mut self, frames: &[u8], lengths: &[usize]) -> Result<(), LogError> {
-        let mut from = 0;
-        let mut to = 0;
-        let mut written = 0;
+    /// Writes frames to the current segment, and to new ones when it is full.
+    fn write_frames(&mut self, frames: &[u8], lengths: &[usize]) -> Result<(), LogError> {
+        let mut start = 0;
+        let mut end = 0;
+        let mut records = 0;
         for &length in lengths {
-            if self.at + (to - from) + length > self.size {
-                self.put(&frames[from..to], written)?;
-                from = to;
-                written = 0;
-                self.begin_segment()?;
+            if self.offset + (end - start) + length > self.segment_size {
+                self.write_and_sync(&frames[start..end], records)?;
+                start = end;
+                records = 0;
+                self.start_segment()?;
             }
-            to += length;
-            written += 1;
+            end += length;
+            records += 1;
         }
-        self.put(&frames[from..to], written)
+        self.write_and_sync(&frames[start..end], records)
     }
 
-    fn put(&mut self, bytes: &[u8], records: u64) -> Result<(), LogError> {
+    fn write_and_sync(&mut self, bytes: &[u8], records: u64) -> Result<(), LogError> {
         if bytes.is_empty() {
             return Ok(());
         }
         self.files
-            .write(&self.current, self.at, bytes)
+            .write(&self.current, self.offset, bytes)
             .map_err(io_error("writing records"))?;
         self.files
             .sync(&self.current)
             .map_err(io_error("syncing records"))?;
-        self.at += bytes.len();
+        self.offset += bytes.len();
         self.next += records;
         Ok(())
     }
 
-    /// Goes on in a new segment, which takes the place of one that begins with the same record.
-    fn begin_segment(&mut self) -> Result<(), LogError> {
+    /// Starts a new segment at the next record. It replaces a segment with the same first record.
+    fn start_segment(&mut self) -> Result<(), LogError> {
         self.create_preallocated()
             .map_err(io_error("preallocating a segment"))?;
-        // After an error nobody knows what the preallocated file holds, or whether it has its new name.
+        // Cleared first: after an error the file may have been written in part, or renamed already.
         self.has_preallocated = false;
-        match begin(&self.files, self.next) {
+        match activate_preallocated(&self.files, self.next) {
             Ok(file) => self.current = file,
             Err(error) => {
                 _ = self.files.remove(PREALLOCATED);
-                return Err(io_error("beginning a segment")(error));
+                return Err(io_error("starting a segment")(error));
             }
         }
         if self.segments.last() != Some(&self.next) {
             self.segments.push(self.next);
         }
-        self.at = HEADER_LENGTH;
+        self.offset = HEADER_LENGTH;
         self.preallocate();
         Ok(())
     }
 
-    /// Removes the files that hold only records before a number. After an error it may be called again.
+    /// Removes the segments that hold only records before `oldest_needed`, and returns their number. The call
+    /// may be repeated after an error.
     ///
     /// # Errors
-    /// Fails when a segment cannot be removed; it and the later ones stay listed.
-    pub fn trim(&mut self, low: u64) -> Result<usize, LogError> {
+    /// Fails when a segment cannot be removed; this segment and all later ones are kept.
+    pub fn trim(&mut self, oldest_needed: u64) -> Result<usize, LogError> {
         let mut removed = 0;
-        while self.segments.len() > 1 && self.segments[1] <= low {
+        while self.segments.len() > 1 && self.segments[1] <= oldest_needed {
             let file = segment_name(self.segments[0]);
             self.files
                 .remove(&file)
@@ -293,15 +307,15 @@
     }
 }
 
-fn is_full(error: &io::Error) -> bool {
+fn is_disk_full(error: &io::Error) -> bool {
     matches!(
         error.kind(),
         io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded
     )
 }
 
-/// Takes the preallocated segment into use: its header is durable before it has its name.
-fn begin<F: Files>(files: &F, first: u64) -> io::Result<F::File> {
+/// Turns the preallocated file into a segment. The header is synced before the file gets its name.
+fn activate_preallocated<F: Files>(files: &F, first: u64) -> io::Result<F::File> {
     let file = files.open(PREALLOCATED)?;
     let mut header = MAGIC.to_vec();
     header.extend_from_slice(&first.to_le_bytes());
@@ -311,9 +325,9 @@
     Ok(file)
 }
 
-/// Writes the last segment of an earlier process again. What was read of it may be in the system's cache
-/// only, and after a failed sync a further sync would confirm it without writing. A torn tail is
-/// overwritten, lest it is taken for damage once a segment follows.
+/// Writes the last segment of an earlier process again. After a failed sync, the data that was read from it
+/// may be in the page cache only, and another sync would report success without writing it. A torn tail is
+/// overwritten with zeros, because it would count as damage once another segment follows.
 fn rewrite_last_segment<F: Files>(
     files: &F,
     first: u64,
