--- a/crates/jobs/src/log/recovery.rs
+++ b/crates/jobs/src/log/recovery.rs
@@ -1,31 +1,32 @@
-//! Recovery: which records the segments hold, and what of them cannot be read.
+//! Reading of the records back from the segments, without changing a file.
 //!
-//! It decides what is torn, what a later segment repeats, and what is damage. It changes no file.
+//! Unreadable data is classified as a torn tail or as damage, and records that a later segment repeats are
+//! taken from that segment only.
 
 use super::frames::{Segment, HEADER_LENGTH};
 use super::{io_error, segment_name, Defect, Files, LogError};
 use crate::record::Record;
 
-/// What was read back.
+/// The contents of a log.
 #[derive(Debug, Default)]
 pub struct Recovered {
     /// The records, with their numbers.
     pub records: Vec<(u64, Record)>,
-    /// The torn tail, where there is one.
+    /// The torn tail, if there is one.
     pub torn_tail: Option<TornTail>,
 }
 
-/// The rest of a write that was never confirmed.
+/// An incomplete write at the end of the log, which no sync had confirmed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TornTail {
-    /// The file.
+    /// Name of the segment file.
     pub file: String,
-    /// Where it begins, in bytes.
+    /// Offset of the tail, in bytes.
     pub offset: usize,
 }
 
-/// Reads all segments of a log without changing anything. The second value is the damage, file by file;
-/// what is readable beside it is among the records all the same.
+/// Reads all segments of a log without changing them. The second value lists the damage, at most one entry
+/// per file; readable records before the damage and in other files are returned nevertheless.
 ///
 /// # Errors
 /// Fails when the directory or a file cannot be read, and when a segment has an unsupported version.
@@ -34,7 +35,7 @@
     let firsts = segment_numbers(&names);
     let mut recovered = Recovered::default();
     let mut damage = Vec::new();
-    // The highest number that any frame of any file says was synced.
+    // The highest synced number in any frame of any file.
     let mut synced = 0;
     for (index, &first) in firsts.iter().enumerate() {
         let file = segment_name(first);
@@ -49,13 +50,14 @@
         synced = synced.max(segment.synced);
         let offset = segment.end;
         let defect = if let Some(&successor) = firsts.get(index + 1) {
-            // All before the successor's first record was durable before that file began. What follows it
-            // here is of a write or sync that failed: the successor has it again, if it was ever confirmed.
+            // Records before the successor's first one were durable before the successor was created. Later
+            // records in this file stem from a failed write or sync; the successor repeats those that were
+            // ever confirmed.
             segment.records.retain(|(number, _)| *number < successor);
             let missing = Defect::Missing { number: next };
             (next < successor).then(|| segment.defect.unwrap_or(missing))
         } else {
-            let (torn_tail, defect) = last_segment_end(&file, &segment, next, synced);
+            let (torn_tail, defect) = classify_last_segment(&file, &segment, next, synced);
             recovered.torn_tail = torn_tail;
             defect
         };
@@ -71,15 +73,15 @@
     Ok((recovered, damage))
 }
 
-/// Decides whether what ends the last segment is torn or damage. `next` is the number after its last
-/// record, `synced` the highest number that any frame says was synced.
-fn last_segment_end(
+/// Decides whether a defect in the last segment is a torn tail or damage. `next` is the number after the
+/// segment's last readable record, `synced` the highest synced number in any frame.
+fn classify_last_segment(
     file: &str,
     segment: &Segment,
     next: u64,
     synced: u64,
 ) -> (Option<TornTail>, Option<Defect>) {
-    // A header is durable before its file has its name: only behind it can anything be torn.
+    // A segment's header is synced before the file gets its name, so only data after it can be torn.
     let may_be_torn = segment.end >= HEADER_LENGTH && synced < next;
     match segment.defect {
         Some(_) if may_be_torn => {
@@ -95,7 +97,7 @@
     }
 }
 
-/// The numbers of the segments' first records, in their order.
+/// Returns the number of each segment's first record, in ascending order. Other files are ignored.
 pub(super) fn segment_numbers(names: &[String]) -> Vec<u64> {
     let number = |name: &String| {
         name.strip_suffix(".log")
