--- a/crates/jobs/src/machine/types.rs
+++ b/crates/jobs/src/machine/types.rs
@@ -1,4 +1,4 @@
-//! The values that the state machine takes and returns: limits, submissions, effects, fence replies, views.
+//! Input and output types of the state machine.
 
 use std::rc::Rc;
 
@@ -6,182 +6,182 @@
 
 use crate::record::{Answer, JobId, JobPayload, Lease, Outcome};
 
-/// Bounds of the state machine. Times are in microseconds.
+/// Settings and capacity limits of the state machine. Times are in microseconds.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Whether workers implement the lease protocol.
     pub leases: bool,
-    /// How long a lease is valid without a heartbeat.
+    /// Validity of a lease without a heartbeat.
     pub lease: Micros,
-    /// How long answers are retained.
+    /// Time for which answers are retained.
     pub retention: Micros,
-    /// The most jobs that may be open or indeterminate.
+    /// Maximum number of open jobs.
     pub max_open: usize,
-    /// The most jobs in all, finished ones included.
+    /// Maximum number of jobs, including finished ones.
     pub max_jobs: usize,
-    /// The most bytes of payloads and answers.
+    /// Maximum total size of payloads and answers, in bytes.
     pub max_bytes: usize,
 }
 
-/// Names of classes and tenants, by their index in the settings.
+/// Names of the classes and tenants, in the order of the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// The classes.
+    /// Names of the classes.
     pub classes: Vec<String>,
-    /// The tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
 }
 
 /// The outcome of a submission.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Submitted {
-    /// The job is open, from this submission or an earlier one: its answer comes as [`Effect::Answer`].
+    /// The job is open, from this submission or an earlier one. The answer follows as [`Effect::Answer`].
     Open,
-    /// The job is finished.
+    /// The job is finished, with this answer.
     Over(Answer),
-    /// The key belongs to a job with another payload.
+    /// The key belongs to a job with a different payload.
     Conflict,
-    /// No capacity, or too many records are not durable yet.
+    /// A capacity limit is reached, the disk is full, or too many bytes of records are not durable yet.
     Busy,
 }
 
-/// An action for the caller to perform. Each is returned only once the records it depends on are durable.
+/// An action for the caller to perform. It is returned only once the records that it depends on are durable.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// The job is durable.
+    /// The job's acceptance is durable.
     Accepted(JobId),
-    /// Start an attempt, and report its end by `on_ended`.
+    /// Send an attempt to a worker, and report its end with `on_ended`.
     Attempt {
         /// The job.
         id: JobId,
         /// The attempt's fencing token.
         token: u64,
-        /// The worker's name.
+        /// Name of the worker.
         worker: Rc<str>,
-        /// When the attempt times out.
+        /// Time at which the attempt times out.
         until: Micros,
-        /// When the whole request must have been written.
+        /// Time by which the whole request must have been written.
         write_deadline: Micros,
-        /// What to send.
+        /// The request to send.
         payload: Rc<JobPayload>,
     },
-    /// Close an attempt's connection; nothing more need be reported of it.
+    /// Close an attempt's connection. Its end need not be reported.
     Stop {
         /// The job.
         id: JobId,
         /// The attempt's fencing token.
         token: u64,
     },
-    /// Tell a worker to start no token up to this one, and ask what it knows of the job; the reply goes to
-    /// `on_fenced`.
+    /// Fence an attempt: tell the worker not to start the job with a token up to this one, and ask for the
+    /// job's status. The reply is reported with `on_fenced`.
     Fence {
         /// The job.
         id: JobId,
         /// The fencing token.
         token: u64,
-        /// The worker's name.
+        /// Name of the worker.
         worker: Rc<str>,
-        /// Whether the worker's address is from a confirmed endpoint list; to be passed on to `on_fenced`.
+        /// Whether the worker's address is from a confirmed endpoint list. To be passed to `on_fenced`.
         confirmed: bool,
     },
-    /// Notify a worker that the result is durable here; losing this notification does no harm.
+    /// Notify a worker that the scheduler has stored its result durably. The notification may be lost.
     Safe {
         /// The job.
         id: JobId,
         /// The fencing token.
         token: u64,
-        /// The worker's name.
+        /// Name of the worker.
         worker: Rc<str>,
     },
-    /// The job has its answer, for all who wait for it.
+    /// Send the job's final answer to all clients that wait for it.
     Answer(JobId, Answer),
-    /// Records before this number are not needed any more.
+    /// Trim the log: records before this number are no longer needed.
     Trim(u64),
 }
 
 /// A worker's reply to a fence.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FenceReply {
-    /// What became of the job there.
+    /// The worker's status of the job.
     pub status: FenceStatus,
-    /// Since when the worker's memory of jobs is complete, in Unix time milliseconds.
+    /// Time since which the worker's job history is complete, in Unix milliseconds.
     pub since_ms: u64,
 }
 
-/// What a worker knows of a fenced job.
+/// The status of a fenced job at a worker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FenceStatus {
-    /// It has not started, and no token up to the fenced one will.
+    /// The job has not started, and will not start with a token up to the fenced one.
     Never,
-    /// It is running.
+    /// The job is running.
     Running,
-    /// It has ended with this result.
+    /// The job has ended with this result.
     Done(Vec<u8>),
-    /// It started, and no result will come.
+    /// The job has started, and will not yield a result.
     Failed,
 }
 
-/// How an attempt ended, as seen on its connection.
+/// The end of an attempt, as observed on its connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum End {
-    /// With a result.
+    /// The worker returned a result.
     Result(Vec<u8>),
-    /// Otherwise; never [`Ending::Delivered`].
+    /// The attempt ended without a result; never [`Ending::Delivered`].
     Other(Ending),
 }
 
-/// What a client or operator may see of a job.
+/// The status of a job, for clients and operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct View {
-    /// Its answer, once that is durable.
+    /// The final answer, once it is durable.
     pub answer: Option<Answer>,
-    /// The number of attempts that are still recorded.
+    /// Number of the attempts that are still recorded.
     pub attempts: usize,
-    /// The attempts of a finished job of which it is not known whether they ran.
+    /// Leases of a finished job's indeterminate attempts.
     pub indeterminate: Vec<Lease>,
-    /// What was found out about these.
+    /// Outcome of the indeterminate attempts, once one is settled.
     pub outcome: Option<Outcome>,
 }
 
-/// The machine's present boot and its up-time, neither of which a change of the wall clock affects.
+/// The machine's boot identifier and uptime. Changes of the wall clock affect neither.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Boot {
-    /// The boot's identifier; 0 where it is not known.
+    /// Boot identifier, or 0 if it is unknown.
     pub id: u128,
-    /// The up-time, in microseconds.
+    /// Time since the machine booted, in microseconds.
     pub uptime: Micros,
 }
 
-/// Counters since the start.
+/// Counters since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Jobs accepted.
     pub accepted: u64,
-    /// Submissions that found their job.
+    /// Submissions of a job that was already known.
     pub resubmitted: u64,
-    /// Submissions rejected because their key belongs to another payload.
+    /// Submissions rejected because the key belongs to a job with a different payload.
     pub conflicts: u64,
-    /// Submissions rejected for want of capacity.
+    /// Submissions rejected for lack of capacity.
     pub busy: u64,
     /// Fences sent.
     pub fences: u64,
-    /// Attempts that were indeterminate when their job ended.
+    /// Attempts that were indeterminate when their job finished.
     pub indeterminate: u64,
-    /// Of these, settled since.
+    /// Outcomes recorded for finished jobs with indeterminate attempts.
     pub settled: u64,
-    /// Invariant violations; asserted in debug builds.
+    /// Invariant violations. A debug build panics instead of counting.
     pub invariant_violations: u64,
 }
 
-/// How much the state machine holds now.
+/// Current sizes of the state machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sizes {
-    /// Open jobs.
+    /// Number of open jobs.
     pub open: usize,
-    /// Finished jobs with indeterminate attempts.
+    /// Number of finished jobs that await settlement.
     pub indeterminate: usize,
-    /// All jobs.
+    /// Number of all jobs.
     pub jobs: usize,
-    /// Bytes of payloads and answers.
+    /// Total size of payloads and answers, in bytes.
     pub bytes: usize,
 }
