--- a/crates/jobs/src/machine/attempts.rs
+++ b/crates/jobs/src/machine/attempts.rs
@@ -1,7 +1,6 @@
-//! An open job's course: when it is processed, how it is scheduled, its leases, the ends of its attempts.
+//! Scheduling of open jobs, leasing and dispatch of attempts, and the handling of their ends.
 //!
-//! It owns when a job is due. The scheduler chooses the worker; no attempt is dispatched before its lease
-//! is durable.
+//! The scheduler chooses the worker. An attempt is dispatched only once its lease is durable.
 
 use std::rc::Rc;
 
@@ -12,22 +11,22 @@
 use crate::record::{Answer, JobId, Lease, Record, UNCONFIRMED_START};
 
 impl Jobs {
-    /// Sets the time at which a job is processed next.
+    /// Sets the time at which a job is processed next: its next fence or its deadline.
     pub(super) fn schedule(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let is_over = job.is_over();
+        let is_finished = job.is_finished();
         let fence = if self.has_list {
             let leases = self.limits.leases;
-            let fences = job.attempts.iter();
-            fences
-                .filter_map(|attempt| attempt.next_fence(leases, is_over))
+            job.attempts
+                .iter()
+                .filter_map(|attempt| attempt.next_fence(leases, is_finished))
                 .min()
         } else {
             None
         };
-        let deadline = (!is_over).then_some(job.deadline);
+        let deadline = (!is_finished).then_some(job.deadline);
         let due = fence
             .into_iter()
             .chain(deadline)
@@ -42,26 +41,27 @@
         }
     }
 
-    /// Does what is due for a job: schedules it, fences workers, ends it at its deadline.
+    /// Performs the actions that are due for a job: ends it at its deadline, fences its workers, and submits
+    /// it to the scheduler.
     pub(super) fn process_due(&mut self, id: JobId, facade: &mut Facade) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        if !job.is_over() && self.now >= job.deadline {
+        if !job.is_finished() && self.now >= job.deadline {
             return self.expire(id, facade);
         }
-        let begins = job.stage == Stage::Waiting && !job.attempts.iter().any(Attempt::is_open);
-        // What was never sent needs no more than the scheduler does, which uses a cached list. What may have
-        // run waits for a confirmed one: to whom it may go again depends on where it ran.
-        let may_begin = self.list_is_confirmed || self.has_list && !job.may_have_run();
+        let is_ready = job.stage == Stage::Waiting && !job.attempts.iter().any(Attempt::is_open);
+        // A cached list suffices for a job that was never sent. A job that may have run waits for a confirmed
+        // list, because the workers that it may be sent to depend on where it ran.
+        let list_suffices = self.list_is_confirmed || self.has_list && !job.may_have_run();
         self.send_fences(id);
-        if begins && may_begin {
-            self.begin(id, facade);
+        if is_ready && list_suffices {
+            self.submit_to_facade(id, facade);
         }
         self.schedule(id);
     }
 
-    /// Fences the workers of all attempts of a job for which that is due.
+    /// Fences all attempts of a job whose next fence is due.
     fn send_fences(&mut self, id: JobId) {
         if !self.limits.leases || !self.has_list {
             return;
@@ -69,18 +69,18 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let is_over = job.is_over();
+        let is_finished = job.is_finished();
         for attempt in &mut job.attempts {
             if attempt
-                .next_fence(true, is_over)
+                .next_fence(true, is_finished)
                 .is_none_or(|at| self.now < at)
             {
                 continue;
             }
-            // Until the reply, or its absence, says otherwise.
+            // Provisional: the reply, or a missing reply, sets the time of the next fence again.
             attempt.fence_at = self.now + attempt.fence_interval.max(self.limits.lease);
             self.counts.fences += 1;
-            self.ready.push_back(Effect::Fence {
+            self.effects.push_back(Effect::Fence {
                 id,
                 token: attempt.lease.token,
                 worker: attempt.worker.clone(),
@@ -89,15 +89,15 @@
         }
     }
 
-    /// Submits a job to the scheduler, with its earlier attempts that may have run.
-    pub(super) fn begin(&mut self, id: JobId, facade: &mut Facade) {
+    /// Submits a job to the facade, together with its earlier attempts that may have run.
+    pub(super) fn submit_to_facade(&mut self, id: JobId, facade: &mut Facade) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         let class = &job.payload.class;
         let Some(class) = self.names.classes.iter().position(|name| name == class) else {
-            // The settings have changed since the job was accepted.
+            // The settings have changed, and the job's class no longer exists.
             let answer = job.unserved_answer();
             return self.finish(id, answer, facade);
         };
@@ -107,7 +107,7 @@
         let mut earlier = Vec::new();
         for attempt in &mut job.attempts {
             if attempt.may_have_run() {
-                attempt.number = Some(earlier.len());
+                attempt.facade_index = Some(earlier.len());
                 earlier.push(Earlier {
                     worker: attempt.worker.clone(),
                     ago: now.saturating_sub(attempt.lease.sent),
@@ -120,17 +120,17 @@
         }
     }
 
-    /// Writes the lease of an attempt, which is dispatched once that is durable.
-    pub(super) fn lease(
+    /// Writes the lease of a new attempt, which is dispatched once the lease is durable.
+    pub(super) fn write_lease(
         &mut self,
         id: JobId,
-        number: usize,
+        facade_index: usize,
         worker: Rc<str>,
         until: Micros,
         write_deadline: Micros,
     ) {
         let start_ms = if self.list_is_confirmed {
-            self.starts.get(&worker).copied().unwrap_or(0)
+            self.worker_starts.get(&worker).copied().unwrap_or(0)
         } else {
             UNCONFIRMED_START
         };
@@ -138,14 +138,14 @@
             return;
         };
         let lease = Lease {
-            token: self.next,
+            token: self.next_record,
             worker: worker.to_string(),
             start_ms,
             sent: self.now,
         };
         let token = lease.token;
         job.attempts.push(Attempt {
-            number: Some(number),
+            facade_index: Some(facade_index),
             worker,
             lease_expires_at: until.min(self.now + self.limits.lease),
             write_deadline,
@@ -156,7 +156,7 @@
         self.after_sync(Pending::Dispatch(id, token));
     }
 
-    /// Sends an attempt whose lease is durable, unless its time is over.
+    /// Sends an attempt whose lease is durable, unless a deadline has passed in the meantime.
     pub(super) fn dispatch(&mut self, id: JobId, token: u64, facade: &mut Facade) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -176,7 +176,7 @@
         }
         attempt.dispatched = true;
         attempt.lease_expires_at = now + self.limits.lease;
-        self.ready.push_back(Effect::Attempt {
+        self.effects.push_back(Effect::Attempt {
             id,
             token,
             worker: attempt.worker.clone(),
@@ -187,7 +187,7 @@
         self.schedule(id);
     }
 
-    /// Ends an attempt that is known never to have run, and writes that.
+    /// Ends an attempt that never ran, and writes a record of that.
     pub(super) fn record_never_ran(
         &mut self,
         id: JobId,
@@ -200,8 +200,8 @@
         self.end_attempt(id, token, AttemptState::Unsent, ending, load, facade);
     }
 
-    /// Ends an attempt: the scheduler is notified, or, where the job was restored and is not scheduled yet,
-    /// the job goes on if this was its last open attempt.
+    /// Ends an attempt and reports its end to the facade. A restored job that is not scheduled yet is processed
+    /// instead, and is submitted to the facade once it has no open attempt.
     pub(super) fn end_attempt(
         &mut self,
         id: JobId,
@@ -221,14 +221,15 @@
         };
         attempt.state = state;
         attempt.fence_at = now;
-        if let (Some(request), Some(number)) = (request, attempt.number) {
-            facade.report(now, Seen::Ended(request, number, ending, load));
+        if let (Some(request), Some(index)) = (request, attempt.facade_index) {
+            facade.report(now, Seen::Ended(request, index, ending, load));
         } else {
             self.process_due(id, facade);
         }
     }
 
-    /// Ends an attempt with its result, which becomes the job's answer unless another came first.
+    /// Ends an attempt with its result, which becomes the job's answer unless another attempt's result came
+    /// first.
     pub(super) fn accept_result(
         &mut self,
         id: JobId,
@@ -245,11 +246,11 @@
             return;
         };
         attempt.state = AttemptState::Ended;
-        if let (Some(request), Some(number)) = (request, attempt.number) {
+        if let (Some(request), Some(index)) = (request, attempt.facade_index) {
             attempt.result = Some(result);
             facade.report(
                 self.now,
-                Seen::Ended(request, number, Ending::Delivered, load),
+                Seen::Ended(request, index, Ending::Delivered, load),
             );
         } else {
             self.finish(id, Answer::Served(result), facade);
@@ -257,7 +258,7 @@
     }
 }
 
-/// A job as the scheduler takes it.
+/// Converts a job to the facade's request type.
 fn job_request(job: &Job, now: Micros, class: usize, tenant: Option<usize>) -> JobRequest {
     let remaining = if job.overdue {
         0
--- a/crates/jobs/src/machine/clients.rs
+++ b/crates/jobs/src/machine/clients.rs
@@ -1,7 +1,6 @@
-//! The calls of clients and operators: submission, cancellation, status, settlement.
+//! Requests of clients and operators: submission, cancellation, status and settlement.
 //!
-//! It decides what a submission comes to when its job is known already, and shows no answer that is not
-//! durable.
+//! An answer is visible to clients and operators only once it is durable.
 
 use std::rc::Rc;
 
@@ -12,7 +11,7 @@
 use crate::record::{Answer, JobId, JobPayload, Outcome};
 
 impl Jobs {
-    /// Submits a client's job. `wait` is how long the client is ready to wait from now on, in microseconds.
+    /// Submits a client's job. `wait` is the time until the client's deadline, in microseconds.
     pub fn submit(
         &mut self,
         now: Micros,
@@ -32,7 +31,7 @@
             return Submitted::Busy;
         }
         self.counts.accepted += 1;
-        let attempts = self.replace_earlier_try(id);
+        let attempts = self.remove_rejected(id);
         let job = Job {
             deadline: now + wait,
             wait,
@@ -44,14 +43,15 @@
         self.jobs.insert(id, job);
         self.write_accepted(id);
         self.after_sync(Pending::Effect(Effect::Accepted(id)));
-        // The scheduler may have it at once: the records of its decisions are synced together with the
-        // job's own, and cost no sync more.
+        // Scheduled before the job is durable, so that the scheduler's decisions are written and synced
+        // together with the job's acceptance.
         self.process_due(id, facade);
         self.pump(now, facade);
         Submitted::Open
     }
 
-    /// The outcome of a submission whose job is known, unless that is to be tried again.
+    /// Returns the outcome of a submission of a known job, or `None` if the job is to be accepted, because it is
+    /// unknown or was durably rejected.
     fn resubmit(&mut self, id: JobId, fingerprint: u128, detached: bool) -> Option<Submitted> {
         let job = self.jobs.get_mut(&id)?;
         if job.fingerprint != fingerprint {
@@ -61,9 +61,9 @@
         self.counts.resubmitted += 1;
         job.detached |= detached;
         match &job.stage {
-            // A rejection is no answer to the job: its client tries again.
-            Stage::Over(Answer::Rejected(_), number) if *number <= self.synced => None,
-            Stage::Over(answer, number) if *number <= self.synced => {
+            // A rejected job may be submitted again.
+            Stage::Finished(Answer::Rejected(_), number) if *number <= self.last_synced => None,
+            Stage::Finished(answer, number) if *number <= self.last_synced => {
                 Some(Submitted::Over(answer.clone()))
             }
             _ => Some(Submitted::Open),
@@ -78,27 +78,28 @@
             && self.has_unsynced_capacity(size)
     }
 
-    /// Removes a rejected try of the same job, and returns those of its attempts that may have run.
-    fn replace_earlier_try(&mut self, id: JobId) -> Vec<Attempt> {
-        let Some(earlier) = self.remove(id) else {
+    /// Removes the rejected job that is submitted again, if there is one. Returns its attempts that may have
+    /// run.
+    fn remove_rejected(&mut self, id: JobId) -> Vec<Attempt> {
+        let Some(rejected) = self.remove(id) else {
             return Vec::new();
         };
-        self.remove_from_lists(earlier.number);
-        let mut attempts = earlier.attempts;
+        self.remove_from_lists(rejected.record_number);
+        let mut attempts = rejected.attempts;
         attempts.retain(Attempt::may_have_run);
         for attempt in &mut attempts {
-            // Their numbers at the facade were those of the earlier try.
-            attempt.number = None;
+            // The index belonged to the rejected job's request at the facade.
+            attempt.facade_index = None;
         }
         attempts
     }
 
-    /// Cancels a job that was never sent. Returns whether it was cancelled, and nothing where the job is
-    /// not known.
+    /// Cancels a job unless it may have run. Returns whether the job was cancelled, or `None` if the job is
+    /// unknown.
     pub fn cancel(&mut self, now: Micros, id: JobId, facade: &mut Facade) -> Option<bool> {
         self.now = now;
         let job = self.jobs.get(&id)?;
-        if job.is_over() || job.may_have_run() {
+        if job.is_finished() || job.may_have_run() {
             return Some(false);
         }
         self.finish(id, Answer::Cancelled, facade);
@@ -106,15 +107,15 @@
         Some(true)
     }
 
-    /// The status of a job.
+    /// Returns the status of a job, or `None` if the job is unknown.
     #[must_use]
     pub fn view(&self, id: JobId) -> Option<View> {
         let job = self.jobs.get(&id)?;
         let answer = match &job.stage {
-            Stage::Over(answer, number) if *number <= self.synced => Some(answer.clone()),
+            Stage::Finished(answer, number) if *number <= self.last_synced => Some(answer.clone()),
             _ => None,
         };
-        let indeterminate = if job.is_over() {
+        let indeterminate = if job.is_finished() {
             job.indeterminate_leases()
         } else {
             Vec::new()
@@ -127,19 +128,20 @@
         })
     }
 
-    /// The jobs that are not finished.
+    /// Returns the jobs that are not finished.
     #[must_use]
     pub fn open(&self) -> Vec<JobId> {
         self.open.values().copied().collect()
     }
 
-    /// The finished jobs that await settlement.
+    /// Returns the finished jobs that await settlement.
     #[must_use]
     pub fn indeterminate(&self) -> Vec<JobId> {
         self.indeterminate.values().copied().collect()
     }
 
-    /// An operator says what became of an indeterminate job; returns whether there was such a one.
+    /// Settles a job with the outcome that an operator gives. Returns false if the job does not await
+    /// settlement.
     pub fn settle(&mut self, now: Micros, id: JobId, outcome: Outcome) -> bool {
         self.now = now;
         let Some(job) = self.jobs.get_mut(&id).filter(|job| job.awaits_settlement()) else {
@@ -159,7 +161,7 @@
     }
 }
 
-/// The state of an attempt whose outcome is known now.
+/// Returns the state of an attempt with a known outcome.
 pub(super) fn settled_state(outcome: Outcome) -> AttemptState {
     match outcome {
         Outcome::Ran => AttemptState::Ended,
--- a/crates/jobs/src/machine/ends.rs
+++ b/crates/jobs/src/machine/ends.rs
@@ -1,17 +1,17 @@
-//! A job's end: its one final answer, its indeterminate attempts, and what is found out of these later.
+//! The end of a job: its final answer, and the later settlement of its indeterminate attempts.
 //!
-//! It owns the step from open to finished, and gives no job a second final answer.
+//! Each job gets exactly one final answer.
 
 use oakshed_core::facade::{Ending, Facade, Seen};
 
 use super::clients::settled_state;
-use super::job::{size_of, AttemptState, Stage};
+use super::job::{answer_size, AttemptState, Stage};
 use super::{Effect, Finished, Jobs, Pending};
 use crate::record::{Answer, JobId, Outcome, Record};
 
 impl Jobs {
-    /// The client's deadline has passed: what is in flight may have run, and the scheduler decides on the
-    /// answer.
+    /// Ends a job whose deadline has passed. Attempts that were sent become indeterminate, and the scheduler
+    /// decides on the answer.
     pub(super) fn expire(&mut self, id: JobId, facade: &mut Facade) {
         let now = self.now;
         let Some(job) = self.jobs.get_mut(&id) else {
@@ -25,45 +25,45 @@
             let sent = attempt.abandon();
             if attempt.dispatched {
                 let token = attempt.lease.token;
-                self.ready.push_back(Effect::Stop { id, token });
+                self.effects.push_back(Effect::Stop { id, token });
             }
-            if let (Some(request), Some(number)) = (request, attempt.number) {
+            if let (Some(request), Some(index)) = (request, attempt.facade_index) {
                 let ending = if sent {
                     Ending::Expired
                 } else {
                     Ending::Unused
                 };
-                facade.report(now, Seen::Ended(request, number, ending, None));
+                facade.report(now, Seen::Ended(request, index, ending, None));
             }
         }
         if request.is_none() {
-            self.begin(id, facade);
+            self.submit_to_facade(id, facade);
         }
         self.advance(id, facade);
-        if let Some(job) = self.jobs.get(&id).filter(|job| !job.is_over()) {
+        if let Some(job) = self.jobs.get(&id).filter(|job| !job.is_finished()) {
             let answer = job.unserved_answer();
             self.finish(id, answer, facade);
         }
     }
 
-    /// Gives the job its final answer, which is returned once it is durable.
+    /// Gives a job its final answer, which is sent once it is durable.
     pub(super) fn finish(&mut self, id: JobId, answer: Answer, facade: &mut Facade) {
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
-        if job.is_over() {
-            return self.check_invariant(false, "a second final answer");
+        if job.is_finished() {
+            return self.check_invariant(false, "a job got a second final answer");
         }
         self.release_request(id, facade);
         let served = matches!(answer, Answer::Served(_));
-        let safe = self.close_attempts(id, served);
+        let notifications = self.close_attempts(id, served);
         let Some(job) = self.jobs.get(&id) else {
             return;
         };
         let rejected = matches!(answer, Answer::Rejected(_));
-        // A rejection of what never ran ends all interest in the job, unless someone will come and ask.
+        // A rejected job that never ran need not be retained, unless its client fetches the answer later.
         let removable = rejected && !job.detached && !job.may_have_run();
-        // A rejected job that may have run is no failure: its client's next try goes on from there.
+        // Not counted for a rejected job: if it is submitted again, it continues with these attempts.
         if !rejected {
             let indeterminate = job
                 .attempts
@@ -74,10 +74,10 @@
         if removable {
             self.drop_job(id, answer.clone());
         } else {
-            self.close(id, answer.clone());
+            self.retain_finished(id, answer.clone());
         }
         self.after_sync(Pending::Effect(Effect::Answer(id, answer)));
-        for effect in safe {
+        for effect in notifications {
             self.after_sync(Pending::Effect(effect));
         }
         if removable {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Takes a scheduled job back from the facade.
+    /// Closes a scheduled job's request at the facade.
     fn release_request(&mut self, id: JobId, facade: &mut Facade) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -94,31 +94,29 @@
             return;
         };
         facade.close(self.now, request);
-        // Where attempts may not be cancelled, the scheduler waits for their ends.
+        // The scheduler waits for the ends of attempts that may not be cancelled.
         for attempt in job.attempts.iter().filter(|attempt| attempt.is_open()) {
-            if let Some(number) = attempt.number {
-                facade.report(
-                    self.now,
-                    Seen::Ended(request, number, Ending::Revoked, None),
-                );
+            if let Some(index) = attempt.facade_index {
+                facade.report(self.now, Seen::Ended(request, index, Ending::Revoked, None));
             }
         }
     }
 
-    /// Ends all attempts of a job. Returns the notifications to workers whose results are durable soon.
+    /// Ends all attempts of a job. Returns the notifications for workers whose attempts have ended, which are
+    /// sent once the job's answer is durable.
     fn close_attempts(&mut self, id: JobId, served: bool) -> Vec<Effect> {
         let now = self.now;
-        let mut safe = Vec::new();
+        let mut notifications = Vec::new();
         let Some(job) = self.jobs.get_mut(&id) else {
-            return safe;
+            return notifications;
         };
         for attempt in &mut job.attempts {
             let token = attempt.lease.token;
             if attempt.state == AttemptState::InFlight {
-                self.ready.push_back(Effect::Stop { id, token });
+                self.effects.push_back(Effect::Stop { id, token });
             }
             match attempt.state {
-                // Not dispatched, and never will be.
+                // An attempt in this state is never dispatched.
                 AttemptState::InFlight if !attempt.dispatched => {
                     attempt.state = AttemptState::Unsent;
                 }
@@ -128,35 +126,35 @@
                 }
                 AttemptState::Ended if served && self.limits.leases => {
                     let worker = attempt.worker.clone();
-                    safe.push(Effect::Safe { id, token, worker });
+                    notifications.push(Effect::Safe { id, token, worker });
                 }
                 _ => {}
             }
-            // What came of others is of no interest once the job is served.
+            // Once the job is served, the outcomes of its other attempts do not matter.
             if served && attempt.state == AttemptState::Indeterminate {
                 attempt.state = AttemptState::Ended;
             }
         }
-        safe
+        notifications
     }
 
-    /// Records that nothing need be known of a job once that is durable.
+    /// Writes that a job is dropped. The job stays in memory until that record is durable.
     fn drop_job(&mut self, id: JobId, answer: Answer) {
         let number = self.write(Record::Dropped { id });
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        // Known until then: a submission that comes meanwhile is the same try, and gets the same rejection.
-        job.stage = Stage::Over(answer, number);
-        let oldest_record = job.number;
+        // A submission in the meantime joins the rejected job, and gets the same rejection.
+        job.stage = Stage::Finished(answer, number);
+        let oldest_record = job.record_number;
         self.open.remove(&oldest_record);
         self.schedule(id);
     }
 
-    /// Writes what is retained of a finished job, and lists it by whether it awaits settlement.
-    pub(super) fn close(&mut self, id: JobId, answer: Answer) {
+    /// Writes the record of a finished job, and lists the job in `indeterminate` or `finished`.
+    pub(super) fn retain_finished(&mut self, id: JobId, answer: Answer) {
         let now = self.now;
-        let Some(oldest_record) = self.jobs.get(&id).map(|job| job.number) else {
+        let Some(oldest_record) = self.jobs.get(&id).map(|job| job.record_number) else {
             return;
         };
         let Some(number) = self.write_finished(id, &answer) else {
@@ -168,29 +166,33 @@
         };
         self.bytes -= job.bytes;
         job.payload = self.empty_payload.clone();
-        job.bytes = size_of(&answer);
-        // An answer that is recorded again is as durable as its first record: nobody need wait for the new one.
-        let answered_at = match &job.stage {
-            Stage::Over(before, first) if *before == answer => *first,
+        job.bytes = answer_size(&answer);
+        // An answer that is written again is already durable with its first record.
+        let answer_record = match &job.stage {
+            Stage::Finished(before, first) if *before == answer => *first,
             _ => number,
         };
-        job.stage = Stage::Over(answer, answered_at);
-        job.number = number;
-        job.written = now;
+        job.stage = Stage::Finished(answer, answer_record);
+        job.record_number = number;
+        job.written_at = now;
         self.bytes += job.bytes;
         if job.awaits_settlement() {
             self.indeterminate.insert(number, id);
         } else {
-            let at = now;
-            self.finished.push_back(Finished { at, number, id });
+            self.finished.push_back(Finished {
+                finished_at: now,
+                record_number: number,
+                id,
+            });
         }
         self.schedule(id);
     }
 
-    /// Writes a job's final answer and the attempts that still count.
+    /// Writes a job's final answer with the attempts whose outcome still matters, and returns the record's
+    /// number.
     fn write_finished(&mut self, id: JobId, answer: &Answer) -> Option<u64> {
         let job = self.jobs.get(&id)?;
-        // What was rejected may be tried again: all that may have run still counts then.
+        // A rejected job may be submitted again, for which all attempts that may have run matter.
         let rejected = matches!(answer, Answer::Rejected(_));
         let indeterminate = job
             .attempts
@@ -215,7 +217,7 @@
         Some(self.write(record))
     }
 
-    /// Notes what became of one indeterminate attempt.
+    /// Sets the outcome of one indeterminate attempt.
     pub(super) fn settle_attempt(&mut self, id: JobId, token: u64, outcome: Outcome) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -223,7 +225,7 @@
         if let Some(attempt) = job.attempt_mut(token) {
             attempt.state = settled_state(outcome);
         }
-        // One attempt that ran is what counts of several.
+        // The job ran if any of its attempts ran.
         let outcome = if job.outcome == Some(Outcome::Ran) {
             Outcome::Ran
         } else {
@@ -232,15 +234,15 @@
         self.record_outcome(id, outcome);
     }
 
-    /// Writes what became of an indeterminate job.
+    /// Writes the outcome of a finished job's indeterminate attempts.
     pub(super) fn record_outcome(&mut self, id: JobId, outcome: Outcome) {
         self.counts.settled += 1;
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
         job.outcome = Some(outcome);
-        if let Stage::Over(answer, _) = job.stage.clone() {
-            self.close(id, answer);
+        if let Stage::Finished(answer, _) = job.stage.clone() {
+            self.retain_finished(id, answer);
         }
     }
 }
--- a/crates/jobs/src/machine/job.rs
+++ b/crates/jobs/src/machine/job.rs
@@ -1,6 +1,7 @@
-//! One job and its attempts, as the state machine stores them.
+//! State of one job and of its attempts.
 //!
-//! Methods here only read: the lists and queues that a job is in belong to [`Jobs`](super::Jobs).
+//! [`Jobs`](super::Jobs) keeps the indexes and queues of jobs consistent, and makes all changes that affect
+//! them.
 
 use std::rc::Rc;
 
@@ -8,45 +9,48 @@
 
 use crate::record::{Answer, JobId, JobPayload, Lease, Outcome, Record};
 
-/// The first interval between two fences of the same attempt: 0.1 s.
-pub(super) const FIRST_FENCE_INTERVAL: Micros = 100_000;
+/// Interval between the first two fences of an attempt: 0.1 s.
+pub(super) const INITIAL_FENCE_INTERVAL: Micros = 100_000;
 
-/// The time sent of an attempt of which nobody knows when it was sent: every window since is over.
-pub(super) const LONG_AGO: Micros = 0;
+/// Send time of an attempt whose real send time is unknown. It is so early that every time window that
+/// starts with it has expired.
+pub(super) const UNKNOWN_SEND_TIME: Micros = 0;
 
-/// Bytes accounted for an answer beside its result.
+/// Bytes accounted for an answer, in addition to its result.
 const ANSWER_OVERHEAD: usize = 64;
 
-/// What is known of an attempt.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptState {
-    /// Its connection is open, or will be once its lease is durable.
+    /// The connection is open, or the lease is not durable yet.
     InFlight,
-    /// Its connection is lost, and its worker is fenced to learn what became of it.
+    /// The connection is lost, and the worker is being fenced to learn the outcome.
     Fencing,
-    /// It may have run, and nobody can say.
+    /// The attempt may have run; the outcome is unknown.
     Indeterminate,
-    /// It never ran.
+    /// The attempt never ran.
     Unsent,
-    /// It ended at its worker.
+    /// The attempt ran and has ended.
     Ended,
 }
 
-/// One attempt at a worker.
+/// One attempt to run a job on a worker.
 pub(super) struct Attempt {
     pub(super) lease: Lease,
     pub(super) worker: Rc<str>,
-    /// Its number at the facade, in this process.
-    pub(super) number: Option<usize>,
+    /// Index of the attempt at the facade. `None` until the job is scheduled in this process.
+    pub(super) facade_index: Option<usize>,
     pub(super) state: AttemptState,
-    /// Its lease is durable, and it was handed to the caller to send.
+    /// Whether the lease is durable and the caller was told to send the attempt.
     pub(super) dispatched: bool,
-    /// When the whole request must have been written; later it is not sent at all.
+    /// Time by which the whole request must have been written. After it the attempt is not sent.
     pub(super) write_deadline: Micros,
     pub(super) lease_expires_at: Micros,
-    /// When to send the next fence, and the interval to the one after.
+    /// Time of the next fence.
     pub(super) fence_at: Micros,
+    /// Interval after that fence if it yields no outcome.
     pub(super) fence_interval: Micros,
+    /// The worker's result, until the facade decides to serve it.
     pub(super) result: Option<Vec<u8>>,
 }
 
@@ -56,13 +60,13 @@
         Attempt {
             lease,
             worker,
-            number: None,
+            facade_index: None,
             state,
             dispatched: false,
             write_deadline: Micros::MAX,
             lease_expires_at: 0,
             fence_at: 0,
-            fence_interval: FIRST_FENCE_INTERVAL,
+            fence_interval: INITIAL_FENCE_INTERVAL,
             result: None,
         }
     }
@@ -75,12 +79,12 @@
         self.state != AttemptState::Unsent
     }
 
-    /// Whether an open attempt has left this process.
+    /// Returns whether an open attempt may have been sent.
     pub(super) fn was_sent(&self) -> bool {
         self.dispatched || self.state == AttemptState::Fencing
     }
 
-    /// Ends an open attempt whose result nobody waits for any more; tells whether it may have run.
+    /// Ends an open attempt whose result is no longer needed. Returns whether the attempt may have run.
     pub(super) fn abandon(&mut self) -> bool {
         let sent = self.was_sent();
         self.state = if sent {
@@ -91,56 +95,57 @@
         sent
     }
 
-    /// When to send the next fence, or nothing where its worker need not be asked.
-    pub(super) fn next_fence(&self, leases: bool, job_is_over: bool) -> Option<Micros> {
+    /// Returns the time of the next fence, or `None` if the worker need not be fenced.
+    pub(super) fn next_fence(&self, leases: bool, job_is_finished: bool) -> Option<Micros> {
         match self.state {
             AttemptState::InFlight if leases && self.dispatched => {
                 Some(self.lease_expires_at.max(self.fence_at))
             }
             AttemptState::Fencing => Some(self.fence_at),
-            AttemptState::Indeterminate if leases && job_is_over => Some(self.fence_at),
+            AttemptState::Indeterminate if leases && job_is_finished => Some(self.fence_at),
             _ => None,
         }
     }
 }
 
-/// How far a job has come.
+/// Stage of a job.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Stage {
-    /// Not durable yet, or restored and not resumed yet.
+    /// Not submitted to the facade in this process yet.
     Waiting,
     /// Queued or in flight at the facade.
     Scheduled(Handle),
-    /// It has its answer, durable once the record of this number is.
-    Over(Answer, u64),
+    /// Finished with an answer, which is durable once the record with this number is.
+    Finished(Answer, u64),
 }
 
-/// One job.
+/// A job.
 pub(super) struct Job {
     pub(super) fingerprint: u128,
     pub(super) payload: Rc<JobPayload>,
     pub(super) deadline: Micros,
-    /// How long its client was ready to wait.
+    /// Time from the submission to the client's deadline.
     pub(super) wait: Micros,
-    /// Its client does not wait but comes back for the answer.
+    /// Whether the client fetches the answer later instead of waiting for it.
     pub(super) detached: bool,
-    /// Its deadline passed while no scheduler ran.
+    /// Whether the deadline passed while no scheduler was running.
     pub(super) overdue: bool,
     pub(super) stage: Stage,
     pub(super) attempts: Vec<Attempt>,
     pub(super) outcome: Option<Outcome>,
-    /// The oldest record that is needed of it, and when that was written.
-    pub(super) number: u64,
-    pub(super) written: Micros,
-    /// When it is processed next; `Micros::MAX`: not by time.
+    /// Number of the oldest record that the job still needs.
+    pub(super) record_number: u64,
+    /// Time at which that record was written.
+    pub(super) written_at: Micros,
+    /// Time at which the job is processed next; `Micros::MAX` if no time is set.
     pub(super) due: Micros,
-    /// Bytes of its payload or answer.
+    /// Bytes accounted for the payload or the answer.
     pub(super) bytes: usize,
 }
 
 impl Job {
-    pub(super) fn is_over(&self) -> bool {
-        matches!(self.stage, Stage::Over(..))
+    pub(super) fn is_finished(&self) -> bool {
+        matches!(self.stage, Stage::Finished(..))
     }
 
     fn has_indeterminate_attempts(&self) -> bool {
@@ -152,17 +157,18 @@
         })
     }
 
-    /// Whether it is over and listed until its outcome is known. A rejected job may run again anyway, and
-    /// its indeterminate attempts expire with it.
+    /// Returns whether the job is finished and kept until its outcome is known. This excludes rejected jobs:
+    /// they may run again anyway, and their indeterminate attempts are removed with them.
     pub(super) fn awaits_settlement(&self) -> bool {
-        matches!(self.stage, Stage::Over(Answer::Failed, _)) && self.has_indeterminate_attempts()
+        matches!(self.stage, Stage::Finished(Answer::Failed, _))
+            && self.has_indeterminate_attempts()
     }
 
     pub(super) fn may_have_run(&self) -> bool {
         self.attempts.iter().any(Attempt::may_have_run)
     }
 
-    /// Its handle at the facade, while it is scheduled.
+    /// Returns the job's handle at the facade while it is scheduled.
     pub(super) fn request(&self) -> Option<Handle> {
         if let Stage::Scheduled(request) = self.stage {
             Some(request)
@@ -177,14 +183,14 @@
             .find(|attempt| attempt.lease.token == token)
     }
 
-    /// The attempt that has this number at the facade.
-    pub(super) fn numbered_attempt_mut(&mut self, number: usize) -> Option<&mut Attempt> {
+    /// Returns the attempt with this index at the facade.
+    pub(super) fn attempt_by_facade_index_mut(&mut self, index: usize) -> Option<&mut Attempt> {
         self.attempts
             .iter_mut()
-            .find(|attempt| attempt.number == Some(number))
+            .find(|attempt| attempt.facade_index == Some(index))
     }
 
-    /// The answer of a job that ends without a result.
+    /// Returns the answer for a job that ends without a result.
     pub(super) fn unserved_answer(&self) -> Answer {
         if self.may_have_run() {
             Answer::Failed
@@ -201,33 +207,33 @@
             .collect()
     }
 
-    /// A job without attempts that was written at this time, in the record of this number.
+    /// Creates a job without attempts, from its record's number and time.
     pub(super) fn new(
         fingerprint: u128,
         payload: Rc<JobPayload>,
-        number: u64,
-        written: Micros,
+        record_number: u64,
+        written_at: Micros,
     ) -> Job {
         let bytes = payload.size();
         Job {
             fingerprint,
             payload,
-            deadline: written,
+            deadline: written_at,
             wait: 0,
             detached: false,
             overdue: false,
             stage: Stage::Waiting,
             attempts: Vec::new(),
             outcome: None,
-            number,
-            written,
+            record_number,
+            written_at,
             due: Micros::MAX,
             bytes,
         }
     }
 
-    /// The job of a record of the log, or nothing where the record only changes one.
-    pub(super) fn restored(
+    /// Creates a job from a log record. Returns `None` for a record that does not hold a whole job.
+    pub(super) fn from_record(
         number: u64,
         record: Record,
         empty_payload: &Rc<JobPayload>,
@@ -247,7 +253,7 @@
                     deadline,
                     wait,
                     detached,
-                    attempts: attempts(leases, AttemptState::Fencing),
+                    attempts: attempts_from_leases(leases, AttemptState::Fencing),
                     ..Job::new(fingerprint, Rc::new(payload), number, at)
                 };
                 Some((id, job))
@@ -261,9 +267,9 @@
                 outcome,
             } => {
                 let job = Job {
-                    bytes: size_of(&answer),
-                    stage: Stage::Over(answer, number),
-                    attempts: attempts(indeterminate, AttemptState::Indeterminate),
+                    bytes: answer_size(&answer),
+                    stage: Stage::Finished(answer, number),
+                    attempts: attempts_from_leases(indeterminate, AttemptState::Indeterminate),
                     outcome,
                     ..Job::new(fingerprint, empty_payload.clone(), number, at)
                 };
@@ -274,15 +280,15 @@
     }
 }
 
-fn attempts(leases: Vec<Lease>, state: AttemptState) -> Vec<Attempt> {
+fn attempts_from_leases(leases: Vec<Lease>, state: AttemptState) -> Vec<Attempt> {
     leases
         .into_iter()
         .map(|lease| Attempt::new(lease, state))
         .collect()
 }
 
-/// Bytes accounted for an answer.
-pub(super) fn size_of(answer: &Answer) -> usize {
+/// Returns the number of bytes accounted for an answer.
+pub(super) fn answer_size(answer: &Answer) -> usize {
     match answer {
         Answer::Served(result) => result.len() + ANSWER_OVERHEAD,
         _ => ANSWER_OVERHEAD,
--- a/crates/jobs/src/machine/mod.rs
+++ b/crates/jobs/src/machine/mod.rs
@@ -1,23 +1,24 @@
-//! The state machine of durable jobs: what is written, and what may be done once it is durable.
+//! State machine of durable jobs.
 //!
-//! It owns each job from its submission to its one final answer, the leases of its attempts, and those
-//! that are indeterminate. Whether and where a job is sent is decided by the scheduler behind the
-//! [`Facade`] that it is passed. It does no I/O, reads no clock, and returns no effect before the records
-//! that the effect depends on are durable.
+//! [`Jobs`] tracks each job from its submission to its final answer, with the leases of its attempts, and
+//! keeps indeterminate attempts until they are settled. The scheduler behind [`Facade`] decides whether and
+//! where a job is sent. The state machine performs no I/O and reads no clock. It returns an effect only once
+//! the records that the effect depends on are durable.
 //!
-//! # Use
+//! # Usage
 //!
-//! Report events (`submit`, `on_alive`, `on_ended`, `on_fenced`, `on_list`, `tick`), then append
-//! [`records`](Jobs::records) to the log, carry out [`effects`](Jobs::effect), and report each sync by
+//! The caller reports events (`submit`, `on_alive`, `on_ended`, `on_fenced`, `on_list`, `tick`), appends
+//! [`records`](Jobs::records) to the log, performs the [`effects`](Jobs::effect), and reports each sync with
 //! `on_synced`.
 //!
 //! # Time
 //!
-//! `now` is the caller's clock, the facade's too. Records carry *logical* time, which never falls over all
-//! restarts: while the machine has not been rebooted it goes on with the up-time, whatever was done to the
-//! wall clock. After a reboot nobody knows how long the machine was off: the logical clock goes on from
-//! where it was, so that no answer is removed early; what a client still has of its time is reckoned by
-//! the wall clock; and every window counts as over.
+//! `now` is the time of the caller's clock, which the facade uses too. Records carry *logical* time, which
+//! never decreases, not even across restarts. Until the machine is rebooted, logical time advances with the
+//! uptime and is independent of changes to the wall clock. After a reboot the time that the machine was off
+//! is unknown, with three consequences: logical time continues from its last value, so that no answer is
+//! removed early; the wall clock determines how much of a client's time is left; and all time windows that
+//! started when an attempt was sent count as expired.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -43,19 +44,20 @@
     Boot, Counts, Effect, End, FenceReply, FenceStatus, Limits, Names, Sizes, Submitted, View,
 };
 
-/// The most finished jobs removed in one call, so that none takes long.
+/// Maximum number of finished jobs removed by one call of [`Jobs::tick`], which bounds its duration.
 const MAX_REMOVED_PER_TICK: usize = 256;
-/// The shortest time to the next removal of finished jobs: 1 ms.
+/// Minimum time to the next removal of finished jobs: 1 ms.
 const MIN_REMOVAL_INTERVAL: Micros = 1_000;
 
-/// Jobs that have a step to take, filled by the facade's wakers.
+/// Queue of the jobs for which the facade may have a next step.
 #[derive(Default)]
 struct WakeQueue {
     jobs: Mutex<Vec<JobId>>,
-    outer: Mutex<Option<Waker>>,
+    /// The waker that the caller passed to [`Jobs::tick`].
+    tick_waker: Mutex<Option<Waker>>,
 }
 
-/// Wakes one job.
+/// Waker that queues one job.
 struct JobWaker {
     id: JobId,
     queue: Arc<WakeQueue>,
@@ -66,81 +68,92 @@
         if let Ok(mut jobs) = self.queue.jobs.lock() {
             jobs.push(self.id);
         }
-        let outer = self
+        let tick_waker = self
             .queue
-            .outer
+            .tick_waker
             .lock()
             .ok()
-            .and_then(|mut outer| outer.take());
-        if let Some(waker) = outer {
+            .and_then(|mut waker| waker.take());
+        if let Some(waker) = tick_waker {
             waker.wake();
         }
     }
 }
 
-/// What waits for a sync.
+/// An action that waits for a sync.
 enum Pending {
-    /// The attempt of this token may be sent.
+    /// Send the attempt with this token.
     Dispatch(JobId, u64),
-    /// Nothing need be known of the job any more.
+    /// Remove the job from memory.
     Remove(JobId),
-    /// The effect may be returned.
+    /// Return the effect to the caller.
     Effect(Effect),
 }
 
-/// A finished job that is retained, and the record by which it is listed.
+/// A finished job that is retained for a limited time.
 struct Finished {
-    at: Micros,
-    number: u64,
+    /// Time from which its retention counts.
+    finished_at: Micros,
+    /// Number of its record.
+    record_number: u64,
     id: JobId,
 }
 
-/// All durable jobs of one scheduler.
+/// The durable jobs of one scheduler.
 pub struct Jobs {
     limits: Limits,
     names: Names,
     boot: Boot,
-    /// Logical time less the caller's.
+    /// Difference between logical time and the caller's clock, in microseconds.
     logical_offset: i64,
     jobs: FxHashMap<JobId, Job>,
-    /// Finished and settled: the first is removed first.
+    /// Finished jobs that do not await settlement, in the order of their removal.
     finished: VecDeque<Finished>,
-    /// Open jobs, by the oldest record that is needed of each.
+    /// Open jobs, by the number of the oldest record that each of them needs.
     open: BTreeMap<u64, JobId>,
-    /// Finished jobs that await settlement, likewise.
+    /// Finished jobs that await settlement, by the number of the oldest record that each of them needs.
     indeterminate: BTreeMap<u64, JobId>,
+    /// Jobs by the time at which they are processed next.
     due: BTreeSet<(Micros, JobId)>,
+    /// Records that the caller has not fetched yet.
     records: Vec<Record>,
-    next: u64,
-    synced: u64,
+    /// Number of the next record.
+    next_record: u64,
+    /// Number of the last durable record.
+    last_synced: u64,
+    /// Actions that wait until the record with the given number is durable.
     pending: VecDeque<(u64, Pending)>,
-    ready: VecDeque<Effect>,
+    /// Effects that the caller has not fetched yet.
+    effects: VecDeque<Effect>,
     wake_queue: Arc<WakeQueue>,
-    /// The number of the newest [`Record::Opened`].
-    opened: u64,
-    /// Records before this number are not needed.
-    trimmed: u64,
-    /// Some endpoint list has named workers, be it a cached one.
+    /// Number of the newest [`Record::Opened`].
+    opened_record: u64,
+    /// The record number up to which the log was trimmed last; records before it are no longer needed.
+    trimmed_to: u64,
+    /// Whether a confirmed endpoint list, or a cached one that names workers, has arrived.
     has_list: bool,
-    /// A list has come from discovery itself since the start.
+    /// Whether discovery itself has sent an endpoint list since the process started.
     list_is_confirmed: bool,
-    /// The sizes of the records that are not durable yet, oldest first, and their sum.
-    unsynced: VecDeque<usize>,
+    /// Size of each record that is not durable yet, oldest first.
+    unsynced_sizes: VecDeque<usize>,
+    /// Sum of `unsynced_sizes`.
     unsynced_bytes: usize,
     disk_full: bool,
+    /// Total size of payloads and answers.
     bytes: usize,
     counts: Counts,
     now: Micros,
-    /// When each worker had started, in Unix time milliseconds.
-    starts: FxHashMap<Rc<str>, u64>,
-    /// The payload of a finished job.
+    /// Start time of each worker, in Unix milliseconds.
+    worker_starts: FxHashMap<Rc<str>, u64>,
+    /// The payload that all finished jobs share.
     empty_payload: Rc<JobPayload>,
-    /// The caller's clock at the start.
+    /// The caller's clock at the start of the process.
     started_at: Micros,
 }
 
 impl Jobs {
-    /// Does what is due, and returns when to call again. The waker is woken when that is sooner.
+    /// Processes all jobs that are due, and returns the time of the next call. The waker is woken if a call is
+    /// needed earlier.
     pub fn tick(&mut self, now: Micros, facade: &mut Facade, waker: &Waker) -> Option<Micros> {
         self.now = now;
         while let Some(&(at, id)) = self.due.first().filter(|due| due.0 <= now) {
@@ -153,21 +166,20 @@
         self.remove_expired();
         self.trim();
         self.pump(now, facade);
-        if let Ok(mut outer) = self.wake_queue.outer.lock() {
-            *outer = Some(waker.clone());
+        if let Ok(mut tick_waker) = self.wake_queue.tick_waker.lock() {
+            *tick_waker = Some(waker.clone());
         }
         let next_due = self.due.first().map(|due| due.0);
-        let next_removal = self
-            .finished
-            .front()
-            .map(|first| (first.at + self.limits.retention).max(now + MIN_REMOVAL_INTERVAL));
+        let next_removal = self.finished.front().map(|first| {
+            (first.finished_at + self.limits.retention).max(now + MIN_REMOVAL_INTERVAL)
+        });
         next_due.into_iter().chain(next_removal).min()
     }
 
-    /// Removes finished jobs that have been retained long enough.
+    /// Removes finished jobs whose retention time is over.
     fn remove_expired(&mut self) {
         for _ in 0..MAX_REMOVED_PER_TICK {
-            let expired = |first: &Finished| first.at + self.limits.retention <= self.now;
+            let expired = |first: &Finished| first.finished_at + self.limits.retention <= self.now;
             if !self.finished.front().is_some_and(expired) {
                 return;
             }
@@ -177,7 +189,7 @@
         }
     }
 
-    /// Removes all that is stored of a job, but for its place in the lists.
+    /// Removes a job, except from `open`, `indeterminate` and `finished`.
     fn remove(&mut self, id: JobId) -> Option<Job> {
         let job = self.jobs.remove(&id)?;
         self.bytes -= job.bytes;
@@ -185,18 +197,18 @@
         Some(job)
     }
 
-    /// The next effect to carry out.
+    /// Returns the next effect to perform.
     pub fn effect(&mut self) -> Option<Effect> {
-        self.ready.pop_front()
+        self.effects.pop_front()
     }
 
-    /// The counters since the start.
+    /// Returns the counters since the process started.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// How much it holds now.
+    /// Returns the current sizes.
     #[must_use]
     pub fn sizes(&self) -> Sizes {
         Sizes {
@@ -207,12 +219,13 @@
         }
     }
 
-    fn check_invariant(&mut self, holds: bool, what: &str) {
-        debug_assert!(holds, "{what}");
+    /// Counts the violation of an invariant, or panics in a debug build.
+    fn check_invariant(&mut self, holds: bool, violation: &str) {
+        debug_assert!(holds, "{violation}");
         self.counts.invariant_violations += u64::from(!holds);
     }
 
-    /// Takes the steps that the scheduler has decided on for jobs.
+    /// Applies all steps that the scheduler has decided on, for all jobs that were woken.
     pub fn pump(&mut self, now: Micros, facade: &mut Facade) {
         self.now = now;
         loop {
@@ -231,7 +244,7 @@
         }
     }
 
-    /// Takes all steps that are decided on for a job.
+    /// Applies all steps that the scheduler has decided on for a job.
     fn advance(&mut self, id: JobId, facade: &mut Facade) {
         while let Some(request) = self.jobs.get(&id).and_then(Job::request) {
             let queue = self.wake_queue.clone();
@@ -239,25 +252,25 @@
             let Poll::Ready(step) = facade.pick(request, &waker) else {
                 return;
             };
-            self.take_step(id, request, step, facade);
+            self.apply_step(id, request, step, facade);
         }
     }
 
-    fn take_step(&mut self, id: JobId, request: Handle, step: Step, facade: &mut Facade) {
+    fn apply_step(&mut self, id: JobId, request: Handle, step: Step, facade: &mut Facade) {
         match step {
             Step::Attempt {
                 attempt,
                 worker,
                 until,
                 write_deadline,
-            } => self.lease(id, attempt, worker, until, write_deadline),
+            } => self.write_lease(id, attempt, worker, until, write_deadline),
             Step::Serve { attempt } => {
                 let result = self
                     .jobs
                     .get_mut(&id)
-                    .and_then(|job| job.numbered_attempt_mut(attempt))
+                    .and_then(|job| job.attempt_by_facade_index_mut(attempt))
                     .and_then(|attempt| attempt.result.take());
-                self.check_invariant(result.is_some(), "a served attempt has its result");
+                self.check_invariant(result.is_some(), "a served attempt has no result");
                 self.finish(id, result.map_or(Answer::Failed, Answer::Served), facade);
             }
             Step::Reject { retry_after } => {
@@ -268,12 +281,12 @@
                 let open = self
                     .jobs
                     .get_mut(&id)
-                    .and_then(|job| job.numbered_attempt_mut(attempt))
+                    .and_then(|job| job.attempt_by_facade_index_mut(attempt))
                     .filter(|attempt| attempt.is_open());
                 if let Some(attempt) = open {
                     attempt.abandon();
                     let token = attempt.lease.token;
-                    self.ready.push_back(Effect::Stop { id, token });
+                    self.effects.push_back(Effect::Stop { id, token });
                 }
                 facade.report(
                     self.now,
--- a/crates/jobs/src/machine/network.rs
+++ b/crates/jobs/src/machine/network.rs
@@ -1,30 +1,30 @@
-//! Events from workers and discovery: endpoint lists, heartbeats, ends of attempts, fence replies.
+//! Events from workers and from discovery: endpoint lists, heartbeats, ends of attempts, fence replies.
 //!
-//! It decides how much each of these proves. A `never` from another worker at a cached address, or from a
-//! worker that has lost its memory, is no proof.
+//! A worker's reply that a job never started does not prove that the attempt never ran if the reply may come
+//! from a different worker at a cached address, or if the worker has lost its job history.
 
 use std::rc::Rc;
 
 use oakshed_core::facade::{Ending, Facade, Micros, Report, Seen};
 
-use super::job::{Attempt, AttemptState, Stage, FIRST_FENCE_INTERVAL};
+use super::job::{Attempt, AttemptState, Stage, INITIAL_FENCE_INTERVAL};
 use super::{Effect, End, FenceReply, FenceStatus, Jobs, Pending};
 use crate::record::{Answer, JobId, Lease, Outcome, UNCONFIRMED_START};
 
-/// The longest interval between two fences of the same attempt: 60 s.
+/// Maximum interval between two fences of an attempt: 60 s.
 const MAX_FENCE_INTERVAL: Micros = 60_000_000;
 
-/// How much older than its lease the memory of a worker must be that has started "long ago" by the list:
-/// two hours, more than any jump of a clock that is to be survived.
-const LONG_AGO_MS: u64 = 2 * 3_600_000;
+/// Required age of a worker's job history at the time an attempt was sent, if the lease gives the worker's
+/// start time as 0, long ago: two hours, more than any clock jump that has to be tolerated.
+const MIN_HISTORY_AGE_MS: u64 = 2 * 3_600_000;
 
-/// The most start times of workers that are retained.
-const MAX_RETAINED_STARTS: usize = 8_192;
+/// Maximum number of worker start times that are retained.
+const MAX_WORKER_STARTS: usize = 8_192;
 
 impl Jobs {
-    /// The endpoint list has come, or changed; `starts` gives the start time of each worker in it, in Unix
-    /// time milliseconds. Where it is not `confirmed` it was cached before this process started: its start
-    /// times may be older than the workers' own, and its addresses may be other workers' by now.
+    /// Reports a new endpoint list. `starts` yields the start time of each worker in it, in Unix milliseconds.
+    /// A list that is not `confirmed` was cached before this process started: its workers may have restarted
+    /// since, and its addresses may belong to other workers by now.
     pub fn on_list<'a>(
         &mut self,
         now: Micros,
@@ -33,15 +33,15 @@
         facade: &mut Facade,
     ) {
         self.now = now;
-        // Guards against a fleet whose machines are replaced for months. A start time that is removed counts
-        // as long ago: replies of its worker prove less.
-        if self.starts.len() > MAX_RETAINED_STARTS {
-            self.starts.clear();
+        // Bounds the memory in a fleet whose machines are replaced over months. A worker without a start time
+        // counts as started long ago, so that its fence replies prove less.
+        if self.worker_starts.len() > MAX_WORKER_STARTS {
+            self.worker_starts.clear();
         }
-        self.starts
+        self.worker_starts
             .extend(starts.map(|(worker, start)| (worker.clone(), start)));
-        // A cached list that is empty says nothing.
-        let has_list = confirmed || !self.starts.is_empty();
+        // An empty cached list carries no information.
+        let has_list = confirmed || !self.worker_starts.is_empty();
         let first_list = has_list && !self.has_list;
         let first_confirmed = confirmed && !self.list_is_confirmed;
         if first_list || first_confirmed {
@@ -59,13 +59,14 @@
         for id in waiting {
             if let Some(job) = self.jobs.get_mut(&id).filter(|_| first_confirmed) {
                 for attempt in &mut job.attempts {
-                    // Who was fenced at a cached address is fenced again: only now does `never` prove anything.
+                    // Fenced again, because a reply from a cached address does not prove that the attempt
+                    // never ran.
                     if matches!(
                         attempt.state,
                         AttemptState::Fencing | AttemptState::Indeterminate
                     ) {
                         attempt.fence_at = self.now;
-                        attempt.fence_interval = FIRST_FENCE_INTERVAL;
+                        attempt.fence_interval = INITIAL_FENCE_INTERVAL;
                     }
                 }
             }
@@ -73,7 +74,7 @@
         }
     }
 
-    /// An attempt's worker sent a heartbeat: its job `started`, or goes on.
+    /// Reports a heartbeat of an attempt's worker: the job has `started`, or is still running.
     pub fn on_alive(
         &mut self,
         now: Micros,
@@ -95,19 +96,19 @@
             return;
         }
         attempt.lease_expires_at = now + lease;
-        attempt.fence_interval = FIRST_FENCE_INTERVAL;
-        if let (Some(request), Some(number)) = (request, attempt.number) {
+        attempt.fence_interval = INITIAL_FENCE_INTERVAL;
+        if let (Some(request), Some(index)) = (request, attempt.facade_index) {
             let seen = if started {
-                Seen::Started(request, number)
+                Seen::Started(request, index)
             } else {
-                Seen::Progress(request, number)
+                Seen::Progress(request, index)
             };
             facade.report(now, seen);
         }
         self.pump(now, facade);
     }
 
-    /// An attempt's connection has ended.
+    /// Reports the end of an attempt's connection.
     pub fn on_ended(
         &mut self,
         now: Micros,
@@ -121,7 +122,7 @@
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let client_waits = now < job.deadline && !job.is_over();
+        let client_waits = now < job.deadline && !job.is_finished();
         let Some(attempt) = job.attempt_mut(token) else {
             return;
         };
@@ -139,7 +140,7 @@
             End::Other(Ending::Error) => {
                 self.end_attempt(id, token, AttemptState::Ended, Ending::Error, load, facade);
             }
-            // Its worker may know: it is fenced, for as long as the client waits.
+            // The worker may know the outcome, and is fenced until the client's deadline.
             End::Other(_) if self.limits.leases && client_waits => {
                 attempt.state = AttemptState::Fencing;
                 attempt.fence_at = now;
@@ -158,7 +159,8 @@
         self.pump(now, facade);
     }
 
-    /// A worker's reply to a fence; `None`: no reply came. `confirmed` is as the fence had it.
+    /// Reports a worker's reply to a fence, or `None` if there was no reply. `confirmed` is the value from
+    /// [`Effect::Fence`].
     pub fn on_fenced(
         &mut self,
         now: Micros,
@@ -169,8 +171,9 @@
         facade: &mut Facade,
     ) {
         self.now = now;
-        // Guards against another worker at a cached address, which truly never saw the job: the right one is
-        // fenced again. All other replies are about this very job, whoever sends them.
+        // A different worker at a cached address replies `Never`, because it never received the job. This
+        // counts as no reply, and the fence is repeated. Any other reply concerns this job, whichever worker
+        // sends it.
         let reply = reply.filter(|reply| confirmed || reply.status != FenceStatus::Never);
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
@@ -181,12 +184,12 @@
         if !attempt.is_open() && attempt.state != AttemptState::Indeterminate {
             return;
         }
-        // These replies end the attempt: its connection is of no use any more.
+        // Every status but `Running` is final for the attempt, whose connection is closed.
         let ends_attempt = reply
             .as_ref()
             .is_some_and(|reply| reply.status != FenceStatus::Running);
         if ends_attempt && attempt.state == AttemptState::InFlight {
-            self.ready.push_back(Effect::Stop { id, token });
+            self.effects.push_back(Effect::Stop { id, token });
         }
         match reply {
             Some(reply) => self.apply_fence_reply(id, token, reply, facade),
@@ -195,37 +198,38 @@
         self.pump(now, facade);
     }
 
+    /// Applies a worker's reply to a fence.
     fn apply_fence_reply(&mut self, id: JobId, token: u64, reply: FenceReply, facade: &mut Facade) {
         let Some(job) = self.jobs.get_mut(&id) else {
             return;
         };
-        let is_over = job.is_over();
+        let is_finished = job.is_finished();
         let Some(attempt) = job.attempt_mut(token) else {
             return;
         };
-        let has_memory = memory_covers(reply.since_ms, &attempt.lease);
+        let is_conclusive = history_covers(reply.since_ms, &attempt.lease);
         match reply.status {
-            FenceStatus::Done(result) if is_over => self.settle_with_result(id, token, result),
+            FenceStatus::Done(result) if is_finished => self.settle_with_result(id, token, result),
             FenceStatus::Done(result) => self.accept_result(id, token, result, None, facade),
-            FenceStatus::Running if has_memory => {
-                let again = self.now + self.limits.lease;
-                attempt.lease_expires_at = again;
-                attempt.fence_at = again;
-                attempt.fence_interval = FIRST_FENCE_INTERVAL;
+            FenceStatus::Running if is_conclusive => {
+                let expires_at = self.now + self.limits.lease;
+                attempt.lease_expires_at = expires_at;
+                attempt.fence_at = expires_at;
+                attempt.fence_interval = INITIAL_FENCE_INTERVAL;
                 self.schedule(id);
             }
-            FenceStatus::Never if has_memory && is_over => {
+            FenceStatus::Never if is_conclusive && is_finished => {
                 self.settle_attempt(id, token, Outcome::Never);
             }
-            FenceStatus::Never if has_memory => {
+            FenceStatus::Never if is_conclusive => {
                 self.record_never_ran(id, token, Ending::Unused, None, facade);
             }
-            // Its memory does not reach back: nobody will ever know.
-            FenceStatus::Never if !is_over => {
+            // The worker's history does not reach back to the attempt: the outcome will never be known.
+            FenceStatus::Never if !is_finished => {
                 let state = AttemptState::Indeterminate;
                 self.end_attempt(id, token, state, Ending::Dropped, None, facade);
             }
-            FenceStatus::Failed if is_over => self.settle_attempt(id, token, Outcome::Ran),
+            FenceStatus::Failed if is_finished => self.settle_attempt(id, token, Outcome::Ran),
             FenceStatus::Failed => {
                 self.end_attempt(id, token, AttemptState::Ended, Ending::Error, None, facade);
             }
@@ -233,7 +237,7 @@
         }
     }
 
-    /// A result came for a job that is finished without one.
+    /// Settles a finished job's attempt with the result that the worker reports for it.
     fn settle_with_result(&mut self, id: JobId, token: u64, result: Vec<u8>) {
         let Some(worker) = self
             .jobs
@@ -244,15 +248,15 @@
             return;
         };
         self.settle_attempt(id, token, Outcome::Ran);
-        // A rejection is no answer to the job: this is.
+        // A rejection is not a final outcome of the job, and the result replaces it.
         let stage = self.jobs.get(&id).map(|job| &job.stage);
-        if matches!(stage, Some(Stage::Over(Answer::Rejected(_), _))) {
-            self.close(id, Answer::Served(result));
+        if matches!(stage, Some(Stage::Finished(Answer::Rejected(_), _))) {
+            self.retain_finished(id, Answer::Served(result));
         }
         self.after_sync(Pending::Effect(Effect::Safe { id, token, worker }));
     }
 
-    /// Schedules the next fence after one that proved nothing.
+    /// Schedules the next fence after one that yielded no outcome.
     fn fence_again(&mut self, id: JobId, token: u64) {
         let now = self.now;
         let attempt: Option<&mut Attempt> = self
@@ -267,11 +271,11 @@
     }
 }
 
-/// Whether a worker's memory, complete since this time, reaches back to the process that was sent to: only
-/// then does its reply prove anything.
-fn memory_covers(since_ms: u64, lease: &Lease) -> bool {
+/// Returns whether a worker's job history, complete since the given time, covers the worker process that the
+/// attempt was sent to. Otherwise the reply does not prove anything about the attempt.
+fn history_covers(since_ms: u64, lease: &Lease) -> bool {
     match lease.start_ms {
-        0 => since_ms.saturating_add(LONG_AGO_MS) <= lease.sent / 1_000,
+        0 => since_ms.saturating_add(MIN_HISTORY_AGE_MS) <= lease.sent / 1_000,
         UNCONFIRMED_START => false,
         start_ms => since_ms <= start_ms,
     }
--- a/crates/jobs/src/machine/restore.rs
+++ b/crates/jobs/src/machine/restore.rs
@@ -1,7 +1,7 @@
-//! A process's start: the records of earlier processes are replayed, and their jobs resumed.
+//! Startup: replay of the log records of earlier processes, and resumption of their jobs.
 //!
-//! It owns how logical time goes on over a restart and a reboot. It sends nothing: workers are fenced, and
-//! jobs go on, only once an endpoint list has come.
+//! Logical time is continued across restarts and reboots. Nothing is sent during startup; workers are fenced
+//! and jobs are scheduled once an endpoint list has arrived.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
@@ -10,36 +10,38 @@
 use oakshed_core::facade::Micros;
 use rustc_hash::FxHashMap;
 
-use super::job::{Attempt, AttemptState, Job, LONG_AGO};
+use super::job::{Attempt, AttemptState, Job, UNKNOWN_SEND_TIME};
 use super::{Boot, Counts, Finished, Jobs, Limits, Names};
 use crate::record::{JobId, Record};
 
-/// How long workers are fenced, after a start, to learn what became of a job whose deadline has passed: 2 s.
+/// Time after startup for which workers are fenced to learn the outcome of a job whose deadline has passed:
+/// 2 s.
 const OVERDUE_FENCE_WINDOW: Micros = 2_000_000;
 
-/// The clocks at an earlier process's start.
+/// The clocks in the newest [`Record::Opened`].
 #[derive(Clone, Copy)]
-struct Anchor {
+struct ClockAnchor {
     logical: Micros,
     wall: Micros,
     boot: Boot,
 }
 
-/// The logical clock at this process's start.
+/// Logical time at the start of this process.
 struct LogicalStart {
     now: Micros,
-    /// For how long the machine was off, beyond the logical clock.
-    off: Micros,
+    /// Time that the machine was off, which logical time does not include.
+    downtime: Micros,
+    /// Whether the machine has not been rebooted since the newest [`Record::Opened`].
     same_boot: bool,
 }
 
 impl LogicalStart {
-    /// `last` is the latest logical time of any record, `wall` the caller's clock.
-    fn new(anchor: Option<Anchor>, last: Micros, wall: Micros, boot: Boot) -> LogicalStart {
+    /// `last` is the latest logical time in any record, `wall` the time of the caller's clock.
+    fn new(anchor: Option<ClockAnchor>, last: Micros, wall: Micros, boot: Boot) -> LogicalStart {
         let Some(anchor) = anchor else {
             return LogicalStart {
                 now: wall.max(last),
-                off: 0,
+                downtime: 0,
                 same_boot: false,
             };
         };
@@ -48,33 +50,33 @@
             let elapsed = boot.uptime.saturating_sub(anchor.boot.uptime);
             return LogicalStart {
                 now: (anchor.logical + elapsed).max(last),
-                off: 0,
+                downtime: 0,
                 same_boot,
             };
         }
         LogicalStart {
             now: last,
-            off: wall.saturating_sub(anchor.wall + (last - anchor.logical)),
+            downtime: wall.saturating_sub(anchor.wall + (last - anchor.logical)),
             same_boot,
         }
     }
 }
 
 impl Jobs {
-    /// Restores the jobs of earlier processes. `wall` is the caller's clock, which will also be passed as
-    /// `now`; `next` the number of the next record.
+    /// Restores the jobs of earlier processes from the numbered records of the log. `next_record` is the number
+    /// of the next record, and `wall` the time of the caller's clock, which is later passed as `now` too.
     pub fn restore(
         limits: Limits,
         names: Names,
-        past: impl IntoIterator<Item = (u64, Record)>,
-        next: u64,
+        records: impl IntoIterator<Item = (u64, Record)>,
+        next_record: u64,
         wall: Micros,
         boot: Boot,
     ) -> Jobs {
-        let mut jobs = Jobs::empty(limits, names, next, wall, boot);
+        let mut jobs = Jobs::empty(limits, names, next_record, wall, boot);
         let mut last = 0;
         let mut anchor = None;
-        for (number, record) in past {
+        for (number, record) in records {
             last = last.max(jobs.replay(number, record, &mut anchor));
         }
         let start = LogicalStart::new(anchor, last, wall, boot);
@@ -86,13 +88,13 @@
             uptime: boot.uptime,
         });
         if !start.same_boot {
-            jobs.forget_sent_times();
+            jobs.clear_send_times();
         }
         jobs.resume(&start);
         jobs
     }
 
-    fn empty(limits: Limits, names: Names, next: u64, wall: Micros, boot: Boot) -> Jobs {
+    fn empty(limits: Limits, names: Names, next_record: u64, wall: Micros, boot: Boot) -> Jobs {
         Jobs {
             limits,
             names,
@@ -104,29 +106,29 @@
             indeterminate: BTreeMap::new(),
             due: BTreeSet::new(),
             records: Vec::new(),
-            next,
-            synced: next.saturating_sub(1),
+            next_record,
+            last_synced: next_record.saturating_sub(1),
             pending: VecDeque::new(),
-            ready: VecDeque::new(),
+            effects: VecDeque::new(),
             wake_queue: Arc::default(),
-            opened: next,
-            trimmed: 0,
+            opened_record: next_record,
+            trimmed_to: 0,
             has_list: false,
             list_is_confirmed: false,
-            unsynced: VecDeque::new(),
+            unsynced_sizes: VecDeque::new(),
             unsynced_bytes: 0,
             disk_full: false,
             bytes: 0,
             counts: Counts::default(),
             now: wall,
-            starts: FxHashMap::default(),
+            worker_starts: FxHashMap::default(),
             empty_payload: Rc::default(),
             started_at: wall,
         }
     }
 
-    /// Applies one record; returns its logical time, or 0 where it has none.
-    fn replay(&mut self, number: u64, record: Record, anchor: &mut Option<Anchor>) -> Micros {
+    /// Applies one record. Returns its logical time, or 0 if it has none.
+    fn replay(&mut self, number: u64, record: Record, anchor: &mut Option<ClockAnchor>) -> Micros {
         match record {
             Record::Opened {
                 at,
@@ -135,9 +137,9 @@
                 uptime,
             } => {
                 if anchor.is_some_and(|anchor| anchor.boot.id != boot || boot == 0) {
-                    self.forget_sent_times();
+                    self.clear_send_times();
                 }
-                *anchor = Some(Anchor {
+                *anchor = Some(ClockAnchor {
                     logical: at,
                     wall,
                     boot: Boot { id: boot, uptime },
@@ -145,7 +147,7 @@
                 at
             }
             Record::Accepted { at, .. } | Record::Finished { at, .. } => {
-                if let Some((id, job)) = Job::restored(number, record, &self.empty_payload) {
+                if let Some((id, job)) = Job::from_record(number, record, &self.empty_payload) {
                     self.jobs.insert(id, job);
                 }
                 at
@@ -172,21 +174,21 @@
         }
     }
 
-    /// The machine was rebooted: nobody knows how long ago anything was sent.
-    fn forget_sent_times(&mut self) {
+    /// Marks the send times of all attempts as unknown, after a reboot of the machine.
+    fn clear_send_times(&mut self) {
         for job in self.jobs.values_mut() {
             for attempt in &mut job.attempts {
-                attempt.lease.sent = LONG_AGO;
+                attempt.lease.sent = UNKNOWN_SEND_TIME;
             }
         }
     }
 
-    /// Resumes the jobs of earlier processes, in the order in which they were written.
+    /// Resumes the jobs of earlier processes, in the order of their records.
     fn resume(&mut self, start: &LogicalStart) {
         let mut in_order: Vec<(u64, JobId)> = self
             .jobs
             .iter()
-            .map(|(id, job)| (job.number, *id))
+            .map(|(id, job)| (job.record_number, *id))
             .collect();
         in_order.sort_unstable();
         let now = self.now;
@@ -198,9 +200,12 @@
             self.bytes += job.bytes;
             if job.awaits_settlement() {
                 self.indeterminate.insert(number, id);
-            } else if job.is_over() {
-                let at = job.written;
-                self.finished.push_back(Finished { at, number, id });
+            } else if job.is_finished() {
+                self.finished.push_back(Finished {
+                    finished_at: job.written_at,
+                    record_number: number,
+                    id,
+                });
             } else {
                 resume_open(job, now, start);
                 self.open.insert(number, id);
@@ -210,13 +215,13 @@
     }
 }
 
-/// Converts a job's times from the logical clock to the caller's.
+/// Converts a job's times from logical time to the caller's clock, and prepares its attempts for fencing.
 fn resume_times(job: &mut Job, now: Micros, start: &LogicalStart, leases: bool) {
-    let converted = |at: Micros| now.saturating_sub(start.now.saturating_sub(at));
-    job.written = converted(job.written);
+    let to_caller_time = |at: Micros| now.saturating_sub(start.now.saturating_sub(at));
+    job.written_at = to_caller_time(job.written_at);
     for attempt in &mut job.attempts {
-        if attempt.lease.sent != LONG_AGO {
-            attempt.lease.sent = converted(attempt.lease.sent);
+        if attempt.lease.sent != UNKNOWN_SEND_TIME {
+            attempt.lease.sent = to_caller_time(attempt.lease.sent);
         }
         attempt.fence_at = now;
         if attempt.state == AttemptState::Fencing && !leases {
@@ -225,21 +230,21 @@
     }
 }
 
-/// Gives an open job what is left of its client's time.
+/// Sets an open job's deadline to the rest of its client's time.
 fn resume_open(job: &mut Job, now: Micros, start: &LogicalStart) {
-    // Where the clock has gone back, a job has no more time than its client gave it.
-    let left = job
+    // Capped at the client's original time, in case the clock has gone back.
+    let remaining = job
         .deadline
-        .saturating_sub(start.now.saturating_add(start.off))
+        .saturating_sub(start.now.saturating_add(start.downtime))
         .min(job.wait);
-    job.deadline = now + left;
-    job.overdue = left == 0;
-    // Its deadline passed while nobody served: nothing new is sent, but a worker that can still say what
-    // became of it gets a moment to.
+    job.deadline = now + remaining;
+    job.overdue = remaining == 0;
+    // The deadline passed while no scheduler was running. No new attempt is sent, but the workers are given
+    // time to report the outcome of earlier attempts.
     let is_fenced = |attempt: &Attempt| attempt.state == AttemptState::Fencing;
     if job.overdue && job.attempts.iter().any(is_fenced) {
         job.deadline = now + OVERDUE_FENCE_WINDOW;
     }
-    // Its client may have disconnected: its answer is retained.
+    // The client may have disconnected and may fetch the answer later.
     job.detached = true;
 }
--- a/crates/jobs/src/machine/store.rs
+++ b/crates/jobs/src/machine/store.rs
@@ -1,42 +1,49 @@
-//! The way to the log and back: records that are written, what waits until they are durable, what is removed.
+//! Interface to the log: writing of records, handling of syncs, and trimming.
 //!
-//! It owns the numbers of records and the lists of jobs by these. What waits for a sync is not let through
-//! before that sync, and a record is not trimmed while a job needs it.
+//! Actions that depend on a record wait until that record is durable, and no record is trimmed while a job
+//! needs it.
 
 use std::collections::BTreeMap;
 
 use oakshed_core::facade::{Facade, Micros};
 
-use super::job::{Stage, LONG_AGO};
+use super::job::{Stage, UNKNOWN_SEND_TIME};
 use super::{Effect, Jobs, Pending};
 use crate::record::{JobId, Lease, Record};
 
-/// The fewest records by which the log is trimmed at once.
+/// Minimum number of records by which the log is trimmed.
 const TRIM_STEP: u64 = 64;
-/// The most bytes of records that may wait for a sync while new jobs are accepted: 8 MiB.
+/// Maximum size of unsynced records up to which new jobs are accepted: 8 MiB.
 const MAX_UNSYNCED_BYTES: usize = 8 << 20;
 
 impl Jobs {
-    /// The records since the last call, and the first one's number.
+    /// Returns the records that were written since the last call, preceded by the number of the first one.
     pub fn records(&mut self) -> (u64, Vec<Record>) {
         let records = std::mem::take(&mut self.records);
-        (self.next - records.len() as u64, records)
+        (self.next_record - records.len() as u64, records)
     }
 
-    /// All records up to this number are durable.
+    /// Reports that all records up to `number` are durable.
     pub fn on_synced(&mut self, now: Micros, number: u64, facade: &mut Facade) {
         self.now = now;
-        self.check_invariant(number < self.next, "a sync of what was never written");
-        while self.synced < number {
-            self.synced += 1;
-            self.unsynced_bytes -= self.unsynced.pop_front().unwrap_or(0);
+        self.check_invariant(
+            number < self.next_record,
+            "a sync of a record that was never written",
+        );
+        while self.last_synced < number {
+            self.last_synced += 1;
+            self.unsynced_bytes -= self.unsynced_sizes.pop_front().unwrap_or(0);
         }
-        while self.pending.front().is_some_and(|(n, _)| *n <= self.synced) {
+        while self
+            .pending
+            .front()
+            .is_some_and(|(n, _)| *n <= self.last_synced)
+        {
             let Some((_, pending)) = self.pending.pop_front() else {
                 break;
             };
             match pending {
-                Pending::Effect(effect) => self.ready.push_back(effect),
+                Pending::Effect(effect) => self.effects.push_back(effect),
                 Pending::Remove(id) => {
                     self.remove(id);
                 }
@@ -46,50 +53,50 @@
         self.pump(now, facade);
     }
 
-    /// Sets whether the disk is full: while it is, no new jobs are accepted.
+    /// Sets whether the disk is full. No new jobs are accepted while it is.
     pub fn set_disk_full(&mut self, full: bool) {
         self.disk_full = full;
     }
 
-    /// Whether a job of this size may be accepted, by what waits for a sync already. Jobs that were accepted
-    /// go on beyond that: each has few records more.
+    /// Returns whether a job of this size may be accepted without exceeding the limit on unsynced bytes. Jobs
+    /// that are already accepted may exceed the limit, as each of them adds only few records.
     pub(super) fn has_unsynced_capacity(&self, size: usize) -> bool {
         self.unsynced_bytes + size <= MAX_UNSYNCED_BYTES.min(self.limits.max_bytes)
     }
 
-    /// Whether a job is known and durable.
+    /// Returns whether a job is known and its newest full record is durable.
     #[must_use]
     pub fn is_durable(&self, id: JobId) -> bool {
         self.jobs
             .get(&id)
-            .is_some_and(|job| job.number <= self.synced)
+            .is_some_and(|job| job.record_number <= self.last_synced)
     }
 
-    /// Converts a time of the caller's clock to logical time.
+    /// Converts a time from the caller's clock to logical time.
     pub(super) fn logical(&self, at: Micros) -> Micros {
         at.wrapping_add_signed(self.logical_offset)
     }
 
     /// Queues a record for the log, and returns its number.
     pub(super) fn write(&mut self, record: Record) -> u64 {
-        let number = self.next;
+        let number = self.next_record;
         let size = record.size();
         self.unsynced_bytes += size;
-        self.unsynced.push_back(size);
+        self.unsynced_sizes.push_back(size);
         self.records.push(record);
-        self.next += 1;
+        self.next_record += 1;
         number
     }
 
-    /// Lets something happen once all that was written so far is durable.
+    /// Queues an action until all records that have been written so far are durable.
     pub(super) fn after_sync(&mut self, pending: Pending) {
-        self.pending.push_back((self.next - 1, pending));
+        self.pending.push_back((self.next_record - 1, pending));
     }
 
-    /// A lease whose time is in logical time.
+    /// Returns a copy of a lease with its send time converted to logical time.
     pub(super) fn logical_lease(&self, lease: &Lease) -> Lease {
-        let sent = if lease.sent == LONG_AGO {
-            LONG_AGO
+        let sent = if lease.sent == UNKNOWN_SEND_TIME {
+            UNKNOWN_SEND_TIME
         } else {
             self.logical(lease.sent)
         };
@@ -99,7 +106,7 @@
         }
     }
 
-    /// Writes all that is needed of an open job, and lists it by that record.
+    /// Writes the full record of an open job, and lists the job under the record's number.
     pub(super) fn write_accepted(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else {
             return;
@@ -122,75 +129,82 @@
         };
         let number = self.write(record);
         if let Some(job) = self.jobs.get_mut(&id) {
-            let old = std::mem::replace(&mut job.number, number);
-            job.written = self.now;
-            self.open.remove(&old);
+            let superseded = std::mem::replace(&mut job.record_number, number);
+            job.written_at = self.now;
+            self.open.remove(&superseded);
         }
         self.open.insert(number, id);
     }
 
-    /// Removes a job from the list that it is in, by its record's number. Guards against a second entry of
-    /// one that is closed again, which would later remove it early, or remove what has its name by then.
+    /// Removes a job from the list that it is in, by its record's number. Without this, a finished job that is
+    /// written again would have two entries in `finished`, and the older one would remove it early, or would
+    /// remove a newer job with the same identifier.
     pub(super) fn remove_from_lists(&mut self, number: u64) {
         if self.open.remove(&number).is_some() || self.indeterminate.remove(&number).is_some() {
             return;
         }
-        if let Ok(at) = self
+        if let Ok(index) = self
             .finished
-            .binary_search_by_key(&number, |job| job.number)
+            .binary_search_by_key(&number, |job| job.record_number)
         {
-            self.finished.remove(at);
+            self.finished.remove(index);
         }
     }
 
-    /// Trims the log's old end: what alone still needs it is written anew, once in each retention time.
+    /// Trims the oldest part of the log. Long-lived jobs that still need it are written again, once per
+    /// retention time.
     pub(super) fn trim(&mut self) {
         while let Some(id) = self.job_to_rewrite() {
             match self.jobs.get(&id).map(|job| job.stage.clone()) {
-                Some(Stage::Over(answer, _)) => self.close(id, answer),
+                Some(Stage::Finished(answer, _)) => self.retain_finished(id, answer),
                 _ => self.write_accepted(id),
             }
         }
         let oldest_needed = self.oldest_needed_record();
-        if oldest_needed > self.opened && oldest_needed > self.trimmed + TRIM_STEP {
+        if oldest_needed > self.opened_record && oldest_needed > self.trimmed_to + TRIM_STEP {
             self.write_opened();
         }
-        let oldest_needed = oldest_needed.min(self.opened);
-        if oldest_needed > self.trimmed + TRIM_STEP {
-            self.trimmed = oldest_needed;
+        let oldest_needed = oldest_needed.min(self.opened_record);
+        if oldest_needed > self.trimmed_to + TRIM_STEP {
+            self.trimmed_to = oldest_needed;
             self.after_sync(Pending::Effect(Effect::Trim(oldest_needed)));
         }
     }
 
-    /// A job whose record is old enough to be written anew.
+    /// Returns a job whose record is old enough to be written again.
     fn job_to_rewrite(&self) -> Option<JobId> {
         let oldest = |list: &BTreeMap<u64, JobId>| list.first_key_value().map(|(_, id)| *id);
         let candidates = [oldest(&self.open), oldest(&self.indeterminate)];
         candidates.into_iter().flatten().find(|id| {
             self.jobs.get(id).is_some_and(|job| {
-                job.written + self.limits.retention <= self.now && job.number <= self.synced
+                job.written_at + self.limits.retention <= self.now
+                    && job.record_number <= self.last_synced
             })
         })
     }
 
-    /// The number of the oldest record that any job needs.
+    /// Returns the number of the oldest record that any job needs.
     fn oldest_needed_record(&self) -> u64 {
         let first = |list: &BTreeMap<u64, JobId>| list.first_key_value().map(|(number, _)| *number);
         let needed = [
             first(&self.open),
             first(&self.indeterminate),
-            self.finished.front().map(|job| job.number),
+            self.finished.front().map(|job| job.record_number),
         ];
-        needed.into_iter().flatten().min().unwrap_or(self.next)
+        needed
+            .into_iter()
+            .flatten()
+            .min()
+            .unwrap_or(self.next_record)
     }
 
-    /// Writes the clocks anew, so that the older record of them is not needed.
+    /// Writes the clocks again, so that the previous record of them can be trimmed.
     fn write_opened(&mut self) {
-        self.opened = self.write(Record::Opened {
+        self.opened_record = self.write(Record::Opened {
             at: self.logical(self.now),
             wall: self.now,
             boot: self.boot.id,
-            // The up-time goes on as the caller's clock does.
+            // The uptime advances at the rate of the caller's clock.
             uptime: self.boot.uptime + (self.now - self.started_at),
         });
     }
