--- a/crates/jobs/src/machine/clients.rs
+++ b/crates/jobs/src/machine/clients.rs
@@ -46,7 +46,7 @@
         // Scheduled before the job is durable, so that the scheduler's decisions are written and synced
         // together with the job's acceptance.
         self.process_due(id, facade);
-        self.pump(now, facade);
+        self.advance_woken_jobs(now, facade);
         Submitted::Open
     }
 
@@ -103,7 +103,7 @@
             return Some(false);
         }
         self.finish(id, Answer::Cancelled, facade);
-        self.pump(now, facade);
+        self.advance_woken_jobs(now, facade);
         Some(true)
     }
 
--- a/crates/jobs/src/machine/mod.rs
+++ b/crates/jobs/src/machine/mod.rs
@@ -165,7 +165,7 @@
         }
         self.remove_expired();
         self.trim();
-        self.pump(now, facade);
+        self.advance_woken_jobs(now, facade);
         if let Ok(mut tick_waker) = self.wake_queue.tick_waker.lock() {
             *tick_waker = Some(waker.clone());
         }
@@ -226,7 +226,7 @@
     }
 
     /// Applies all steps that the scheduler has decided on, for all jobs that were woken.
-    pub fn pump(&mut self, now: Micros, facade: &mut Facade) {
+    pub fn advance_woken_jobs(&mut self, now: Micros, facade: &mut Facade) {
         self.now = now;
         loop {
             let woken = self
--- a/crates/jobs/src/machine/network.rs
+++ b/crates/jobs/src/machine/network.rs
@@ -49,7 +49,7 @@
             self.list_is_confirmed |= confirmed;
             self.resume_with_list(first_confirmed, facade);
         }
-        self.pump(now, facade);
+        self.advance_woken_jobs(now, facade);
     }
 
     /// Processes the jobs that were waiting for an endpoint list, or for a confirmed one.
@@ -105,7 +105,7 @@
             };
             facade.report(now, seen);
         }
-        self.pump(now, facade);
+        self.advance_woken_jobs(now, facade);
     }
 
     /// Reports the end of an attempt's connection.
@@ -156,7 +156,7 @@
                 self.end_attempt(id, token, state, ending, load, facade);
             }
         }
-        self.pump(now, facade);
+        self.advance_woken_jobs(now, facade);
     }
 
     /// Reports a worker's reply to a fence, or `None` if there was no reply. `confirmed` is the value from
@@ -195,7 +195,7 @@
             Some(reply) => self.apply_fence_reply(id, token, reply, facade),
             None => self.fence_again(id, token),
         }
-        self.pump(now, facade);
+        self.advance_woken_jobs(now, facade);
     }
 
     /// Applies a worker's reply to a fence.
--- a/crates/jobs/src/machine/store.rs
+++ b/crates/jobs/src/machine/store.rs
@@ -50,7 +50,7 @@
                 Pending::Dispatch(id, token) => self.dispatch(id, token, facade),
             }
         }
-        self.pump(now, facade);
+        self.advance_woken_jobs(now, facade);
     }
 
     /// Sets whether the disk is full. No new jobs are accepted while it is.
