--- a/crates/server/src/net/hot_restart/fingerprint.rs
+++ b/crates/server/src/net/hot_restart/fingerprint.rs
@@ -1,7 +1,7 @@
-//! The fingerprint by which a successor knows whether its predecessor serves the same configuration.
+//! The fingerprint by which a successor checks that its predecessor serves the same configuration.
 //!
-//! It is made from a text whose form is that of all versions in service: `Settings::fingerprint_form` spells the names
-//! in it out, which stay when a field in the code gets another name.
+//! Processes of different versions compare fingerprints, so the text that is hashed must stay the same in all versions.
+//! `Settings::fingerprint_form` therefore spells out its field names, which stay when a field in the code is renamed.
 
 use std::net::SocketAddr;
 
@@ -9,8 +9,9 @@
 
 use crate::config::Config;
 
-/// Stands for settings and discovery's address. Prevents another customer's figures and workers from being taken over:
-/// a list whose number this one's discovery has reached too would be believed for good.
+/// Hashes discovery's address, the settings and the names. Prevents a scheduler from taking over the estimates and
+/// workers of another installation: an endpoint list from there would be kept for good once its number is one that this
+/// scheduler's own discovery reaches too.
 pub(super) fn configuration_fingerprint(config: &Config, discovery: SocketAddr) -> u64 {
     number_of(&format!(
         "{discovery} {} {:?}",
--- a/crates/server/src/net/hot_restart/message.rs
+++ b/crates/server/src/net/hot_restart/message.rs
@@ -1,6 +1,7 @@
-//! The message from a predecessor to its successor, and its forms on the wire.
+//! The messages between predecessor and successor.
 //!
-//! Its forms are those of all versions in service: a field may be added with a default, none may be renamed.
+//! The two processes may be of different versions. The serialized form must therefore stay compatible: a field may be
+//! added with a default, and no serialized name may change.
 
 #[cfg(test)]
 mod tests;
@@ -14,30 +15,31 @@
     ClassEstimates, Estimates, HandoverState, Micros, WarmingWorker, WorkerBackoff,
 };
 
-/// What a successor sends first. Another version is declined, and that process starts plainly.
+/// The greeting of a successor. A process with another greeting is declined, and starts without a predecessor.
 pub(super) const HELLO: &str = "oakshed-handover 1\n";
-/// What a successor sends once it can serve.
+/// The line that a successor sends once it can serve.
 pub(super) const READY: &str = "ready\n";
-/// What a caller is sent that gets nothing.
+/// The answer to a process that does not get the socket.
 pub(super) const DECLINED: &[u8] = b"declined\n";
-/// The longest message that is read, in bytes: a list is half of it at most.
-pub(super) const LONGEST: usize = 8 << 20;
+/// The longest message body that is read, in bytes. The endpoint list takes at most half of it.
+pub(super) const MAX_BODY_LENGTH: usize = 8 << 20;
 
-/// What the predecessor sends beside its listening socket.
+/// The state that the predecessor sends with its listening socket.
 #[derive(Serialize, Deserialize)]
 pub(super) struct Message {
-    /// The fingerprint of the configuration that it serves; an older version sends none.
+    /// The fingerprint of the predecessor's configuration; 0 from an older version, which sends none.
     #[serde(rename = "under", default)]
     pub(super) fingerprint: u64,
     pub(super) list: Option<Answer>,
     #[serde(rename = "learned")]
     pub(super) state: HandoverForm,
-    /// An older version sends none.
+    /// The workers that are warming up; empty from an older version, which sends none.
     #[serde(default)]
     pub(super) warming: Vec<WarmingForm>,
 }
 
-/// A worker that is warming up: spans, as the two processes have a clock each.
+/// The serialized form of a worker that is warming up. It carries the worker's age as a span, as the clocks of the two
+/// processes differ.
 #[derive(Serialize, Deserialize)]
 pub(super) struct WarmingForm {
     #[serde(rename = "backend")]
@@ -66,14 +68,14 @@
     }
 }
 
-/// What the predecessor's decisions have observed.
+/// The serialized form of the estimates and backoffs.
 #[derive(Serialize, Deserialize)]
 pub(super) struct HandoverForm {
     cap: f64,
     mean_run: f64,
-    /// Of each class: running time lately, the job's own work, and of how many jobs it was learned.
+    /// For each class: the recent running time, the work of the job itself, and the number of jobs served.
     classes: Vec<[f64; 3]>,
-    /// Workers that are backed off from, for how long yet, and how often they were tried.
+    /// For each worker with a backoff: its name, the remaining time, and the number of trials.
     avoided: Vec<(Rc<str>, Micros, u32)>,
 }
 
--- a/crates/server/src/net/hot_restart/message/tests.rs
+++ b/crates/server/src/net/hot_restart/message/tests.rs
@@ -1,10 +1,10 @@
-//! The form of the observations in the message, as versions in service send and read it.
+//! Compatibility of the serialized estimates and backoffs with the versions in service.
 
 use oakshed_core::facade::{ClassEstimates, Estimates, HandoverState, WorkerBackoff};
 
 use super::HandoverForm;
 
-/// As the version of 2026-12-02 sent it, before the fields were renamed.
+/// The text that the version of 2026-12-02 sent, before the fields were renamed.
 const HANDOVER_TEXT: &str = r#"{"cap":12.5,"mean_run":400000.0,"classes":[[1000.0,2000.0,20.5]],"avoided":[["10.0.0.1:7000",1500000,2]]}"#;
 
 fn state() -> HandoverState {
@@ -27,10 +27,10 @@
 }
 
 #[test]
-fn observations_are_sent_and_read_in_the_form_of_versions_in_service() {
+fn handover_state_keeps_its_serialized_form() {
     let form = HandoverForm::from(state());
-    let text = serde_json::to_string(&form).expect("it can be written");
+    let text = serde_json::to_string(&form).expect("serializable");
     assert_eq!(text, HANDOVER_TEXT);
-    let read: HandoverForm = serde_json::from_str(HANDOVER_TEXT).expect("it can be read");
+    let read: HandoverForm = serde_json::from_str(HANDOVER_TEXT).expect("valid JSON");
     assert_eq!(HandoverState::from(read), state());
 }
--- a/crates/server/src/net/hot_restart/mod.rs
+++ b/crates/server/src/net/hot_restart/mod.rs
@@ -1,10 +1,12 @@
-//! Hot restart: a predecessor donates its listening socket and what it knows to its successor.
+//! Hot restart: a running scheduler passes its listening socket and its state to the process that replaces it.
 //!
-//! It owns which processes share this scheduler's resources, and the connection by which each knows that the other
-//! lives. `directory` owns the shared directory, `message` the form of what is passed on, `fingerprint` what two
-//! configurations are compared by, `successor` the side that takes over, `predecessor` the side that donates. It must
-//! never stall a start or the serving for a process that does not answer, believe what does not fit, or remove what is
-//! another process's.
+//! The successor connects to a Unix socket in a shared directory and receives the listening socket, the endpoint list,
+//! and the estimates, backoffs and warm-up times of the predecessor. The connection stays open while both processes
+//! run, so that each notices when the other exits. Meanwhile both accept connections, and divide the limits on
+//! descriptors and memory between them.
+//!
+//! Every wait for the other process is bounded or runs in a task of its own, so that a process that does not answer
+//! delays neither a start nor requests. State from a process with a different configuration is ignored.
 
 mod directory;
 mod error;
@@ -30,60 +32,59 @@
 pub(super) use directory::SharedDirectory;
 use error::HotRestartError;
 use message::READY;
-use predecessor::answer_caller;
+use predecessor::serve_successor;
 pub(super) use successor::take_over;
 
-/// How long a start waits for the predecessor in all, and the predecessor for a line of a caller.
-const WAIT: Duration = Duration::from_secs(1);
-/// Callers at once; further ones are rejected.
-const CALLERS: usize = 4;
-/// Between two checks whether this process can serve.
-const READY_CHECK_PERIOD: Duration = Duration::from_millis(10);
+/// The time limit of a start for the whole exchange with the predecessor, and of the predecessor for the greeting.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Simultaneous connections to the predecessor's socket; further ones are closed.
+const MAX_CONNECTIONS: usize = 4;
+/// The interval between two checks of whether this process can serve, and the pause after a failed `accept`.
+const POLL_PERIOD: Duration = Duration::from_millis(10);
 
-/// The processes that share this scheduler's resources with this one.
+/// Whether a predecessor and a successor of this process are running, and who is ready.
 #[derive(Default)]
 pub(crate) struct HotRestart {
-    /// There is a predecessor.
-    predecessor: Cell<bool>,
+    has_predecessor: Cell<bool>,
     /// The predecessor has not been notified yet that this process can serve.
     predecessor_unnotified: Cell<bool>,
-    /// What a successor is given, for as long as this process accepts.
+    /// A duplicate of the listening socket for the successor; `None` once this process no longer accepts.
     listener: RefCell<Option<Rc<OwnedFd>>>,
-    /// A successor has the socket.
-    successor: Cell<bool>,
-    /// The successor can serve.
+    /// A successor is connected and has been offered the socket.
+    has_successor: Cell<bool>,
+    /// The successor has reported that it can serve.
     successor_ready: Cell<bool>,
 }
 
 impl HotRestart {
-    /// Processes that share the descriptors and the memory, this one included.
+    /// The number of processes among which descriptors and memory are divided, including this one.
     pub(super) fn process_count(&self) -> usize {
-        1 + usize::from(self.predecessor.get()) + usize::from(self.successor.get())
+        1 + usize::from(self.has_predecessor.get()) + usize::from(self.has_successor.get())
     }
 
-    /// Whether a successor can serve in this one's place.
+    /// Whether a successor is connected and can serve.
     pub(super) fn has_ready_successor(&self) -> bool {
-        self.successor.get() && self.successor_ready.get()
+        self.has_successor.get() && self.successor_ready.get()
     }
 
-    /// Whether this process may be sent requests in place of its predecessor.
+    /// Whether this process may report readiness: it has no predecessor, or has notified it.
     pub(super) fn replaces_predecessor(&self) -> bool {
         !self.predecessor_unnotified.get()
     }
 
-    /// This process accepts no more, and donates its socket to none.
+    /// Drops the duplicate of the listening socket, so that no successor gets it once this process stops accepting.
     pub(super) fn stop_donating(&self) {
         self.listener.take();
     }
 
-    fn set(&self, net: &Net, which: &Cell<bool>, there: bool) {
-        which.set(there);
+    /// Sets `has_predecessor` or `has_successor`, and adapts the share of the limits.
+    fn set(&self, net: &Net, flag: &Cell<bool>, value: bool) {
+        flag.set(value);
         net.facade.borrow_mut().share(self.process_count());
     }
 }
 
-/// Takes the place of the predecessor, if there is one, and awaits a successor.
-/// `listener` is what the successor is given.
+/// Replaces the predecessor, if there is one, and then waits for a successor, which receives `listener`.
 pub(super) fn start(
     net: &Rc<Net>,
     directory: Rc<SharedDirectory>,
@@ -96,7 +97,7 @@
         return;
     };
     let state = &net.hot_restart;
-    state.set(net, &state.predecessor, true);
+    state.set(net, &state.has_predecessor, true);
     state.predecessor_unnotified.set(true);
     let net = net.clone();
     tokio::task::spawn_local(async move {
@@ -105,11 +106,11 @@
         }
         let state = &net.hot_restart;
         state.predecessor_unnotified.set(false);
-        state.set(&net, &state.predecessor, false);
+        state.set(&net, &state.has_predecessor, false);
     });
 }
 
-/// Notifies the predecessor once this process can serve, and learns of its end by that of the connection.
+/// Notifies the predecessor once this process can serve, and returns when the predecessor has exited.
 async fn replace_predecessor(
     net: &Rc<Net>,
     directory: &Rc<SharedDirectory>,
@@ -118,25 +119,25 @@
     link.set_nonblocking(true)?;
     let mut link = SteadyStream::new(UnixStream::from_std(link)?);
     while !net.can_serve() {
-        tokio::time::sleep(READY_CHECK_PERIOD).await;
+        tokio::time::sleep(POLL_PERIOD).await;
     }
     tokio::task::spawn_local(await_successor(net.clone(), directory.clone()));
-    // A predecessor that has ended meanwhile need not be notified.
+    // A failed write means that the predecessor has already exited.
     let notified = link.write_all(READY.as_bytes()).await;
     net.hot_restart.predecessor_unnotified.set(false);
     if notified.is_ok() {
-        // Returns at the predecessor's end, with or without an error.
+        // The predecessor sends nothing more: the read returns when it exits, with end of file or an error.
         _ = link.read(&mut [0; 1]).await;
     }
     info!("hot restart: the predecessor has exited");
     Ok(())
 }
 
-/// Waits for a successor. Where one ends without taking over, this process claims its place again, as the other may
-/// have claimed it.
+/// Waits for successors to connect. After each connection ends, this process binds its socket in the directory again,
+/// because the other process may have put its own there.
 async fn await_successor(net: Rc<Net>, directory: Rc<SharedDirectory>) {
-    let callers = Rc::new(Cell::new(0));
-    let again = Rc::new(tokio::sync::Notify::new());
+    let connections = Rc::new(Cell::new(0));
+    let connection_ended = Rc::new(tokio::sync::Notify::new());
     loop {
         let socket = match directory.claim() {
             Ok(socket) => socket,
@@ -148,25 +149,25 @@
         loop {
             let accepted = tokio::select! {
                 accepted = socket.accept() => accepted,
-                () = again.notified() => break,
+                () = connection_ended.notified() => break,
             };
             let Ok((link, _)) = accepted else {
-                tokio::time::sleep(READY_CHECK_PERIOD).await;
+                tokio::time::sleep(POLL_PERIOD).await;
                 continue;
             };
-            if callers.get() >= CALLERS {
+            if connections.get() >= MAX_CONNECTIONS {
                 continue;
             }
-            callers.set(callers.get() + 1);
+            connections.set(connections.get() + 1);
             let net = net.clone();
-            let callers = callers.clone();
-            let again = again.clone();
+            let connections = connections.clone();
+            let connection_ended = connection_ended.clone();
             tokio::task::spawn_local(async move {
-                if let Err(e) = answer_caller(&net, link).await {
+                if let Err(e) = serve_successor(&net, link).await {
                     warn!(error = %e, "hot restart: {e}");
                 }
-                callers.set(callers.get() - 1);
-                again.notify_one();
+                connections.set(connections.get() - 1);
+                connection_ended.notify_one();
             });
         }
     }
--- a/crates/server/src/net/hot_restart/predecessor.rs
+++ b/crates/server/src/net/hot_restart/predecessor.rs
@@ -1,6 +1,7 @@
-//! The predecessor's side: it donates its listening socket and what it knows to one successor at a time.
+//! The predecessor's side of a hot restart: passes the listening socket and the state to one successor at a time.
 //!
-//! It must never stall the serving for a caller that does not answer.
+//! Each connection runs in a task of its own, with time limits for the greeting and for the message, so a process that
+//! does not answer never delays requests.
 
 use std::io::IoSlice;
 use std::mem::MaybeUninit;
@@ -18,40 +19,44 @@
 use super::error::HotRestartError;
 use super::fingerprint::configuration_fingerprint;
 use super::message::{Message, WarmingForm, DECLINED, HELLO, READY};
-use super::{READY_CHECK_PERIOD, WAIT};
+use super::{EXCHANGE_TIMEOUT, POLL_PERIOD};
 
 /// How long the successor may take to read the message.
-const TAKE: Duration = Duration::from_secs(2);
-/// The longest line that is read from a caller, in bytes.
-const LONGEST_LINE: u64 = 64;
+const SEND_TIMEOUT: Duration = Duration::from_secs(2);
+/// The longest line that is read from a connecting process, in bytes.
+const MAX_LINE_LENGTH: u64 = 64;
 
-/// Donates the socket and what is known to one caller, unless there is a successor, and returns at that one's end.
-pub(super) async fn answer_caller(net: &Rc<Net>, link: UnixStream) -> Result<(), HotRestartError> {
+/// Passes the socket and the state to the process that has connected, and returns when it has exited. Declines it if
+/// its greeting is wrong, there is a successor already, or this process no longer accepts.
+pub(super) async fn serve_successor(
+    net: &Rc<Net>,
+    link: UnixStream,
+) -> Result<(), HotRestartError> {
     let mut link = BufReader::new(SteadyStream::new(link));
     let mut greeting = String::new();
-    let mut hello = (&mut link).take(LONGEST_LINE);
-    let read = tokio::time::timeout(WAIT, hello.read_line(&mut greeting)).await;
-    read.map_err(|_| HotRestartError::CallerTimeout)??;
+    let mut limited = (&mut link).take(MAX_LINE_LENGTH);
+    let read = tokio::time::timeout(EXCHANGE_TIMEOUT, limited.read_line(&mut greeting)).await;
+    read.map_err(|_| HotRestartError::GreetingTimeout)??;
     let listener = net
         .hot_restart
         .listener
         .borrow()
         .clone()
-        .filter(|_| greeting == HELLO && !net.hot_restart.successor.get());
+        .filter(|_| greeting == HELLO && !net.hot_restart.has_successor.get());
     let Some(listener) = listener else {
         link.get_mut().write_all(DECLINED).await?;
-        return Err(HotRestartError::CallerDeclined);
+        return Err(HotRestartError::Declined);
     };
     let state = &net.hot_restart;
-    state.set(net, &state.successor, true);
+    state.set(net, &state.has_successor, true);
     state.successor_ready.set(false);
-    let outcome = donate(net, link, &listener).await;
-    state.set(net, &state.successor, false);
+    let outcome = pass_socket(net, link, &listener).await;
+    state.set(net, &state.has_successor, false);
     outcome
 }
 
-/// Sends the socket and the message, and waits for the successor to be ready and for its end.
-async fn donate(
+/// Sends the socket and the message, then waits for the successor to report readiness and to exit.
+async fn pass_socket(
     net: &Rc<Net>,
     mut link: BufReader<SteadyStream>,
     listener: &OwnedFd,
@@ -66,30 +71,30 @@
             control.push(SendAncillaryMessage::ScmRights(&fds));
             let text = [IoSlice::new(text.as_bytes())];
             let send = || Ok(sendmsg(stream, &text, &mut control, SendFlags::NOSIGNAL)?);
-            retry_until(Instant::now() + READY_CHECK_PERIOD, send)
+            retry_until(Instant::now() + POLL_PERIOD, send)
         });
         let sent = sent.await?;
         link.get_mut().write_all(&text.as_bytes()[sent..]).await
     };
-    let taken = tokio::time::timeout(TAKE, send).await;
-    taken.map_err(|_| HotRestartError::DonationTimeout)??;
+    let outcome = tokio::time::timeout(SEND_TIMEOUT, send).await;
+    outcome.map_err(|_| HotRestartError::SendTimeout)??;
     info!("hot restart: the successor has the socket");
     let mut notice = String::new();
     (&mut link)
-        .take(LONGEST_LINE)
+        .take(MAX_LINE_LENGTH)
         .read_line(&mut notice)
         .await?;
     if notice == READY {
         net.hot_restart.successor_ready.set(true);
         info!("hot restart: the successor is ready");
-        // Nothing more comes but its end.
+        // The successor sends nothing more: the read returns when it exits.
         _ = link.read(&mut [0; 1]).await;
     }
     info!("hot restart: the successor has exited");
     Ok(())
 }
 
-/// The message: a line with its length, and its body.
+/// The text to send: a line with the body's length, then the body.
 fn message_text(net: &Net) -> Result<String, HotRestartError> {
     let now = net.clock.now();
     let facade = net.facade.borrow();
--- a/crates/server/src/net/hot_restart/successor.rs
+++ b/crates/server/src/net/hot_restart/successor.rs
@@ -1,6 +1,7 @@
-//! The successor's side at its start: it asks the predecessor for its listening socket and what it knows.
+//! The successor's side of a hot restart: at its start it asks the predecessor for the listening socket and the state.
 //!
-//! It must never stall a start for a process that does not answer, or believe what does not fit.
+//! If the predecessor does not answer in time or sends anything unexpected, the process starts without it. The
+//! state of a predecessor with another configuration is ignored, and only its socket is used.
 
 use std::io::{self, IoSliceMut, Read, Write};
 use std::mem::MaybeUninit;
@@ -17,18 +18,18 @@
 use super::directory::SharedDirectory;
 use super::error::HotRestartError;
 use super::fingerprint::configuration_fingerprint;
-use super::message::{Message, HELLO, LONGEST};
-use super::WAIT;
+use super::message::{Message, HELLO, MAX_BODY_LENGTH};
+use super::EXCHANGE_TIMEOUT;
 use crate::config::Config;
 use crate::list::Answer;
 use oakshed_core::facade::{HandoverState, WarmingWorker};
 
-/// The size of one read, in bytes.
+/// The size of the read buffer, in bytes.
 const READ_SIZE: usize = 16 << 10;
-/// The most bytes without a line's end that may still begin with a length.
-const LONGEST_LENGTH_LINE: usize = 32;
+/// The longest first line that is taken for a length, in bytes.
+const MAX_LENGTH_LINE: usize = 32;
 
-/// What a start got from its predecessor.
+/// The socket, state and connection received from the predecessor.
 pub(in super::super) struct Inherited {
     pub listener: TcpListener,
     pub list: Option<Answer>,
@@ -37,22 +38,23 @@
     pub link: BlockingStream,
 }
 
-/// Asks the predecessor for its place. Blocks, as nothing depends on this process yet.
+/// Takes over from the predecessor; `None` if there is none or the exchange fails. Blocks the thread, as this
+/// process does not serve yet.
 pub(in super::super) fn take_over(
     directory: &SharedDirectory,
     config: &Config,
 ) -> Option<Inherited> {
     match request_socket(directory, config) {
-        Ok((taken, same)) => {
-            let rest = if same {
+        Ok((inherited, same_configuration)) => {
+            let remark = if same_configuration {
                 ""
             } else {
                 "; it has another configuration, its state is ignored"
             };
-            info!("hot restart: took over the socket of the predecessor{rest}");
-            Some(taken)
+            info!("hot restart: took over the socket of the predecessor{remark}");
+            Some(inherited)
         }
-        // No directory or no process in it: the usual start.
+        // No process listens in the directory: an ordinary start.
         Err(HotRestartError::Io(e))
             if matches!(
                 e.kind(),
@@ -68,17 +70,18 @@
     }
 }
 
-/// The whole exchange; besides what was inherited, whether the predecessor's configuration is this one's.
+/// Runs the whole exchange. Also returns whether the predecessor has the same configuration.
 fn request_socket(
     directory: &SharedDirectory,
     config: &Config,
 ) -> Result<(Inherited, bool), HotRestartError> {
-    let until = Instant::now() + WAIT;
+    let until = Instant::now() + EXCHANGE_TIMEOUT;
     let mut link = connect(directory, until)?;
     send_hello(&mut link, until)?;
-    let (passed, message) = receive(&mut link, until)?;
-    let listener = usable_listener(passed, config, until)?;
-    let same = message.fingerprint == configuration_fingerprint(config, config.discovery);
+    let (descriptor, message) = receive(&mut link, until)?;
+    let listener = usable_listener(descriptor, config, until)?;
+    let same_configuration =
+        message.fingerprint == configuration_fingerprint(config, config.discovery);
     let mut inherited = Inherited {
         listener,
         list: None,
@@ -86,7 +89,7 @@
         warming: vec![],
         link,
     };
-    if same {
+    if same_configuration {
         inherited.list = message.list;
         inherited.state = message.state.into();
         inherited.warming = message
@@ -95,21 +98,21 @@
             .map(WarmingWorker::from)
             .collect();
     }
-    Ok((inherited, same))
+    Ok((inherited, same_configuration))
 }
 
 fn connect(directory: &SharedDirectory, until: Instant) -> Result<BlockingStream, HotRestartError> {
     let socket = retry_at_start(|| {
         socket2::Socket::new(socket2::Domain::UNIX, socket2::Type::STREAM, None)
     })?;
-    // Prevents a wait for capacity in a queue of callers that is full.
+    // A blocking connect would wait while the predecessor's accept queue is full.
     socket.set_nonblocking(true)?;
     let path = socket2::SockAddr::unix(directory.socket_path())?;
     retry_until(until, || socket.connect(&path))?;
     socket.set_nonblocking(false)?;
     let link = BlockingStream::from(OwnedFd::from(socket));
-    link.set_write_timeout(Some(WAIT))?;
-    link.set_read_timeout(Some(WAIT))?;
+    link.set_write_timeout(Some(EXCHANGE_TIMEOUT))?;
+    link.set_read_timeout(Some(EXCHANGE_TIMEOUT))?;
     Ok(link)
 }
 
@@ -122,7 +125,7 @@
     Ok(())
 }
 
-/// Reads the message, and the descriptor that comes with its first bytes.
+/// Receives the message, and the descriptor that is attached to its first bytes.
 fn receive(
     link: &mut BlockingStream,
     until: Instant,
@@ -139,7 +142,7 @@
             RecvFlags::CMSG_CLOEXEC,
         )?)
     })?;
-    let passed = control.drain().find_map(|message| match message {
+    let descriptor = control.drain().find_map(|message| match message {
         RecvAncillaryMessage::ScmRights(mut descriptors) => descriptors.next(),
         _ => None,
     });
@@ -156,13 +159,13 @@
             n => text.extend_from_slice(&buffer[..n]),
         }
     };
-    Ok((passed, serde_json::from_slice(&text[body])?))
+    Ok((descriptor, serde_json::from_slice(&text[body])?))
 }
 
-/// Where the message's body stands in `text`, once all of it has come: behind a line with its length.
+/// The range of the message body in `text`, after the line with its length; `None` until all of it has arrived.
 fn complete_body(text: &[u8]) -> Result<Option<Range<usize>>, HotRestartError> {
     let Some(line_end) = text.iter().position(|byte| *byte == b'\n') else {
-        if text.len() > LONGEST_LENGTH_LINE {
+        if text.len() > MAX_LENGTH_LINE {
             return Err(HotRestartError::NoMessage);
         }
         return Ok(None);
@@ -171,7 +174,7 @@
         .ok()
         .and_then(|digits| digits.parse().ok())
         .ok_or(HotRestartError::VersionMismatch)?;
-    if length > LONGEST {
+    if length > MAX_BODY_LENGTH {
         return Err(HotRestartError::MessageTooLong);
     }
     let start = line_end + 1;
@@ -179,13 +182,13 @@
     Ok((text.len() >= end).then_some(start..end))
 }
 
-/// The descriptor as a listener, where it is one at the configured address.
+/// Turns the descriptor into a listener, provided that it listens on the configured address.
 fn usable_listener(
-    passed: Option<OwnedFd>,
+    descriptor: Option<OwnedFd>,
     config: &Config,
     until: Instant,
 ) -> Result<TcpListener, HotRestartError> {
-    let socket = socket2::Socket::from(passed.ok_or(HotRestartError::NoSocket)?);
+    let socket = socket2::Socket::from(descriptor.ok_or(HotRestartError::NoSocket)?);
     let address = retry_until(until, || socket.local_addr())?.as_socket();
     if address != Some(config.listen) || !socket.is_listener()? {
         return Err(HotRestartError::WrongSocket);
--- a/crates/server/src/net/hot_restart/tests.rs
+++ b/crates/server/src/net/hot_restart/tests.rs
@@ -1,11 +1,11 @@
-//! The forms of what is passed on, which are those of all versions in service.
+//! Compatibility of the messages and of the fingerprint's text with the versions in service.
 
 use oakshed_core::facade::{HandoverState, Settings, Span};
 use oakshed_core::interface::{Class, Effect, Reports, Scope, Weights};
 
 use super::message::{Message, HELLO, READY};
 
-/// What version 0a2a3d3 sent; see the README beside these.
+/// Recorded from version 0a2a3d3; see `tests/fixtures/0a2a3d3/README.md`.
 const RECORDED_MESSAGE: &str =
     include_str!("../../../tests/fixtures/0a2a3d3/hot-restart/predecessor-message");
 const RECORDED_HELLO: &str =
@@ -14,11 +14,11 @@
     include_str!("../../../tests/fixtures/0a2a3d3/hot-restart/successor-ready");
 
 #[test]
-fn an_old_message_is_parsed_and_serialized_in_the_same_form() {
+fn recorded_message_round_trips_with_one_added_field() {
     assert_eq!((HELLO, READY), (RECORDED_HELLO, RECORDED_READY));
-    let (_, body) = RECORDED_MESSAGE.split_once('\n').expect("a length");
-    let message: Message = serde_json::from_str(body).expect("read");
-    let written = serde_json::to_string(&message).expect("written");
+    let (_, body) = RECORDED_MESSAGE.split_once('\n').expect("a length line");
+    let message: Message = serde_json::from_str(body).expect("valid JSON");
+    let written = serde_json::to_string(&message).expect("serializable");
     let state = HandoverState::from(message.state);
     let backoff = &state.backoffs[0];
     assert_eq!(
@@ -27,14 +27,14 @@
     );
     assert_eq!(state.backoffs.len(), 1);
     assert!(message.warming.is_empty());
-    // Later versions added one field, and nothing else.
+    // Later versions have added this one field only.
     let end = body.strip_suffix('}').expect("an object");
     assert_eq!(written, format!(r#"{end},"warming":[]}}"#));
 }
 
-/// The text as version 0a2a3d3 made it, by the `Debug` that was derived then.
+/// The expected text is the derived `Debug` output of version 0a2a3d3.
 #[test]
-fn the_fingerprints_text_has_the_old_names() {
+fn fingerprint_text_keeps_the_recorded_field_names() {
     let class = |effect, scope, kind| Class {
         latency_objective: Span::from_micros(1),
         stretch: 0.5,
