--- a/crates/server/src/net/peers/error.rs
+++ b/crates/server/src/net/peers/error.rs
@@ -1,4 +1,4 @@
-//! Why this scheduler cannot take part in what schedulers share.
+//! Errors at the start of the exchange with other schedulers.
 
 use std::io;
 use std::net::SocketAddr;
@@ -7,18 +7,18 @@
 
 use crate::operator::KeyFileError;
 
-/// Why this scheduler cannot take part in what schedulers share.
+/// Why the exchange with other schedulers cannot start.
 #[derive(Debug, Error)]
 pub enum PeersError {
     /// The key cannot be read or used.
     #[error("operator file: {0}")]
     Key(#[from] KeyFileError),
-    /// The address cannot be bound.
+    /// The UDP socket cannot be bound.
     #[error("/peers/listen: {address}: {error}")]
     Bind {
         /// The address.
         address: SocketAddr,
-        /// What failed.
+        /// The error of the system call.
         #[source]
         error: io::Error,
     },
--- a/crates/server/src/net/peers/mod.rs
+++ b/crates/server/src/net/peers/mod.rs
@@ -1,9 +1,8 @@
-//! What schedulers share: the UDP socket, the timer and the files around the state machine of
-//! oakshed-peers.
+//! The exchange with other schedulers (peers): runs the state machine of oakshed-peers on a UDP socket, a timer and a
+//! snapshot file.
 //!
-//! It owns the socket, and what of the learned facts reaches the decisions. It must never let a peer's
-//! report make anything less careful: a worker that a peer holds to be leaving gets nothing new, and one
-//! that only peers hold to be ready stays unknown.
+//! Peers' reports about workers can only restrict scheduling. A worker that a peer reports as leaving gets no new
+//! requests, and a worker that only peers list as ready stays unknown.
 
 mod error;
 mod snapshot_file;
@@ -22,7 +21,7 @@
 use super::{wall_clock, Clock, Net};
 use crate::config::Config;
 use crate::list::UpdateKind;
-use crate::operator::Peers as Settings;
+use crate::operator::Peers as PeerSettings;
 pub use error::PeersError;
 use oakshed_core::facade::{Condition, Entry, ListKind, Micros};
 use oakshed_peers::datagram::MAX_DATAGRAM_LENGTH;
@@ -30,85 +29,92 @@
 use oakshed_peers::node::{self, Effect, Node};
 use oakshed_peers::rows::Owner;
 
-/// Datagrams that are taken before the timers are looked at: after a stall what waits counts first.
-const AT_ONCE: usize = 512;
-/// The incarnations of each member of which rows are retained: the present one, and those that ended lately.
-const OWNERS_EACH: usize = 4;
-/// Between two tries to bind while the process before still holds the address.
-const REBIND: Duration = Duration::from_millis(200);
-/// Between two lines on bad peers.
-const LINE_EVERY: Micros = 1_000_000;
+/// The most datagrams that are handled before the timers are checked. After a stall of this process, the datagrams that
+/// are already queued are thus handled before any timer fires.
+const MAX_DATAGRAMS_PER_WAKE: usize = 512;
+/// The incarnations per member whose rows are retained: the current one and recent ones.
+const INCARNATIONS_PER_MEMBER: usize = 4;
+/// The pause between two attempts to bind while the predecessor still holds the address, and after a failed read.
+const RETRY_PERIOD: Duration = Duration::from_millis(200);
+/// The least time between two log lines about dropped datagrams.
+const DROP_LOG_PERIOD: Micros = 1_000_000;
 
-/// This scheduler's part in what is shared.
+/// This scheduler's membership among its peers.
 pub(crate) struct Peers {
     node: RefCell<Node>,
     listen: SocketAddr,
     socket: RefCell<Option<UdpSocket>>,
-    /// The number of the own list that the others were last notified of.
-    listed: Cell<Option<u64>>,
-    /// The own list has changed: there may be something to send.
-    changed: Notify,
+    /// The generation of the own endpoint list that was last passed to the node.
+    published_generation: Cell<Option<u64>>,
+    /// Wakes the task after the own endpoint list has changed, as the node may have datagrams to send.
+    list_changed: Notify,
 }
 
-/// Opens the socket, where the operators have switched this on.
+/// Binds the socket and creates the node; `None` if the operator's file has no `peers` entry.
 pub(super) fn open(config: &Config, now: Micros) -> Result<Option<Peers>, PeersError> {
-    let Some(entry) = &config.operator.peers else {
+    let Some(settings) = &config.operator.peers else {
         return Ok(None);
     };
-    let key = entry.key()?;
-    let socket = match bind(entry.listen) {
+    let key = settings.key()?;
+    let socket = match bind(settings.listen) {
         Ok(socket) => Some(socket),
-        // The process before this one may still have it.
+        // The predecessor may still have the address bound: `run` retries.
         Err(e) if e.kind() == io::ErrorKind::AddrInUse => None,
         Err(error) => {
             return Err(PeersError::Bind {
-                address: entry.listen,
+                address: settings.listen,
                 error,
             })
         }
     };
     Ok(Some(Peers {
-        node: RefCell::new(new_node(config, entry, key, now)),
-        listen: entry.listen,
+        node: RefCell::new(new_node(config, settings, key, now)),
+        listen: settings.listen,
         socket: RefCell::new(socket),
-        listed: Cell::new(None),
-        changed: Notify::new(),
+        published_generation: Cell::new(None),
+        list_changed: Notify::new(),
     }))
 }
 
-/// The state machine, with what the snapshot file knows.
-fn new_node(config: &Config, entry: &Settings, key: Option<Vec<u8>>, now: Micros) -> Node {
-    let me = Owner::new(&config.name, now / 1_000);
-    let mut form = node::Config::new(me, entry.listen, &entry.installation, entry.join.clone());
-    let snapshot = entry
+/// Creates the state machine, and restores the snapshot, if there is one.
+fn new_node(config: &Config, settings: &PeerSettings, key: Option<Vec<u8>>, now: Micros) -> Node {
+    let own = Owner::new(&config.name, now / 1_000);
+    let mut node_config = node::Config::new(
+        own,
+        settings.listen,
+        &settings.installation,
+        settings.join.clone(),
+    );
+    let snapshot = settings
         .dir
         .as_deref()
-        .and_then(|dir| snapshot_file::read(dir, entry, now, form.skew));
-    // Where members were is as good a place to ask as the join addresses.
+        .and_then(|dir| snapshot_file::read(dir, settings, now, node_config.skew));
+    // The members of the snapshot serve as further join addresses.
     if let Some(snapshot) = &snapshot {
-        form.join
-            .extend(snapshot.members.iter().copied().take(entry.members));
+        node_config
+            .join
+            .extend(snapshot.members.iter().copied().take(settings.members));
     }
-    form.key = key;
-    form.max_members = entry.members;
-    form.discovery = config.discovery.to_string();
-    // Of each member some lives; of the memory, of which half may be all there is, an eighth.
-    form.limits.max_owners = OWNERS_EACH * entry.members;
-    form.limits.max_bytes = form.limits.max_bytes.min(config.memory / 8);
-    let mut node = Node::new(form, now, config.seed ^ now);
+    node_config.key = key;
+    node_config.max_members = settings.members;
+    node_config.discovery = config.discovery.to_string();
+    node_config.limits.max_owners = INCARNATIONS_PER_MEMBER * settings.members;
+    // An eighth of the memory, as during a hot restart only half of it may be this process's.
+    node_config.limits.max_bytes = node_config.limits.max_bytes.min(config.memory / 8);
+    let mut node = Node::new(node_config, now, config.seed ^ now);
     if let Some(snapshot) = snapshot {
         node.restore(snapshot);
     }
     node
 }
 
-fn bind(at: SocketAddr) -> io::Result<UdpSocket> {
-    let socket = std::net::UdpSocket::bind(at)?;
+fn bind(address: SocketAddr) -> io::Result<UdpSocket> {
+    let socket = std::net::UdpSocket::bind(address)?;
     socket.set_nonblocking(true)?;
     UdpSocket::from_std(socket)
 }
 
-/// Takes part until the program stops, or hands over.
+/// Runs the node until the process shuts down or a successor has taken over.
 pub(super) async fn run(net: Rc<Net>) {
     let Some(peers) = &net.peers else { return };
     let socket = bound_socket(peers).await;
@@ -122,18 +128,18 @@
         let wake = net.clock.instant(peers.node.borrow().next_wake());
         tokio::select! {
             biased;
-            // The one that takes this one's place needs the address; who stops is not polled any more.
+            // A successor needs the address, and a process that is closing takes no part any more.
             _ = handed_over.wait_for(|handed_over| *handed_over) => break,
             _ = closing.wait_for(|closing| *closing) => break,
             readable = socket.readable() => {
                 if readable.is_err() {
-                    tokio::time::sleep(REBIND).await;
+                    tokio::time::sleep(RETRY_PERIOD).await;
                 }
                 peers.node.borrow_mut().observe_wall_clock(net.clock.now(), wall_clock());
                 receive(&net.clock, peers, &socket);
             }
             () = tokio::time::sleep_until(wake) => {}
-            () = peers.changed.notified() => {}
+            () = peers.list_changed.notified() => {}
         }
         let now = net.clock.now();
         peers
@@ -143,39 +149,39 @@
         if peers.node.borrow().next_wake() <= now {
             peers.node.borrow_mut().tick(now);
         }
-        settle(&net, peers, &socket);
+        execute_effects(&net, peers, &socket);
         drop_log.update(peers, now);
     }
 }
 
-/// The socket, once it is bound: the process before may still have the address.
+/// Returns the socket once it is bound, which may have to wait for the predecessor to release the address.
 async fn bound_socket(peers: &Peers) -> UdpSocket {
     let mut socket = peers.socket.take();
     loop {
         if let Some(socket) = socket.take() {
             return socket;
         }
-        tokio::time::sleep(REBIND).await;
+        tokio::time::sleep(RETRY_PERIOD).await;
         socket = bind(peers.listen).ok();
     }
 }
 
-/// Starts the writing of snapshots, where operators have named a directory for them.
+/// Starts writing snapshots if the operator's file names a directory for them.
 fn start_snapshots(net: &Rc<Net>) {
-    let Some(entry) = &net.config.operator.peers else {
+    let Some(settings) = &net.config.operator.peers else {
         return;
     };
-    if let Some(dir) = &entry.dir {
-        let write = snapshot_file::write_periodically(net.clone(), dir.clone(), entry.clone());
+    if let Some(dir) = &settings.dir {
+        let write = snapshot_file::write_periodically(net.clone(), dir.clone(), settings.clone());
         tokio::task::spawn_local(write);
     }
 }
 
-/// Takes what has come.
+/// Passes received datagrams to the node.
 fn receive(clock: &Clock, peers: &Peers, socket: &UdpSocket) {
-    // One more than the longest: what is cut off must not pass for whole.
+    // One byte more than the longest datagram, so that the node can tell a truncated one from a complete one.
     let mut bytes = [0; MAX_DATAGRAM_LENGTH + 1];
-    for _ in 0..AT_ONCE {
+    for _ in 0..MAX_DATAGRAMS_PER_WAKE {
         let Ok((n, from)) = socket.try_recv_from(&mut bytes) else {
             break;
         };
@@ -186,14 +192,14 @@
     }
 }
 
-/// Does what the state machine wants done.
-fn settle(net: &Rc<Net>, peers: &Peers, socket: &UdpSocket) {
+/// Carries out the effects that the node has queued.
+fn execute_effects(net: &Rc<Net>, peers: &Peers, socket: &UdpSocket) {
     let mut updates = Vec::new();
     loop {
         let effect = peers.node.borrow_mut().poll_effect();
         match effect {
             None => break,
-            // What cannot be sent is lost, as on the way.
+            // A failed send counts as a datagram lost on the network.
             Some(Effect::Send { to, bytes }) => drop(socket.try_send_to(&bytes, to)),
             Some(Effect::Joined(Owner { name, incarnation })) => {
                 info!(
@@ -225,17 +231,17 @@
     apply_peer_updates(net, updates);
 }
 
-/// The line on datagrams that were dropped: one a second at most, and only where something was dropped since.
+/// Logs the counts of dropped datagrams, once a second at most and only when they have changed.
 #[derive(Default)]
 struct DropLog {
-    logged: u64,
+    logged_total: u64,
     logged_at: Micros,
 }
 
 impl DropLog {
     fn update(&mut self, peers: &Peers, now: Micros) {
         let dropped = peers.node.borrow().dropped();
-        if dropped.total() == self.logged || now < self.logged_at + LINE_EVERY {
+        if dropped.total() == self.logged_total || now < self.logged_at + DROP_LOG_PERIOD {
             return;
         }
         let [cut, version, installation, mac, replayed, malformed, impossible] = dropped.by;
@@ -251,24 +257,28 @@
             "peers: {} datagrams dropped so far",
             dropped.total()
         );
-        self.logged = dropped.total();
+        self.logged_total = dropped.total();
         self.logged_at = now;
     }
 }
 
-/// The own discovery's list has changed.
+/// Passes the list of this scheduler's own discovery to the node, to be shared with the peers.
 pub(super) fn listed(net: &Net) {
     let Some(peers) = &net.peers else { return };
-    // Discovery that the settings do not name numbers its lists differently.
+    // After a reload to another discovery, the list numbers are not comparable with those of the peers.
     if net.discovery.address() != net.config.discovery {
         return;
     }
     let Some(snapshot) = net.discovery.endpoint_list.borrow().snapshot() else {
         return;
     };
-    // Guards against an answer without an update that puts the own list, by then the older one, in the place of what
-    // a peer has reported meanwhile: that was applied, and logged, anew with each such answer.
-    if peers.listed.replace(Some(snapshot.generation)) == Some(snapshot.generation) {
+    // Without this check, an answer of discovery that brings no new list would replace a newer list from a peer by the
+    // own, older one, and the peer's list would be applied and logged again after each such answer.
+    if peers
+        .published_generation
+        .replace(Some(snapshot.generation))
+        == Some(snapshot.generation)
+    {
         return;
     }
     let worker = |entry: Entry| Worker {
@@ -289,15 +299,15 @@
         .node
         .borrow_mut()
         .on_discovery_list(net.clock.now(), snapshot.generation, &workers);
-    peers.changed.notify_one();
+    peers.list_changed.notify_one();
 }
 
-/// Entries of the own list as peers' updates change them, with their addresses.
+/// Entries of the own list as changed by peers' updates, with their addresses.
 type ChangedEntries = FxHashMap<Rc<str>, (Entry, SocketAddr)>;
 
-/// What peers know of the list: only what makes more careful, and only of workers that the own list has. All
-/// that has come is taken in as one change. Guards against a lost zone of which each worker would be a change
-/// of the whole list, and against an update of a worker's start that takes back what another has said of it.
+/// Applies peers' updates to workers of the own list, as far as they restrict scheduling, in a single delta. With one
+/// delta per worker, the loss of a zone would cost one change of the whole list for each of its workers, and an update
+/// of a worker's start would undo another update of the same worker.
 fn apply_peer_updates(net: &Rc<Net>, updates: Vec<(Owner, ListUpdate)>) {
     if net.discovery.address() != net.config.discovery {
         return;
@@ -335,7 +345,7 @@
     net.report_list(ListKind::Delta, &entries);
 }
 
-/// Takes in what a peer says of a worker: a condition, or a later start.
+/// Adds a peer's report on a worker to the changed entries: a new condition, or a later start.
 fn change_entry(
     net: &Net,
     changed: &mut ChangedEntries,
@@ -349,7 +359,7 @@
         return;
     };
     let (mut entry, address) = match changed.remove(worker) {
-        Some(known) => known,
+        Some(pending) => pending,
         None => (own.entry(&net.config.names), own.host_port),
     };
     if entry.condition == Condition::Active && !net.workers.is_ready(worker) {
--- a/crates/server/src/net/peers/snapshot_file.rs
+++ b/crates/server/src/net/peers/snapshot_file.rs
@@ -1,7 +1,7 @@
-//! The snapshot of what is shared, stored over a restart: one file, written periodically.
+//! The snapshot file, which keeps the state shared with other schedulers over a restart.
 //!
-//! It owns the file. It must never prevent the program from starting, nor leave half a file in the place of
-//! a whole one.
+//! The file is written periodically and replaced atomically, so a crash or a full disk never leaves a truncated one. A
+//! file that cannot be read or decoded is logged, and the start goes on without it.
 
 use std::fs::{self, File};
 use std::io::{self, Read as _, Write as _};
@@ -14,39 +14,44 @@
 use tracing::{info, warn};
 
 use super::Net;
-use crate::operator::Peers as Entry;
+use crate::operator::Peers as PeerSettings;
 use oakshed_core::facade::Micros;
 use oakshed_peers::snapshot::Snapshot;
 
-/// Between two writes.
+/// The pause between two writes.
 const WRITE_PERIOD: Duration = Duration::from_secs(5);
-/// Until the next try after a write that failed.
+/// The pause after a failed write.
 const WRITE_RETRY_PERIOD: Duration = Duration::from_secs(1);
-/// How often a start tries to read the file.
-const READ_TRIES: u32 = 10;
-/// Between two tries of a start to read the file.
-const READ_PAUSE: Duration = Duration::from_millis(50);
+/// How many times a start tries to read the file.
+const READ_ATTEMPTS: u32 = 10;
+/// The pause between two attempts to read the file.
+const READ_RETRY_PERIOD: Duration = Duration::from_millis(50);
 /// The largest file that is read, in bytes.
-const LARGEST_FILE: u64 = 64 << 20;
+const MAX_FILE_SIZE: u64 = 64 << 20;
 
 /// Why a snapshot was not written.
 #[derive(Debug, Error)]
 enum WriteError {
-    /// The system has failed.
+    /// A system call failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The thread that writes has panicked, or was stopped.
+    /// The writing thread panicked or was cancelled.
     #[error(transparent)]
     Thread(#[from] JoinError),
 }
 
-fn path(dir: &Path, entry: &Entry) -> PathBuf {
-    dir.join(format!("peers-{}.kept", entry.listen))
+fn path(dir: &Path, settings: &PeerSettings) -> PathBuf {
+    dir.join(format!("peers-{}.kept", settings.listen))
 }
 
-/// What was known; nothing, and a line that says why, where that cannot be used.
-pub(super) fn read(dir: &Path, entry: &Entry, now: Micros, skew: Micros) -> Option<Snapshot> {
-    let path = path(dir, entry);
+/// Reads the snapshot; `None` if there is no file. A file that cannot be used is logged and also gives `None`.
+pub(super) fn read(
+    dir: &Path,
+    settings: &PeerSettings,
+    now: Micros,
+    skew: Micros,
+) -> Option<Snapshot> {
+    let path = path(dir, settings);
     let bytes = match read_file(&path) {
         Ok(bytes) => bytes,
         Err(e) if e.kind() == io::ErrorKind::NotFound => return None,
@@ -59,20 +64,20 @@
             return None;
         }
     };
-    match Snapshot::decode(&bytes, &entry.installation, now, skew) {
-        Ok(old) => {
-            let owners = old.owners.len();
-            let age_ms = now.saturating_sub(old.at) / 1_000;
+    match Snapshot::decode(&bytes, &settings.installation, now, skew) {
+        Ok(snapshot) => {
+            let owners = snapshot.owners.len();
+            let age_ms = now.saturating_sub(snapshot.at) / 1_000;
             info!(
                 event = "kept",
                 owners, age_ms, "peers: snapshot of {owners} owners, {age_ms} ms old"
             );
-            Some(old)
+            Some(snapshot)
         }
-        Err(why) => {
+        Err(error) => {
             warn!(
                 event = "kept",
-                "peers: {}: {why}; starting without the snapshot",
+                "peers: {}: {error}; starting without the snapshot",
                 path.display()
             );
             None
@@ -80,13 +85,13 @@
     }
 }
 
-/// Puts a file in the place of the one before, once it is on the disk. After an error the one before is
-/// still there, or the new one is.
+/// Replaces the file by a new one that has been synced to disk. After an error, either the old or the new file is in
+/// place.
 fn write(path: &Path, bytes: &[u8]) -> io::Result<()> {
     let new = path.with_extension("new");
     let outcome = write_synced(&new, bytes).and_then(|()| fs::rename(&new, path));
     if let Err(error) = outcome {
-        // A part of a file takes space that may be what is missing.
+        // The disk may be full: a partly written file must not keep its space.
         _ = fs::remove_file(&new);
         return Err(error);
     }
@@ -100,11 +105,14 @@
     file.sync_all()
 }
 
-/// Reads a file, a few times where the system fails: what cannot be read would be written over by less.
+/// Reads a file, with several attempts: if the start goes on without the snapshot, the next write replaces the file by
+/// one with less content.
 fn read_file(path: &Path) -> io::Result<Vec<u8>> {
-    for _ in 1..READ_TRIES {
+    for _ in 1..READ_ATTEMPTS {
         match read_once(path) {
-            Err(error) if error.kind() != io::ErrorKind::NotFound => std::thread::sleep(READ_PAUSE),
+            Err(error) if error.kind() != io::ErrorKind::NotFound => {
+                std::thread::sleep(READ_RETRY_PERIOD);
+            }
             outcome => return outcome,
         }
     }
@@ -114,15 +122,15 @@
 fn read_once(path: &Path) -> io::Result<Vec<u8>> {
     let mut bytes = Vec::new();
     File::open(path)?
-        .take(LARGEST_FILE)
+        .take(MAX_FILE_SIZE)
         .read_to_end(&mut bytes)?;
     Ok(bytes)
 }
 
-/// Writes periodically, on a thread of its own as the disk may take long; one line where that begins to
-/// fail, and one where it works again.
-pub(super) async fn write_periodically(net: Rc<Net>, dir: PathBuf, entry: Entry) {
-    let path = path(&dir, &entry);
+/// Writes snapshots periodically, on a blocking thread, as the disk may be slow. Logs one line when writes begin to
+/// fail, and one when they succeed again.
+pub(super) async fn write_periodically(net: Rc<Net>, dir: PathBuf, settings: PeerSettings) {
+    let path = path(&dir, &settings);
     let mut failing = false;
     while !net.shutdown.has_handed_over() && !net.shutdown.is_closing() {
         tokio::time::sleep(if failing {
@@ -133,17 +141,25 @@
         .await;
         let Some(peers) = &net.peers else { return };
         let bytes = peers.node.borrow().snapshot(net.clock.now()).encode();
-        let to = path.clone();
-        let wrote = tokio::task::spawn_blocking(move || write(&to, &bytes)).await;
-        let wrote = match wrote {
+        let target = path.clone();
+        let joined = tokio::task::spawn_blocking(move || write(&target, &bytes)).await;
+        let outcome = match joined {
             Ok(outcome) => outcome.map_err(WriteError::from),
             Err(error) => Err(WriteError::from(error)),
         };
-        match &wrote {
-            Err(e) if !failing => warn!(event = "kept", "peers: {}: {e}; retrying", path.display()),
-            Ok(()) if failing => info!(event = "kept", "peers: {}: written again", path.display()),
+        match &outcome {
+            Err(e) if !failing => warn!(
+                event = "kept",
+                "peers: cannot write the snapshot {}: {e}; retrying",
+                path.display()
+            ),
+            Ok(()) if failing => info!(
+                event = "kept",
+                "peers: snapshot {} written again",
+                path.display()
+            ),
             _ => {}
         }
-        failing = wrote.is_err();
+        failing = outcome.is_err();
     }
 }
