--- a/crates/server/src/operator/jobs.rs
+++ b/crates/server/src/operator/jobs.rs
@@ -1,49 +1,47 @@
-//! The operators' entry for durable jobs.
-//!
-//! It owns its form and its defaults. It must never look at anything beyond the file.
+//! The `jobs` entry of the operator's file: durable jobs, with limits and defaults.
 
 use std::path::PathBuf;
 
 use schemars::JsonSchema;
 use serde::{Deserialize, Serialize};
 
-/// Durable jobs: each is on disk before it is acted on, and its answer before that is given.
+/// Durable jobs: a job is on disk before it is sent to a worker, and its answer is on disk before the client gets it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Jobs {
-    /// The directory of the store, on a disk that outlives the process. One process at a time uses it.
+    /// The directory of the store, on persistent storage. Only one process can use it at a time.
     #[schemars(length(min = 1))]
     pub dir: PathBuf,
-    /// Whether the workers speak leases (docs/leases.md). Where not, a job whose connection breaks is
-    /// in doubt at once.
+    /// Whether the workers support leases (docs/leases.md). If not, a job is in doubt as soon as its
+    /// connection breaks.
     #[serde(default)]
     pub leases: bool,
-    /// How long a lease holds without a sign of life from its worker, in milliseconds.
+    /// How long a lease is valid without a heartbeat from its worker, in milliseconds.
     #[serde(default = "default_lease_ms")]
     #[schemars(range(min = 50, max = 3_600_000))]
     pub lease_ms: u64,
-    /// How long a finished job's answer is kept, in seconds.
+    /// How long the answer of a finished job is retained, in seconds.
     #[serde(default = "default_keep_answers_s")]
     #[schemars(range(min = 1, max = 2_592_000))]
     pub keep_answers_s: u64,
-    /// The most jobs that are open at once, those in doubt included. Further ones get 503.
+    /// The maximum number of open jobs, including those in doubt. Further jobs get 503.
     #[serde(default = "default_max_open")]
     #[schemars(range(min = 1, max = 1_000_000))]
     pub max_open: usize,
-    /// The most jobs kept in all, finished ones included. Further ones get 503.
-    #[serde(default = "default_max_jobs")]
+    /// The maximum number of retained jobs, including finished ones. Further jobs get 503.
+    #[serde(default = "default_max_kept")]
     #[schemars(range(min = 1, max = 100_000_000))]
     pub max_kept: usize,
-    /// The most bytes of payloads and answers kept, in MiB. Further jobs get 503.
-    #[serde(default = "default_max_memory_mb")]
+    /// The maximum total size of retained payloads and answers, in MiB. Further jobs get 503.
+    #[serde(default = "default_max_kept_mb")]
     #[schemars(range(min = 1, max = 1_048_576))]
     pub max_kept_mb: usize,
-    /// The largest payload of a job, in KiB; larger ones get 413.
+    /// The maximum payload size of a job, in KiB. Larger jobs get 413.
     #[serde(default = "default_max_payload_kb")]
     #[schemars(range(min = 1, max = 64))]
     pub max_payload_kb: usize,
-    /// The size of one file of the store, in MiB. One is always kept ready ahead: where the disk has no
-    /// room for it, new jobs get 503, and it is what the open ones are finished with.
+    /// The size of one segment file of the store, in MiB. A spare segment is always allocated ahead, from which
+    /// open jobs can still be finished when the disk is full. If there is no room for it, new jobs get 503.
     #[serde(default = "default_segment_mb")]
     #[schemars(range(min = 1, max = 1_024))]
     pub segment_mb: usize,
@@ -58,10 +56,10 @@
 fn default_max_open() -> usize {
     10_000
 }
-fn default_max_jobs() -> usize {
+fn default_max_kept() -> usize {
     1_000_000
 }
-fn default_max_memory_mb() -> usize {
+fn default_max_kept_mb() -> usize {
     256
 }
 fn default_max_payload_kb() -> usize {
--- a/crates/server/src/operator/mod.rs
+++ b/crates/server/src/operator/mod.rs
@@ -1,9 +1,8 @@
-//! The operator's file: what the operators of an installation switch on, beside what the platform
-//! tells each scheduler (config.rs). Absent, all of it is off.
+//! The operator's file: optional features that the operators of an installation enable, in addition to the
+//! configuration that the platform provides (see `config`). Without the file, all of them are off.
 //!
-//! It owns the form (JSON with a schema that is made from these types), the checks and the defaults.
-//! It must never take half of a file: where anything is wrong, every fault is reported at once, each with
-//! its place, and nothing is used.
+//! The file is JSON. Its schema is generated from the types in this module, and validation reports all faults at once,
+//! each with its JSON pointer. A file with any fault is rejected as a whole.
 
 mod jobs;
 mod peers;
@@ -18,22 +17,22 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// The whole file. Every part that is absent stays off.
+/// The operator's file. A feature whose entry is absent is off.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(title = "oakshed: the operator's file")]
 pub struct Operator {
-    /// Durable jobs with leases; off where absent.
+    /// Durable jobs with leases; off if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Jobs")]
     pub jobs: Option<Jobs>,
-    /// What schedulers share with one another; off where absent.
+    /// The exchange of state with other schedulers; off if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[schemars(with = "Peers")]
     pub peers: Option<Peers>,
 }
 
-/// What is wrong with the operator's file; its text is one line with all faults.
+/// An operator's file that cannot be used. Its text is a single line with all faults.
 #[derive(Debug, Error)]
 pub struct OperatorFileError {
     /// The file's path.
@@ -53,10 +52,10 @@
 /// Why an operator's file cannot be used.
 #[derive(Debug, Error)]
 pub enum OperatorFileFault {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Its text is wrong.
+    /// The content of the file is invalid.
     #[error(transparent)]
     Text(#[from] OperatorTextError),
     /// The key file that it names cannot be used.
@@ -64,48 +63,48 @@
     Key(#[from] KeyFileError),
 }
 
-/// What is wrong with the text of an operator's file.
+/// Why the content of an operator's file is invalid.
 #[derive(Debug, Error)]
 pub enum OperatorTextError {
-    /// It is no JSON, or a key stands in it twice; with line and column.
+    /// It is not JSON, or has a duplicate key; with line and column.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// The schema that is made from the types is no schema.
+    /// The schema that is generated from the types is invalid.
     #[error("schema: {0}")]
     Schema(#[source] Box<jsonschema::ValidationError<'static>>),
-    /// Values that are not as they have to be: one or more.
+    /// One or more values are invalid.
     #[error("{}", joined(.0))]
     Values(Vec<ValueFault>),
 }
 
-/// A value of an operator's file that is not as it has to be.
+/// An invalid value in an operator's file.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{pointer}: {fault}")]
 pub struct ValueFault {
-    /// Its place, as a JSON pointer; `/` is the whole file.
+    /// The JSON pointer of the value; `/` for the whole file.
     pub pointer: String,
-    /// What is wrong with it.
+    /// Why the value is invalid.
     pub fault: ValueFaultKind,
 }
 
-/// What is wrong with a value of an operator's file.
+/// Why a value of an operator's file is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ValueFaultKind {
-    /// The schema does not allow it; the validator's text.
+    /// It violates the schema; with the validator's message.
     #[error("{0}")]
     NotInSchema(String),
-    /// An address without a port, or of no machine in particular.
-    #[error("others cannot reach {0}")]
+    /// An address with port 0 or an unspecified IP address.
+    #[error("other schedulers cannot reach {0}")]
     Unreachable(SocketAddr),
 }
 
-/// All faults on one line.
+/// Joins all faults into one line.
 fn joined(faults: &[ValueFault]) -> String {
     let lines: Vec<String> = faults.iter().map(ValueFault::to_string).collect();
     lines.join("; ")
 }
 
-/// The schema of the file, as text.
+/// The JSON schema of the file, as text.
 #[must_use]
 pub fn schema() -> String {
     serde_json::to_string_pretty(&schema_value()).unwrap_or_default() + "\n"
@@ -116,12 +115,12 @@
 }
 
 impl Operator {
-    /// Reads the file's text.
+    /// Parses and validates the content of an operator's file.
     ///
     /// # Errors
     ///
-    /// All faults of the values, each with its JSON pointer and what was expected there, or line and column where the
-    /// text is no JSON at all.
+    /// All invalid values, each with its JSON pointer and what was expected there, or line and column if the text is not
+    /// JSON.
     pub fn parse(text: &str) -> Result<Operator, OperatorTextError> {
         let value: serde_json::Value = serde_json::from_str(text)?;
         let schema = schema_value();
@@ -131,7 +130,7 @@
         if !faults.is_empty() {
             return Err(OperatorTextError::Values(faults));
         }
-        // From the text once more: a key that is given twice shows only here.
+        // Parsed from the text again, because a `Value` no longer shows duplicate keys.
         let operator: Operator = serde_json::from_str(text)?;
         let faults = operator
             .peers
@@ -144,11 +143,11 @@
         Ok(operator)
     }
 
-    /// Reads the file at a path.
+    /// Reads and validates the file at `path`, and the key file that it names.
     ///
     /// # Errors
     ///
-    /// All faults of the file, or why it cannot be read.
+    /// All faults of the file, or why it or the key file cannot be read.
     pub fn read(path: &str) -> Result<Operator, OperatorFileError> {
         Operator::read_file(path).map_err(|cause| OperatorFileError {
             path: path.to_owned(),
@@ -166,7 +165,7 @@
     }
 }
 
-/// A fault that the validator found.
+/// Converts an error of the schema validator.
 fn schema_fault(error: jsonschema::ValidationError<'_>) -> ValueFault {
     let pointer = error.instance_path().to_string();
     ValueFault {
--- a/crates/server/src/operator/peers.rs
+++ b/crates/server/src/operator/peers.rs
@@ -1,7 +1,6 @@
-//! The operators' entry for what schedulers share.
+//! The `peers` entry of the operator's file: the exchange with other schedulers, and the key that authenticates it.
 //!
-//! It owns its form, its defaults, and the reading of the key. It must never use a key that others than
-//! its owner can read.
+//! A key file that users other than its owner can read is rejected.
 
 use std::fs::File;
 use std::io::{self, Read as _};
@@ -15,51 +14,51 @@
 
 use super::{ValueFault, ValueFaultKind};
 
-/// The shortest key, in bytes.
-const SHORTEST_KEY: u64 = 16;
-/// The longest key, in bytes.
-const LONGEST_KEY: u64 = 4_096;
+/// The minimum length of a key, in bytes.
+const MIN_KEY_LENGTH: u64 = 16;
+/// The maximum length of a key, in bytes.
+const MAX_KEY_LENGTH: u64 = 4_096;
 
-/// Talk among the schedulers of one installation, over UDP: who is there, and what they share.
+/// Membership and shared state among the schedulers of one installation, over UDP.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
 pub struct Peers {
-    /// The address and port where the others reach this scheduler.
+    /// The address and port at which other schedulers reach this one.
     #[schemars(with = "String", length(min = 1))]
     pub listen: SocketAddr,
-    /// Addresses of some schedulers, the same at all of them: three, and one for each 40 schedulers where
-    /// that is more.
+    /// Addresses of some schedulers to contact first; the same list for all schedulers. At least three, and at
+    /// least one per 40 schedulers.
     #[serde(default)]
     #[schemars(with = "Vec<String>", length(max = 4_096))]
     pub join: Vec<SocketAddr>,
-    /// The installation's name: what others send is dropped.
-    #[serde(default = "installation")]
+    /// The name of the installation. Datagrams of other installations are dropped.
+    #[serde(default = "default_installation")]
     #[schemars(length(min = 1, max = 64))]
     pub installation: String,
-    /// A file with the key that all schedulers of the installation have; only its owner may read it.
-    /// Without one, whoever knows the installation's name can take part.
+    /// A file with the key that all schedulers of the installation share; only its owner may have access to it.
+    /// Without a key, anyone who knows the name of the installation can take part.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "PathBuf", length(min = 1))]
     pub key_file: Option<PathBuf>,
-    /// A directory where what is known is kept over a restart.
+    /// A directory for the snapshot that preserves the shared state over a restart.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     #[schemars(with = "PathBuf", length(min = 1))]
     pub dir: Option<PathBuf>,
-    /// The most schedulers that are taken up. Further ones are dropped.
-    #[serde(default = "members")]
+    /// The maximum number of schedulers. Further ones are ignored.
+    #[serde(default = "default_members")]
     #[schemars(range(min = 2, max = 4_096))]
     pub members: usize,
 }
 
-fn installation() -> String {
+fn default_installation() -> String {
     "oakshed".into()
 }
-fn members() -> usize {
+fn default_members() -> usize {
     4_096
 }
 
 impl Peers {
-    /// What is wrong beyond the schema, each with its place.
+    /// The faults that the schema does not cover.
     pub(super) fn faults(&self) -> Vec<ValueFault> {
         let mut faults = Vec::new();
         if !is_reachable(self.listen) {
@@ -73,11 +72,11 @@
         faults
     }
 
-    /// The key, where there is a file for it.
+    /// Reads the key; `None` if no key file is configured.
     ///
     /// # Errors
     ///
-    /// Place and reason, where the file cannot be read or its key cannot be used.
+    /// The key file's path, and why it cannot be read or its key cannot be used.
     pub fn key(&self) -> Result<Option<Vec<u8>>, KeyFileError> {
         let Some(path) = &self.key_file else {
             return Ok(None);
@@ -90,7 +89,7 @@
     }
 }
 
-/// Whether an address names a port of some machine.
+/// Whether other machines can send to the address: it has a port and a specific IP address.
 fn is_reachable(address: SocketAddr) -> bool {
     address.port() != 0 && !address.ip().is_unspecified()
 }
@@ -108,29 +107,29 @@
 pub struct KeyFileError {
     /// The file's path.
     pub path: PathBuf,
-    /// What is wrong with it.
+    /// Why it cannot be used.
     #[source]
     pub fault: KeyFault,
 }
 
-/// What is wrong with a key file.
+/// Why a key file cannot be used.
 #[derive(Debug, Error)]
 pub enum KeyFault {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Others than its owner can read it; its mode.
-    #[error("mode {0:o}: only its owner may read it (chmod 600)")]
+    /// The file's mode gives access to users other than its owner.
+    #[error("mode {0:o} gives access to others than the owner; use chmod 600")]
     ReadableByOthers(u32),
-    /// Its key is too short.
-    #[error("a key has {SHORTEST_KEY} bytes at least")]
+    /// The key is shorter than the minimum.
+    #[error("the key is shorter than {MIN_KEY_LENGTH} bytes")]
     TooShort,
-    /// Its key is too long.
-    #[error("longer than {LONGEST_KEY} bytes")]
+    /// The key is longer than the maximum.
+    #[error("the key is longer than {MAX_KEY_LENGTH} bytes")]
     TooLong,
 }
 
-/// The key in a file that only its owner may read.
+/// Reads the key from a file to which only its owner has access.
 fn read_key(path: &Path) -> Result<Vec<u8>, KeyFault> {
     let file = File::open(path)?;
     let mode = file.metadata()?.mode() & 0o777;
@@ -138,14 +137,14 @@
         return Err(KeyFault::ReadableByOthers(mode));
     }
     let mut key = Vec::new();
-    file.take(LONGEST_KEY + 1).read_to_end(&mut key)?;
-    // An editor's line end is no part of the key.
+    file.take(MAX_KEY_LENGTH + 1).read_to_end(&mut key)?;
+    // Editors append a newline, which is not part of the key.
     while key.last().is_some_and(u8::is_ascii_whitespace) {
         key.pop();
     }
     match key.len() as u64 {
-        ..SHORTEST_KEY => Err(KeyFault::TooShort),
-        length if length > LONGEST_KEY => Err(KeyFault::TooLong),
+        ..MIN_KEY_LENGTH => Err(KeyFault::TooShort),
+        length if length > MAX_KEY_LENGTH => Err(KeyFault::TooLong),
         _ => Ok(key),
     }
 }
--- a/crates/server/src/operator/peers/tests.rs
+++ b/crates/server/src/operator/peers/tests.rs
@@ -1,19 +1,19 @@
-//! The reading of the key that schedulers share.
+//! Validation of the key file.
 
 use super::*;
 use std::os::unix::fs::PermissionsExt as _;
 
 #[test]
-fn a_key_that_others_can_read_or_that_is_none_is_rejected_with_its_place() {
+fn unusable_key_file_is_rejected_with_its_location() {
     let path = std::env::temp_dir().join(format!("oakshed-key-{}", std::process::id()));
     let text = r#"{"listen":"127.0.0.1:7000"}"#;
     let mut peers: Peers = serde_json::from_str(text).expect("defaults for the rest");
     assert_eq!(peers.key().expect("usable"), None);
     peers.key_file = Some(path.clone());
-    let rejects = |why: &str| {
-        let error = peers.key().expect_err(why).to_string();
+    let rejects = |reason: &str| {
+        let error = peers.key().expect_err(reason).to_string();
         assert!(
-            error.contains("/peers/key_file") && error.contains(why),
+            error.contains("/peers/key_file") && error.contains(reason),
             "{error}"
         );
     };
--- a/crates/server/src/operator/tests.rs
+++ b/crates/server/src/operator/tests.rs
@@ -1,33 +1,36 @@
-//! The operator's file: the committed one, its schema, and the faults that are reported.
+//! The committed operator's file and schema, and the reporting of faults.
 
 use super::*;
 
 #[test]
-fn the_committed_schema_is_that_of_the_types() {
+fn committed_schema_matches_the_types() {
     let committed = include_str!("../../../../deploy/oakshed.schema.json");
     assert!(
         committed == schema(),
-        "write it anew: oakshed schema > deploy/oakshed.schema.json"
+        "outdated schema; run: oakshed schema > deploy/oakshed.schema.json"
     );
 }
 
 #[test]
-fn the_committed_file_can_be_used_and_switches_nothing_on() {
+fn committed_file_is_valid_and_enables_nothing() {
     let text = include_str!("../../../../deploy/oakshed.json");
-    let operator = Operator::parse(text).expect("it can be used");
+    let operator = Operator::parse(text).expect("a valid file");
     assert_eq!(operator, Operator::default());
 }
 
 #[test]
-fn each_fault_is_reported_with_its_place() {
+fn each_fault_is_reported_with_its_location() {
     let faults = |text: &str| match Operator::parse(text).expect_err(text) {
         OperatorTextError::Values(faults) => faults.iter().map(ValueFault::to_string).collect(),
         error => vec![error.to_string()],
     };
-    let two = faults(r#"{"jobs":{"dir":"/x","lease_ms":"soon","max_open":0},"jbos":1}"#);
-    assert_eq!(two.len(), 3, "{two:?}");
-    for place in ["/jobs/lease_ms", "/jobs/max_open", "jbos"] {
-        assert!(two.iter().any(|f| f.contains(place)), "{place}: {two:?}");
+    let three = faults(r#"{"jobs":{"dir":"/x","lease_ms":"soon","max_open":0},"jbos":1}"#);
+    assert_eq!(three.len(), 3, "{three:?}");
+    for pointer in ["/jobs/lease_ms", "/jobs/max_open", "jbos"] {
+        assert!(
+            three.iter().any(|f| f.contains(pointer)),
+            "{pointer}: {three:?}"
+        );
     }
     for (text, expected) in [
         ("{", "line 1"),
@@ -63,14 +66,14 @@
             faults(text)
         );
     }
-    let read = Operator::parse(r#"{"jobs":{"dir":"/x"}}"#).expect("defaults for the rest");
-    assert_eq!(read.jobs.expect("on").lease_ms, 2_000);
+    let operator = Operator::parse(r#"{"jobs":{"dir":"/x"}}"#).expect("defaults for the rest");
+    assert_eq!(operator.jobs.expect("enabled").lease_ms, 2_000);
 }
 
 #[test]
-fn all_faults_stand_on_one_line_for_operators() {
+fn all_faults_of_a_file_are_reported_on_one_line() {
     let path = std::env::temp_dir().join(format!("oakshed-operator-{}.json", std::process::id()));
-    let name = path.to_str().expect("a path of text");
+    let name = path.to_str().expect("a UTF-8 path");
     let line = |text: &str| {
         std::fs::write(&path, text).expect("written");
         Operator::read(name).expect_err(text).to_string()
@@ -78,7 +81,7 @@
     for (text, expected) in [
         (
             r#"{"peers":{"listen":"0.0.0.0:7000","join":["127.0.0.1:7001","127.0.0.1:0"]}}"#,
-            "/peers/listen: others cannot reach 0.0.0.0:7000; /peers/join/1: others cannot reach 127.0.0.1:0",
+            "/peers/listen: other schedulers cannot reach 0.0.0.0:7000; /peers/join/1: other schedulers cannot reach 127.0.0.1:0",
         ),
         (
             r#"{"jobs":{"dir":"/x","lease_ms":"soon","max_open":0}}"#,
@@ -94,7 +97,9 @@
         assert_eq!(line(text), format!("operator file {name}: {expected}"));
     }
     std::fs::remove_file(&path).expect("removed");
-    let error = Operator::read(name).expect_err("it is gone").to_string();
+    let error = Operator::read(name)
+        .expect_err("a missing file")
+        .to_string();
     assert_eq!(
         error,
         format!("operator file {name}: No such file or directory (os error 2)")
