--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -1,9 +1,7 @@
-//! The configuration at the start: the ROUTER_* variables and the JSON file that one of
-//! them names.
+//! The configuration: the `ROUTER_*` environment variables and the JSON file that `ROUTER_CONFIG` names.
 //!
-//! It owns the reading and checking of both; the settings in the file are read by
-//! oakshed-wire, the same for both programs. It must never guess: a value that cannot be used is named in one line,
-//! and the program does not start.
+//! A variable takes precedence over the same value in the file. The `settings` in the file are parsed by oakshed-wire,
+//! the same way as in the other programs. With an invalid value, the program reports it in one line and does not start.
 
 mod error;
 
@@ -23,56 +21,56 @@
 use crate::list::Answer;
 use crate::operator::Operator;
 
-/// The fewest descriptors with which anything can be served.
-const LEAST_SOCKETS: usize = 64;
+/// The minimum limit on descriptors; with fewer, nothing can be served.
+const MIN_SOCKETS: usize = 64;
 
-/// The descriptors that are taken to be allowed where the file does not say.
+/// The limit on descriptors if the file does not set one.
 const DEFAULT_SOCKETS: usize = 1_024;
-/// The memory that is taken to be allowed where the file does not say.
+/// The memory limit if the file does not set one.
 const DEFAULT_MEMORY_MB: usize = 32;
-/// The least memory in which anything can be served, and the most that any machine has: what is larger
-/// is a mistake, and its bytes might not be a number here.
-const LEAST_MEMORY_MB: usize = 4;
-const MOST_MEMORY_MB: usize = 1 << 24;
-/// How much of the file is read: what goes on behind is cut off, and can't be used.
-const LARGEST_FILE: u64 = 4 << 20;
-/// The variable with discovery's address.
+/// The minimum memory limit; with less, nothing can be served.
+const MIN_MEMORY_MB: usize = 4;
+/// The maximum memory limit, which is more than any machine has. A larger value could overflow when converted to bytes.
+const MAX_MEMORY_MB: usize = 1 << 24;
+/// The most bytes that are read of the file. A longer one is cut off, which leaves invalid JSON.
+const MAX_FILE_SIZE: u64 = 4 << 20;
+/// The environment variable with discovery's address.
 pub(crate) const DISCOVERY: &str = "ROUTER_DISCOVERY";
-
-/// The variable with the operators' address.
+/// The environment variable with the operators' address.
 const ADMIN: &str = "ROUTER_ADMIN";
 
 /// The configuration of the program.
 #[derive(Debug)]
 pub struct Config {
-    /// The scheduler's name, the same after a restart.
+    /// The scheduler's name, which stays the same over restarts.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
     /// Discovery's address.
     pub discovery: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// The operators' address, if any.
     pub admin: Option<SocketAddr>,
-    /// A folder of its own that outlives a process, if there is one.
+    /// A private directory that outlives the process, if there is one.
     pub tmp: Option<PathBuf>,
-    /// For random numbers; new with each start.
+    /// The seed for random numbers, different at each start.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// The limit on open descriptors.
     pub sockets: usize,
-    /// Bytes of memory that it may use.
+    /// The memory limit, in bytes.
     pub memory: usize,
     /// The cached endpoint list, in discovery's form.
     pub known: Option<Answer>,
-    /// The settings of the decisions.
+    /// The settings of the scheduling decisions.
     pub settings: Settings,
-    /// Names of classes, tenants, zones and machine kinds.
+    /// The names of classes, tenants, zones and machine types.
     pub names: Rc<Names>,
-    /// What the operators have switched on.
+    /// The content of the operator's file.
     pub operator: Operator,
 }
 
+/// The file that `ROUTER_CONFIG` names.
 #[derive(Deserialize)]
-struct Form<'a> {
+struct ConfigFile<'a> {
     name: Option<String>,
     listen: Option<String>,
     discovery: Option<String>,
@@ -91,17 +89,16 @@
     memory_mb: Option<usize>,
 }
 
-/// The text of a file. Guards against a wrong one that does not fit into the memory: it would end the program
-/// at a reload.
+/// Reads a file, up to a limit: at a reload, a wrong file that is larger than the memory would end the process.
 fn read_file(path: &str) -> io::Result<String> {
     let mut text = String::new();
     File::open(path)?
-        .take(LARGEST_FILE)
+        .take(MAX_FILE_SIZE)
         .read_to_string(&mut text)?;
     Ok(text)
 }
 
-/// An address, of which a variable counts before the same value in the file.
+/// Parses an address, from the variable if it is set, and otherwise from the file.
 fn address(
     from_variable: Option<String>,
     in_file: Option<&String>,
@@ -119,26 +116,26 @@
 }
 
 impl Limits {
-    /// Descriptors that the process may hold.
+    /// The limit on open descriptors.
     fn sockets(&self) -> Result<usize, ConfigFault> {
         let sockets = self.sockets.unwrap_or(DEFAULT_SOCKETS);
-        if sockets < LEAST_SOCKETS {
+        if sockets < MIN_SOCKETS {
             return Err(ConfigFault::TooFewSockets(sockets));
         }
         Ok(sockets)
     }
 
-    /// Bytes of memory that the process may use.
+    /// The memory limit, in bytes.
     fn memory(&self) -> Result<usize, ConfigFault> {
         let memory = self.memory_mb.unwrap_or(DEFAULT_MEMORY_MB);
-        if !(LEAST_MEMORY_MB..=MOST_MEMORY_MB).contains(&memory) {
+        if !(MIN_MEMORY_MB..=MAX_MEMORY_MB).contains(&memory) {
             return Err(ConfigFault::MemoryOutOfRange(memory));
         }
         Ok(memory << 20)
     }
 }
 
-/// A class is the first part of a path: what cannot be one, or is another one, gets no request.
+/// Checks that every class name can be the first segment of a request's path, and is no reserved one.
 fn check_class_names(names: &Names, has_jobs: bool) -> Result<(), ConfigFault> {
     let is_reserved = |name: &str| name == "ready" || name == "jobs" && has_jobs;
     let is_segment = |name: &str| {
@@ -154,19 +151,20 @@
 }
 
 impl Config {
-    /// Reads the environment (`var` looks a variable up) and the file that it names. A variable
-    /// counts before the same value in the file. `operator` is the path of the operator's file.
+    /// Reads the environment, in which `var` looks a variable up, and the file that it names. `operator` is the path of
+    /// the operator's file.
     ///
     /// # Errors
     ///
-    /// One line that names the first value that is missing or cannot be used.
+    /// The first value that is missing or invalid.
     pub fn read(
         var: impl Fn(&str) -> Option<String>,
         operator: Option<&str>,
     ) -> Result<Config, ConfigError> {
         let path = var("ROUTER_CONFIG").ok_or(ConfigError::NoFile)?;
         let text = read_file(&path).map_err(|e| ConfigFileError::new(&path, e))?;
-        let file: Form = serde_json::from_str(&text).map_err(|e| ConfigFileError::new(&path, e))?;
+        let file: ConfigFile =
+            serde_json::from_str(&text).map_err(|e| ConfigFileError::new(&path, e))?;
         let in_file = |fault: ConfigFault| ConfigFileError::new(&path, fault);
         let admin = match (var(ADMIN), &file.admin) {
             (None, None) => None,
--- a/crates/server/src/config/error.rs
+++ b/crates/server/src/config/error.rs
@@ -1,36 +1,36 @@
-//! Why a configuration cannot be used.
+//! Errors in the configuration.
 
 use std::fmt;
 use std::io;
 
 use thiserror::Error;
 
-use super::{LEAST_MEMORY_MB, LEAST_SOCKETS, MOST_MEMORY_MB};
+use super::{MAX_MEMORY_MB, MIN_MEMORY_MB, MIN_SOCKETS};
 use crate::operator::OperatorFileError;
 
-/// Why a configuration cannot be used; the text is one line for operators.
+/// Why a configuration cannot be used. The text is a single line.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// No variable names the file.
+    /// `ROUTER_CONFIG` does not name a file.
     #[error("ROUTER_CONFIG is not set")]
     NoFile,
-    /// The file cannot be used.
+    /// The configuration file cannot be used.
     #[error(transparent)]
     File(#[from] ConfigFileError),
-    /// An address is given neither by its variable nor in the file.
-    #[error("neither {variable} nor '{field}' is given")]
+    /// An address is set neither by its variable nor in the file.
+    #[error("neither {variable} nor '{field}' is set")]
     NoAddress {
-        /// The variable that may give it.
+        /// The environment variable.
         variable: &'static str,
-        /// The field of the file that may give it.
+        /// The field of the file.
         field: &'static str,
     },
-    /// An address is not one.
+    /// A value is not an IP address and port.
     #[error("{name} is not an address and port: {value:?}")]
     NotAnAddress {
-        /// The variable or field that gave it.
+        /// The variable or field that has the value.
         name: &'static str,
-        /// What was given.
+        /// The value.
         value: String,
     },
     /// The operator's file cannot be used.
@@ -43,7 +43,7 @@
 pub struct ConfigFileError {
     /// The file's path.
     pub path: String,
-    /// What is wrong with it.
+    /// Why it cannot be used.
     pub fault: ConfigFault,
 }
 
@@ -69,37 +69,37 @@
     }
 }
 
-/// What is wrong with the file.
+/// Why the file that `ROUTER_CONFIG` names cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigFault {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// Its settings cannot be used.
+    /// The settings are invalid.
     #[error(transparent)]
     BootInfo(#[from] oakshed_wire::BootInfoError),
-    /// It is not JSON of this form.
+    /// The file is not JSON of the expected form.
     #[error(transparent)]
     Json(#[from] serde_json::Error),
-    /// It has no seed.
-    #[error("no 'seed'")]
+    /// The seed is missing.
+    #[error("'seed' is missing")]
     NoSeed,
-    /// Its seed is not hexadecimal.
+    /// The seed is not hexadecimal.
     #[error("'seed' is not a hexadecimal number")]
     UnusableSeed,
-    /// It allows too few descriptors.
-    #[error("limits.sockets {0} is under {LEAST_SOCKETS}")]
+    /// The limit on descriptors is below the minimum.
+    #[error("limits.sockets is {0}, below the minimum of {MIN_SOCKETS}")]
     TooFewSockets(usize),
-    /// It allows too little memory, or more than there can be.
-    #[error("limits.memory_mb {0} is not in {LEAST_MEMORY_MB} to {MOST_MEMORY_MB}")]
+    /// The limit on memory is out of range.
+    #[error("limits.memory_mb is {0}, not between {MIN_MEMORY_MB} and {MAX_MEMORY_MB}")]
     MemoryOutOfRange(usize),
-    /// It has no settings.
-    #[error("no 'settings'")]
+    /// The settings are missing.
+    #[error("'settings' is missing")]
     NoSettings,
-    /// The name of a class cannot be the first part of a path.
-    #[error("settings: categories: {0:?} cannot be a class's name")]
+    /// The name of a class cannot be the first segment of a path.
+    #[error("settings: categories: {0:?} cannot be used as the name of a class")]
     UnusableClassName(String),
-    /// Its endpoint list is malformed.
+    /// The cached endpoint list is malformed.
     #[error("known: {0}")]
     MalformedList(#[source] serde_json::Error),
 }
