--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,7 +1,8 @@
-//! The scheduler on real sockets: its inputs ([`config`], [`operator`], [`list`]) and how it serves ([`net`]).
+//! The network server around the scheduler: configuration ([`config`], [`operator`]), endpoint lists ([`list`]) and
+//! connections ([`net`]).
 //!
-//! Every decision on a request is made in oakshed-core; this crate carries decisions out, and reports what
-//! was seen. The order of its parts: `list` knows no other, `config` reads with it, `net` serves.
+//! All scheduling decisions are made in oakshed-core. This crate carries them out and reports the results back.
+//! `list` and `operator` depend on no other module, `config` depends on both, and `net` on all of these.
 #![warn(missing_docs)]
 
 pub mod config;
--- a/crates/server/src/list.rs
+++ b/crates/server/src/list.rs
@@ -1,7 +1,7 @@
-//! Discovery's list in its JSON form, as it comes over the network and in the configuration.
+//! Endpoint lists in the JSON form of discovery's answers and of the configuration.
 //!
-//! It owns that form and the meaning of its words. It must never let a malformed list in, nor read a
-//! state that it does not know as leave to send.
+//! A malformed list is rejected as a whole. A worker whose lifecycle state is unknown to this version is treated as
+//! leaving, so that no new requests are sent to it.
 
 #[cfg(test)]
 mod tests;
@@ -14,27 +14,27 @@
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-/// The state of an endpoint that is not in the list any more.
+/// The lifecycle state of a worker that has been removed from the list.
 const REMOVED: &str = "gone";
 
-/// An answer of discovery: the whole list, or what has changed.
+/// An answer of discovery: the whole list, or the entries that have changed.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Answer {
-    /// The list's number.
+    /// The number of the list.
     pub generation: u64,
     #[serde(default)]
-    /// The whole list, not only what has changed.
+    /// Whether this is the whole list.
     pub reset: bool,
-    /// The entries.
+    /// The entries, one for each worker.
     pub instances: Vec<Instance>,
 }
 
-/// One entry, as discovery words it.
+/// One entry of an answer, in discovery's form.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Instance {
     instance_id: Rc<str>,
-    /// Where it listens, as seen from here.
+    /// The address at which this scheduler reaches the worker.
     pub host_port: SocketAddr,
     #[serde(default)]
     zone: String,
@@ -50,11 +50,11 @@
 }
 
 impl Answer {
-    /// Reads an answer as a whole or not at all.
+    /// Parses an answer.
     ///
     /// # Errors
     ///
-    /// Where it is not JSON of this form.
+    /// The text is not JSON of the expected form, in any of its entries.
     pub fn parse(text: &[u8]) -> Result<Answer, serde_json::Error> {
         serde_json::from_slice(text)
     }
@@ -63,13 +63,13 @@
 /// How an answer changes the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// It is the whole list: what it does not name has left.
+    /// The answer is the whole list: workers that are not in it have left.
     Snapshot,
-    /// It names what has changed.
+    /// The answer has only the entries that have changed.
     Delta,
 }
 
-/// The endpoint list as it stands.
+/// The current endpoint list.
 #[derive(Debug, Default)]
 pub struct EndpointList {
     generation: u64,
@@ -93,13 +93,13 @@
         }
     }
 
-    /// The entry of one worker, where the list has it.
+    /// The entry of a worker, if it is listed.
     #[must_use]
     pub fn find(&self, worker: &str) -> Option<&Instance> {
         self.instances.get(worker)
     }
 
-    /// The list, in discovery's form; nothing where it is empty.
+    /// The list in discovery's form; `None` if it is empty.
     #[must_use]
     pub fn snapshot(&self) -> Option<Answer> {
         if self.instances.is_empty() {
@@ -108,7 +108,7 @@
         Some(self.to_answer())
     }
 
-    /// The list, be it empty, in discovery's form.
+    /// The list in discovery's form, even if it is empty.
     #[must_use]
     pub fn to_answer(&self) -> Answer {
         let instances = self.instances.values().cloned().collect();
@@ -121,10 +121,10 @@
 }
 
 impl Instance {
-    /// The entry with its names resolved to the settings' places.
+    /// Converts to an entry in which names are replaced by their indices in the settings.
     #[must_use]
     pub fn entry(&self, names: &Names) -> Entry {
-        let place = |names: &[String], name: &str| {
+        let index_of = |names: &[String], name: &str| {
             names
                 .iter()
                 .position(|n| n == name)
@@ -132,14 +132,14 @@
         };
         Entry {
             worker: self.instance_id.clone(),
-            zone: place(&names.zones, &self.zone),
-            kind: place(&names.kinds, &self.machine_type),
+            zone: index_of(&names.zones, &self.zone),
+            kind: index_of(&names.kinds, &self.machine_type),
             cell: self.cell,
             weight: self.weight.unwrap_or(1.0),
             condition: match self.lifecycle.as_str() {
                 "ready" => Condition::Active,
                 REMOVED => Condition::Left,
-                // Draining, or a state of a later version: nothing new goes there.
+                // Draining, or a state that a later version has added: no new requests.
                 _ => Condition::Leaving,
             },
             online_since: oakshed_wire::micros(self.started_at_ms),
--- a/crates/server/src/list/tests.rs
+++ b/crates/server/src/list/tests.rs
@@ -1,4 +1,4 @@
-//! What the list's weights come to. It must never open a socket.
+//! Parsing and serialization of workers' weights.
 
 use oakshed_core::facade::Entry;
 use oakshed_wire::Names;
@@ -13,11 +13,11 @@
         .collect()
 }
 
-/// Guards against a list that is refused as a whole for a weight that is none, and against weights that are lost on
-/// the way to the module, or to the process that takes this one's place.
+/// Guards against a list that is rejected as a whole because of one invalid weight, and against weights that are lost on
+/// the way to the scheduler or, in a hot restart, to the successor.
 #[test]
-fn weights_are_read_and_passed_on_and_what_is_none_counts_as_one() {
-    let one = |n: u32, weight: &str| {
+fn weights_survive_serialization_and_invalid_ones_count_as_one() {
+    let instance = |n: u32, weight: &str| {
         format!(
             r#"{{"instanceId":"s-{n}","hostPort":"10.0.0.1:9000","lifecycle":"ready"{weight}}}"#
         )
@@ -32,7 +32,7 @@
     let instances: Vec<String> = weights
         .iter()
         .enumerate()
-        .map(|(n, w)| one(n as u32, w))
+        .map(|(n, w)| instance(n as u32, w))
         .collect();
     let text = format!(
         r#"{{"generation":4,"reset":true,"instances":[{}]}}"#,
@@ -45,10 +45,10 @@
     let mut list = EndpointList::default();
     list.apply(&answer, UpdateKind::Snapshot);
     let text = serde_json::to_string(&list.snapshot().expect("a list")).expect("JSON");
-    let again = Answer::parse(text.as_bytes()).expect("the list as it was passed on");
+    let again = Answer::parse(text.as_bytes()).expect("the serialized list");
     let first = entries(&again)
         .into_iter()
         .find(|e| &*e.worker == "s-0")
-        .expect("it was listed");
+        .expect("an entry for s-0");
     assert_eq!(first.weight, 2.5);
 }
