--- a/crates/server/src/logging.rs
+++ b/crates/server/src/logging.rs
@@ -1,8 +1,8 @@
-//! The log: structured events to standard error, as text or as JSON.
+//! Logging: structured events on standard error, as text or JSON.
 //!
-//! It owns the two forms. Text is one line an event, `oakshed:` and the message, without a time (the
-//! collector has its own); JSON holds the time, the level, the message and the event's fields. It must
-//! never end the program where nobody reads the log any more.
+//! A text line is `oakshed:` and the message, without a timestamp, which the log collector adds. A JSON line has the
+//! time, the level, the message and the fields of the event. A closed standard error loses events, and never ends the
+//! program.
 
 use std::fmt;
 use std::str::FromStr;
@@ -14,17 +14,17 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// In which form events are written.
+/// The format of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
-    /// `oakshed:` and the message.
+    /// One line for each event: `oakshed:` and the message.
     #[default]
     Text,
-    /// One JSON object an event.
+    /// One JSON object for each event.
     Json,
 }
 
-/// The name of a form of the log that there is not.
+/// The name of an unknown log format.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("'{0}' is neither text nor json")]
 pub struct UnknownFormat(String);
@@ -41,12 +41,12 @@
     }
 }
 
-struct Plain;
+struct TextFormat;
 
-/// Writes an event's message, and leaves out its fields: what they hold is in the words.
-struct Message<'a>(Writer<'a>, fmt::Result);
+/// Writes the message of an event without its fields, whose values the message contains already.
+struct MessageVisitor<'a>(Writer<'a>, fmt::Result);
 
-impl Visit for Message<'_> {
+impl Visit for MessageVisitor<'_> {
     fn record_debug(&mut self, field: &Field, value: &dyn fmt::Debug) {
         if field.name() == "message" {
             self.1 = write!(self.0, "oakshed: {value:?}");
@@ -55,32 +55,37 @@
 }
 
 impl<S: Subscriber + for<'a> LookupSpan<'a>, N: for<'a> FormatFields<'a> + 'static>
-    FormatEvent<S, N> for Plain
+    FormatEvent<S, N> for TextFormat
 {
     fn format_event(
         &self,
         _: &FmtContext<'_, S, N>,
-        mut to: Writer<'_>,
+        mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        let mut message = Message(to.by_ref(), Ok(()));
-        event.record(&mut message);
-        message.1?;
-        writeln!(to)
+        let mut visitor = MessageVisitor(writer.by_ref(), Ok(()));
+        event.record(&mut visitor);
+        visitor.1?;
+        writeln!(writer)
     }
 }
 
-/// Sends all events from here on to standard error. A second call does nothing.
-pub fn start(format: Format) {
-    // `log_internal_errors` would tell of a log that cannot be written by `eprintln!`, which ends the
-    // program for the same cause.
-    let to = tracing_subscriber::fmt()
+/// Starts logging to standard error. A second call has no effect.
+pub fn init(format: Format) {
+    // With `log_internal_errors`, a failed write to standard error would be reported by `eprintln!`, which then panics.
+    let builder = tracing_subscriber::fmt()
         .with_writer(std::io::stderr)
         .log_internal_errors(false);
     _ = match format {
-        Format::Text => tracing::subscriber::set_global_default(to.event_format(Plain).finish()),
+        Format::Text => {
+            tracing::subscriber::set_global_default(builder.event_format(TextFormat).finish())
+        }
         Format::Json => tracing::subscriber::set_global_default(
-            to.json().flatten_event(true).with_target(false).finish(),
+            builder
+                .json()
+                .flatten_event(true)
+                .with_target(false)
+                .finish(),
         ),
     };
 }
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,7 +1,7 @@
-//! The command line of oakshed.
+//! The command line of `oakshed`: subcommands and exit status.
 //!
-//! It owns the sub-commands and the exit status: 0 after a stop in order, 1 where the program
-//! cannot start or go on. It must never hold anything that serving needs.
+//! The exit status is 0 after a command has succeeded or the server has shut down in order, and 1 after an error. The
+//! server itself is in the library crate.
 
 use std::io::{self, Write as _};
 use std::process::ExitCode;
@@ -16,7 +16,7 @@
 mod demo;
 mod jobs_cli;
 
-/// A scheduler that hands registration jobs to workers in tiers.
+/// Scheduler for registration jobs on tiers of workers.
 #[derive(FromArgs)]
 struct Args {
     #[argh(subcommand)]
@@ -34,46 +34,46 @@
     Version(Version),
 }
 
-/// serve until SIGTERM, as the ROUTER_* variables say
+/// serve until SIGTERM, configured by the ROUTER_* variables
 #[derive(FromArgs)]
 #[argh(subcommand, name = "serve")]
 struct Serve {
-    /// the operator's file; without it, all that it could switch on is off
+    /// the operator's file, which enables optional features; without it, all of them are off
     #[argh(option)]
     operator: Option<String>,
-    /// form of the log: text or json
+    /// log format: text or json
     #[argh(option, default = "Format::Text")]
     log_format: Format,
 }
 
-/// read the ROUTER_* variables and the file, say what they hold, and end
+/// validate the ROUTER_* variables and the configuration file, and print a summary
 #[derive(FromArgs)]
 #[argh(subcommand, name = "check")]
 struct Check {
-    /// the operator's file, which is checked too; alone where ROUTER_CONFIG is not set
+    /// also validate this operator's file; only this file if ROUTER_CONFIG is not set
     #[argh(option)]
     operator: Option<String>,
 }
 
-/// print the schema of the operator's file
+/// print the JSON schema of the operator's file
 #[derive(FromArgs)]
 #[argh(subcommand, name = "schema")]
 struct Schema {}
 
-/// start stand-ins and a scheduler on loopback, send jobs, and leave it running until Ctrl-C
+/// start simulated workers and a scheduler on loopback, send jobs, and keep running until Ctrl-C
 #[derive(FromArgs)]
 #[argh(subcommand, name = "demo")]
 struct Demo {
-    /// jobs to send
+    /// number of jobs to send
     #[argh(option, default = "400")]
     jobs: usize,
-    /// jobs a second
+    /// jobs per second
     #[argh(option, default = "200")]
     rate: u32,
-    /// end after these
+    /// exit after sending the jobs
     #[argh(switch)]
     once: bool,
-    /// a new directory for durable jobs, which is removed at the end
+    /// a new directory for durable jobs; removed on exit
     #[argh(option)]
     store: Option<String>,
 }
@@ -83,7 +83,7 @@
 #[argh(subcommand, name = "version")]
 struct Version {}
 
-/// Why a command failed; the text is one line for operators.
+/// Why a command failed. The text is a single line.
 #[derive(Debug, Error)]
 enum CommandError {
     #[error(transparent)]
@@ -96,7 +96,7 @@
     Jobs(#[from] jobs_cli::JobsCommandError),
     #[error(transparent)]
     Demo(#[from] demo::DemoError),
-    /// The runtime cannot be built.
+    /// The async runtime could not be created.
     #[error(transparent)]
     Runtime(#[from] io::Error),
 }
@@ -123,45 +123,45 @@
             operator,
             log_format,
         }) => {
-            logging::start(log_format);
-            config(operator.as_deref()).and_then(serve)
+            logging::init(log_format);
+            read_config(operator.as_deref()).and_then(serve)
         }
     };
     match outcome {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            // The one line that also comes where the log was never started.
+            // Not an event, as logging has not been initialized in every command.
             _ = writeln!(std::io::stderr(), "oakshed: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn config(operator: Option<&str>) -> Result<Config, CommandError> {
+fn read_config(operator: Option<&str>) -> Result<Config, CommandError> {
     let config = Config::read(|name| std::env::var(name).ok(), operator)?;
     Ok(config)
 }
 
 fn check(operator: Option<&str>) -> Result<(), CommandError> {
     if let Some(path) = operator {
-        let read = Operator::read(path)?;
+        let settings = Operator::read(path)?;
         println!(
             "operator file {path}: durable jobs {}",
-            if read.jobs.is_some() { "on" } else { "off" }
+            if settings.jobs.is_some() { "on" } else { "off" }
         );
         if std::env::var_os("ROUTER_CONFIG").is_none() {
             return Ok(());
         }
     }
-    let c = config(operator)?;
+    let config = read_config(operator)?;
     println!(
         "{}: listens on {}, discovery {}, {} classes, {} tenants, {} sockets",
-        c.name,
-        c.listen,
-        c.discovery,
-        c.names.classes.len(),
-        c.names.tenants.len(),
-        c.sockets
+        config.name,
+        config.listen,
+        config.discovery,
+        config.names.classes.len(),
+        config.names.tenants.len(),
+        config.sockets
     );
     Ok(())
 }
