--- a/crates/server/src/jobs_cli.rs
+++ b/crates/server/src/jobs_cli.rs
@@ -1,7 +1,7 @@
-//! `oakshed jobs`: queries of a store of durable jobs, and the settlement of indeterminate ones.
+//! `oakshed jobs`: inspection of a store of durable jobs, and the settlement of jobs in doubt.
 //!
-//! It owns the forms in which these are printed. It must never change a store that a process serves
-//! from: what is to be settled is left for that process to take.
+//! The log of a store that a scheduler uses is never modified: a settlement is then written to a separate file, which
+//! that scheduler picks up.
 
 mod error;
 
@@ -17,7 +17,7 @@
 
 pub use error::JobsCommandError;
 
-/// look into a store of durable jobs, or settle one in doubt
+/// inspect a store of durable jobs, or settle a job in doubt
 #[derive(FromArgs)]
 #[argh(subcommand, name = "jobs")]
 pub struct Args {
@@ -44,30 +44,30 @@
     /// only those in doubt
     #[argh(switch)]
     in_doubt: bool,
-    /// as JSON lines
+    /// print JSON lines
     #[argh(switch)]
     json: bool,
 }
 
-/// say whether a job in doubt ran
+/// settle a job in doubt by specifying whether it ran
 #[derive(FromArgs)]
 #[argh(subcommand, name = "settle")]
 struct Settle {
     /// the store's directory
     #[argh(option)]
     dir: PathBuf,
-    /// it ran
+    /// the job ran
     #[argh(switch)]
     ran: bool,
-    /// it never ran
+    /// the job never ran
     #[argh(switch)]
     never: bool,
-    /// the job: 32 hexadecimal digits
+    /// id of the job: 32 hexadecimal digits
     #[argh(positional)]
     id: JobId,
 }
 
-/// read the whole store and tell what is damaged; the status is 1 where anything is
+/// read the whole store and report damage; the exit status is 1 if there is any
 #[derive(FromArgs)]
 #[argh(subcommand, name = "verify")]
 struct Verify {
@@ -76,7 +76,7 @@
     dir: PathBuf,
 }
 
-/// print every record that can be read, as JSON lines
+/// print all readable records as JSON lines
 #[derive(FromArgs)]
 #[argh(subcommand, name = "export")]
 struct Export {
@@ -85,7 +85,7 @@
     dir: PathBuf,
 }
 
-/// Carries the command out.
+/// Runs a subcommand.
 pub fn run(args: Args) -> Result<(), JobsCommandError> {
     match args.command {
         Command::List(List {
@@ -118,7 +118,8 @@
     }
 }
 
-fn read(dir: &Path) -> Result<(Recovered, Vec<LogError>), JobsCommandError> {
+/// Reads a store without modifying it; the second value is the damage found.
+fn read_store(dir: &Path) -> Result<(Recovered, Vec<LogError>), JobsCommandError> {
     let disk = Disk::open_read_only(dir).map_err(directory_error(dir))?;
     read_all(&disk).map_err(store_error(dir))
 }
@@ -129,8 +130,8 @@
     now.map_or(0, |d| d.as_micros() as u64)
 }
 
-/// The machine as a start would make it; nothing is bounded, as nothing is taken on.
-fn machine(recovered: Recovered, next: u64) -> Jobs {
+/// Restores the jobs as a start of the scheduler does. Without limits on their number, as no new ones are accepted.
+fn restore(recovered: Recovered, next: u64) -> Jobs {
     let limits = Limits {
         leases: true,
         lease: 1,
@@ -150,12 +151,12 @@
 }
 
 fn list(dir: &Path, in_doubt: bool, json: bool) -> Result<(), JobsCommandError> {
-    let (recovered, damage) = read(dir)?;
+    let (recovered, damage) = read_store(dir)?;
     for fault in &damage {
         eprintln!("oakshed: {fault}");
     }
     let next = recovered.records.last().map_or(1, |(n, _)| n + 1);
-    let jobs = machine(recovered, next);
+    let jobs = restore(recovered, next);
     let open = if in_doubt { Vec::new() } else { jobs.open() };
     for id in open.into_iter().chain(jobs.indeterminate()) {
         let Some(View {
@@ -168,17 +169,20 @@
             continue;
         };
         let state = if answer.is_some() { "in doubt" } else { "open" };
-        let at: Vec<String> = indeterminate
+        let leases: Vec<String> = indeterminate
             .iter()
-            .map(|l| format!("{} (token {})", l.worker, l.token))
+            .map(|lease| format!("{} (token {})", lease.worker, lease.token))
             .collect();
         if json {
             println!(
                 "{}",
-                json!({"id": id.to_string(), "state": state, "attempts": attempts, "at": at})
+                json!({"id": id.to_string(), "state": state, "attempts": attempts, "at": leases})
             );
         } else {
-            println!("{id}  {state:8}  {attempts} attempts  {}", at.join(", "));
+            println!(
+                "{id}  {state:8}  {attempts} attempts  {}",
+                leases.join(", ")
+            );
         }
     }
     Ok(())
@@ -193,15 +197,15 @@
     let Ok(disk) = Disk::lock(dir) else {
         let path = disk::write_settlement(dir, id, outcome).map_err(directory_error(dir))?;
         println!(
-            "left for the process that uses the directory: {}",
+            "settlement left for the process that uses the store: {}",
             path.display()
         );
         return Ok(());
     };
-    // No process uses it: the settlement is written here and now.
+    // No process uses the store: the settlement is appended to its log directly.
     let (mut log, recovered) = Log::open(disk, 1 << 20).map_err(store_error(dir))?;
     let next = log.next();
-    let mut jobs = machine(recovered, next);
+    let mut jobs = restore(recovered, next);
     if !jobs.settle(now(), id, outcome) {
         return Err(JobsCommandError::NotInDoubt(id));
     }
@@ -213,7 +217,7 @@
 }
 
 fn verify(dir: &Path) -> Result<(), JobsCommandError> {
-    let (recovered, damage) = read(dir)?;
+    let (recovered, damage) = read_store(dir)?;
     if let Some(TornTail { file, offset }) = &recovered.torn_tail {
         println!(
             "{file} ends in a torn write at offset {offset}; a start cuts it, and nothing is lost"
@@ -227,12 +231,12 @@
 }
 
 fn export(dir: &Path) -> Result<(), JobsCommandError> {
-    let (recovered, damage) = read(dir)?;
+    let (recovered, damage) = read_store(dir)?;
     for fault in &damage {
         eprintln!("oakshed: {fault}");
     }
     for (number, record) in &recovered.records {
-        let mut line = printed(record);
+        let mut line = record_json(record);
         line["n"] = json!(number);
         println!("{line}");
     }
@@ -243,8 +247,8 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// A record as it is printed, without its number.
-fn printed(record: &Record) -> Value {
+/// The JSON form of a record, without its number.
+fn record_json(record: &Record) -> Value {
     match record {
         Record::Opened { at, wall, .. } => json!({"what": "opened", "at_us": at, "wall_us": wall}),
         Record::Accepted {
@@ -280,7 +284,7 @@
             outcome,
             ..
         } => {
-            let (kind, result) = printed_answer(answer);
+            let (kind, result) = answer_text(answer);
             json!({
                 "what": "finished", "id": id.to_string(), "at_us": at, "answer": kind,
                 "result": result, "doubt": indeterminate, "outcome": outcome.map(|o| format!("{o:?}")),
@@ -290,8 +294,8 @@
     }
 }
 
-/// The kind of an answer, and its result where there is one.
-fn printed_answer(answer: &Answer) -> (&'static str, Option<String>) {
+/// The name of an answer's kind, and the result if there is one.
+fn answer_text(answer: &Answer) -> (&'static str, Option<String>) {
     match answer {
         Answer::Served(result) => ("served", Some(text(result))),
         Answer::Failed => ("failed", None),
