--- a/crates/core/src/names.rs
+++ b/crates/core/src/names.rs
@@ -7,7 +7,7 @@
 
 /// Returns the 64-bit FNV-1a hash of a name.
 #[must_use]
-pub fn number_of(name: &str) -> u64 {
+pub fn hash_name(name: &str) -> u64 {
     let step = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(0x0000_0100_0000_01b3);
     name.as_bytes().iter().fold(0xcbf2_9ce4_8422_2325, step)
 }
@@ -15,5 +15,5 @@
 /// Returns the id of the worker with this name.
 #[must_use]
 pub fn worker_id(name: &str) -> WorkerId {
-    WorkerId(number_of(name))
+    WorkerId(hash_name(name))
 }
--- a/crates/server/src/net/front/request.rs
+++ b/crates/server/src/net/front/request.rs
@@ -193,7 +193,7 @@
     if segments.next().is_some() {
         return Err(RequestError::UnknownPath);
     }
-    Ok((class, key.map(names::number_of)))
+    Ok((class, key.map(names::hash_name)))
 }
 
 /// Validates `Req-Kind`, `Req-Id` and `Idempotency-Key`; returns the id.
--- a/crates/server/src/net/hot_restart/fingerprint.rs
+++ b/crates/server/src/net/hot_restart/fingerprint.rs
@@ -5,14 +5,14 @@
 
 use std::net::SocketAddr;
 
-use oakshed_core::names::number_of;
+use oakshed_core::names::hash_name;
 
 use crate::config::Config;
 
 /// Stands for settings and discovery's address. Prevents another customer's figures and workers from being taken over:
 /// a list whose number this one's discovery has reached too would be believed for good.
 pub(super) fn configuration_fingerprint(config: &Config, discovery: SocketAddr) -> u64 {
-    number_of(&format!(
+    hash_name(&format!(
         "{discovery} {} {:?}",
         config.settings.fingerprint_form(),
         config.names
