--- a/crates/core/src/facade/mod.rs
+++ b/crates/core/src/facade/mod.rs
@@ -30,7 +30,9 @@
 use crate::Scheduler;
 use open_request::OpenRequest;
 pub use tally::Tally;
-pub use types::{Due, Entry, Handle, HandoverState, Seen, Step, WarmingWorker, WorkerBackoff};
+pub use types::{
+    Due, Entry, Handle, HandoverState, Observation, Step, WarmingWorker, WorkerBackoff,
+};
 
 /// One scheduler behind `take`, `pick`, `report` and `tick`.
 pub struct Facade {
--- a/crates/core/src/facade/observations.rs
+++ b/crates/core/src/facade/observations.rs
@@ -3,7 +3,7 @@
 //! Also stores the names of listed workers, because the scheduler knows workers only by number. The end of an
 //! attempt must reach the scheduler only once.
 
-use super::{Entry, Facade, Handle, Seen, Step};
+use super::{Entry, Facade, Handle, Observation, Step};
 use crate::interface::{Ending, Event, ListKind, Micros, Report, Row};
 use crate::names::worker_id;
 
@@ -12,29 +12,29 @@
 
 impl Facade {
     /// Passes an observation to the scheduler and carries out the resulting actions.
-    pub fn report(&mut self, now: Micros, seen: Seen<'_>) {
-        match seen {
+    pub fn report(&mut self, now: Micros, observation: Observation<'_>) {
+        match observation {
             // Does not dispatch: the first poll of discovery must not be scheduled before the cached list is known.
-            Seen::WallClock(wall) => self.scheduler.on_event(now, Event::WallClock { wall }),
-            Seen::List(kind, entries) => self.on_list(now, kind, entries),
-            Seen::Started(request, attempt) => {
+            Observation::WallClock(wall) => self.scheduler.on_event(now, Event::WallClock { wall }),
+            Observation::List(kind, entries) => self.on_list(now, kind, entries),
+            Observation::Started(request, attempt) => {
                 let (id, attempt) = (request.id(), attempt as u32);
                 self.feed(now, Event::Started { id, attempt });
             }
-            Seen::Progress(request, attempt) => {
+            Observation::Progress(request, attempt) => {
                 let (id, attempt) = (request.id(), attempt as u32);
                 self.feed(now, Event::Progress { id, attempt });
             }
-            Seen::Ended(request, attempt, ending, report) => {
+            Observation::Ended(request, attempt, ending, report) => {
                 self.on_ended(now, request, attempt, ending, report);
             }
-            Seen::Probed(worker, true, report) => {
+            Observation::Probed(worker, true, report) => {
                 self.on_probed(now, worker, Ending::Delivered, report);
             }
-            Seen::Probed(worker, false, report) => {
+            Observation::Probed(worker, false, report) => {
                 self.on_probed(now, worker, Ending::DialFailed, report);
             }
-            Seen::NotProbed(worker) => self.on_probed(now, worker, Ending::LocalFault, None),
+            Observation::NotProbed(worker) => self.on_probed(now, worker, Ending::LocalFault, None),
         }
     }
 
--- a/crates/core/src/facade/types.rs
+++ b/crates/core/src/facade/types.rs
@@ -49,7 +49,7 @@
 
 /// An observation to report to the scheduler.
 #[derive(Clone, Copy, Debug)]
-pub enum Seen<'a> {
+pub enum Observation<'a> {
     /// The current wall-clock time, by which the endpoint list stamps worker starts.
     WallClock(Micros),
     /// The endpoint list or a change to it; no entries if the poll failed.
--- a/crates/core/tests/first_poll.rs
+++ b/crates/core/tests/first_poll.rs
@@ -2,7 +2,7 @@
 
 use std::task::Waker;
 
-use oakshed_core::facade::{Condition, Entry, Facade, ListKind, Micros, Seen, Settings};
+use oakshed_core::facade::{Condition, Entry, Facade, ListKind, Micros, Observation, Settings};
 use oakshed_core::interface::{Class, Effect, Scope, Span};
 
 const START: Micros = 1_700_000_000_000_000;
@@ -51,8 +51,11 @@
 fn the_wall_clock_before_a_cached_list_does_not_delay_the_first_poll() {
     for seed in 0..50 {
         let mut facade = Facade::new(settings(), seed).expect("usable settings");
-        facade.report(START, Seen::WallClock(START));
-        facade.report(START, Seen::List(ListKind::Cached, &[cached_worker()]));
+        facade.report(START, Observation::WallClock(START));
+        facade.report(
+            START,
+            Observation::List(ListKind::Cached, &[cached_worker()]),
+        );
         let due = facade.tick(START, Waker::noop());
         let first_poll = due.next.expect("a poll is planned");
         assert!(
--- a/crates/core/tests/model/main.rs
+++ b/crates/core/tests/model/main.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::task::Waker;
 
-use oakshed_core::facade::{Accounts, Ending, Facade, Micros, Report, Seen};
+use oakshed_core::facade::{Accounts, Ending, Facade, Micros, Observation, Report};
 use oakshed_core::figures::End;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -137,7 +137,7 @@
     let name: Rc<str> = "s-0".into();
     world.facade.report(
         world.now,
-        Seen::Probed(&name, true, Some(Report::default())),
+        Observation::Probed(&name, true, Some(Report::default())),
     );
     world.step(Step::Take(0, 5_000));
     world.step(Step::End(0, 0));
--- a/crates/core/tests/model/world.rs
+++ b/crates/core/tests/model/world.rs
@@ -6,7 +6,7 @@
 use std::task::{Poll, Waker};
 
 use oakshed_core::facade::{
-    self, Condition, Ending, Entry, Facade, Handle, Job, ListKind, Micros, Seen, Settings,
+    self, Condition, Ending, Entry, Facade, Handle, Job, ListKind, Micros, Observation, Settings,
 };
 use oakshed_core::figures::{End, Ledger};
 use oakshed_core::interface::{Class, Effect, Scope, Span};
@@ -77,7 +77,7 @@
         let all: Vec<Entry> = (0..4).map(|b| world.entry(b)).collect();
         world
             .facade
-            .report(world.now, Seen::List(ListKind::Cached, &all));
+            .report(world.now, Observation::List(ListKind::Cached, &all));
         world.settle();
         world
     }
@@ -208,11 +208,11 @@
     fn end(&mut self, request: Handle, attempt: usize, ending: Ending) {
         self.requests.get_mut(&request).expect("known").attempts[attempt].ended = Some(ending);
         self.facade
-            .report(self.now, Seen::Ended(request, attempt, ending, None));
+            .report(self.now, Observation::Ended(request, attempt, ending, None));
         // A second word on the same attempt, as when it ends while it is dropped, changes nothing.
         self.facade.report(
             self.now,
-            Seen::Ended(request, attempt, Ending::Dropped, None),
+            Observation::Ended(request, attempt, Ending::Dropped, None),
         );
     }
 
@@ -265,7 +265,7 @@
             Step::Snapshot(mask, anew) => self.list_all(mask, anew),
             Step::Exclude(worker, is_excluded) => self.exclude(worker, is_excluded),
             Step::Failed => {
-                let failure = Seen::List(ListKind::Failed, &[]);
+                let failure = Observation::List(ListKind::Failed, &[]);
                 self.facade.report(self.now, failure);
             }
         }
@@ -311,8 +311,10 @@
     fn start(&mut self, pick: usize) {
         if let Some((request, attempt)) = self.open_attempt(pick) {
             let now = self.now;
-            self.facade.report(now, Seen::Started(request, attempt));
-            self.facade.report(now, Seen::Progress(request, attempt));
+            self.facade
+                .report(now, Observation::Started(request, attempt));
+            self.facade
+                .report(now, Observation::Progress(request, attempt));
         }
     }
 
@@ -329,7 +331,7 @@
         self.ready[worker] = ready;
         let entry = self.entry(worker);
         self.facade
-            .report(self.now, Seen::List(ListKind::Delta, &[entry]));
+            .report(self.now, Observation::List(ListKind::Delta, &[entry]));
     }
 
     fn list_all(&mut self, mask: u8, anew: bool) {
@@ -342,7 +344,7 @@
             .map(|b| self.entry(b))
             .collect();
         self.facade
-            .report(self.now, Seen::List(ListKind::Snapshot, &listed));
+            .report(self.now, Observation::List(ListKind::Snapshot, &listed));
     }
 
     fn exclude(&mut self, worker: usize, is_excluded: bool) {
--- a/crates/jobs/src/machine/attempts.rs
+++ b/crates/jobs/src/machine/attempts.rs
@@ -5,7 +5,9 @@
 
 use std::rc::Rc;
 
-use oakshed_core::facade::{Earlier, Ending, Facade, Job as JobRequest, Micros, Report, Seen};
+use oakshed_core::facade::{
+    Earlier, Ending, Facade, Job as JobRequest, Micros, Observation, Report,
+};
 
 use super::job::{Attempt, AttemptState, Job, Stage};
 use super::{Effect, Jobs, Pending};
@@ -222,7 +224,7 @@
         attempt.state = state;
         attempt.fence_at = now;
         if let (Some(request), Some(number)) = (request, attempt.number) {
-            facade.report(now, Seen::Ended(request, number, ending, load));
+            facade.report(now, Observation::Ended(request, number, ending, load));
         } else {
             self.process_due(id, facade);
         }
@@ -249,7 +251,7 @@
             attempt.result = Some(result);
             facade.report(
                 self.now,
-                Seen::Ended(request, number, Ending::Delivered, load),
+                Observation::Ended(request, number, Ending::Delivered, load),
             );
         } else {
             self.finish(id, Answer::Served(result), facade);
--- a/crates/jobs/src/machine/ends.rs
+++ b/crates/jobs/src/machine/ends.rs
@@ -2,7 +2,7 @@
 //!
 //! It owns the step from open to finished, and gives no job a second final answer.
 
-use oakshed_core::facade::{Ending, Facade, Seen};
+use oakshed_core::facade::{Ending, Facade, Observation};
 
 use super::clients::settled_state;
 use super::job::{size_of, AttemptState, Stage};
@@ -33,7 +33,7 @@
                 } else {
                     Ending::Unused
                 };
-                facade.report(now, Seen::Ended(request, number, ending, None));
+                facade.report(now, Observation::Ended(request, number, ending, None));
             }
         }
         if request.is_none() {
@@ -99,7 +99,7 @@
             if let Some(number) = attempt.number {
                 facade.report(
                     self.now,
-                    Seen::Ended(request, number, Ending::Revoked, None),
+                    Observation::Ended(request, number, Ending::Revoked, None),
                 );
             }
         }
--- a/crates/jobs/src/machine/mod.rs
+++ b/crates/jobs/src/machine/mod.rs
@@ -24,7 +24,7 @@
 use std::sync::{Arc, Mutex};
 use std::task::{Poll, Wake, Waker};
 
-use oakshed_core::facade::{Ending, Facade, Handle, Micros, Seen, Step};
+use oakshed_core::facade::{Ending, Facade, Handle, Micros, Observation, Step};
 use rustc_hash::FxHashMap;
 
 use crate::record::{Answer, JobId, JobPayload, Record};
@@ -277,7 +277,7 @@
                 }
                 facade.report(
                     self.now,
-                    Seen::Ended(request, attempt, Ending::Revoked, None),
+                    Observation::Ended(request, attempt, Ending::Revoked, None),
                 );
             }
         }
--- a/crates/jobs/src/machine/network.rs
+++ b/crates/jobs/src/machine/network.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use oakshed_core::facade::{Ending, Facade, Micros, Report, Seen};
+use oakshed_core::facade::{Ending, Facade, Micros, Observation, Report};
 
 use super::job::{Attempt, AttemptState, Stage, FIRST_FENCE_INTERVAL};
 use super::{Effect, End, FenceReply, FenceStatus, Jobs, Pending};
@@ -98,9 +98,9 @@
         attempt.fence_interval = FIRST_FENCE_INTERVAL;
         if let (Some(request), Some(number)) = (request, attempt.number) {
             let seen = if started {
-                Seen::Started(request, number)
+                Observation::Started(request, number)
             } else {
-                Seen::Progress(request, number)
+                Observation::Progress(request, number)
             };
             facade.report(now, seen);
         }
--- a/crates/jobs/tests/world/faults.rs
+++ b/crates/jobs/tests/world/faults.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use oakshed_core::facade::{Condition, Entry, ListKind, Seen as SchedulerEvent};
+use oakshed_core::facade::{Condition, Entry, ListKind, Observation as SchedulerEvent};
 use oakshed_jobs::fault::{Operation, Outage};
 
 use super::scheduler::entry;
--- a/crates/jobs/tests/world/scheduler.rs
+++ b/crates/jobs/tests/world/scheduler.rs
@@ -6,7 +6,9 @@
 use std::rc::Rc;
 use std::task::Waker;
 
-use oakshed_core::facade::{Entry, Facade, ListKind, Micros, Seen as SchedulerEvent, Settings};
+use oakshed_core::facade::{
+    Entry, Facade, ListKind, Micros, Observation as SchedulerEvent, Settings,
+};
 use oakshed_core::interface::{Class, Effect as Kind, Scope, Span};
 use oakshed_jobs::fault::Faulty;
 use oakshed_jobs::log::{encode_all, Backlog, Log, LogError, Recovered};
--- a/crates/server/src/net/discovery/mod.rs
+++ b/crates/server/src/net/discovery/mod.rs
@@ -26,7 +26,7 @@
 use super::{durable, peers, Net};
 use crate::list::{Answer, EndpointList, UpdateKind};
 use error::CallError;
-use oakshed_core::facade::{Condition, Entry, ListKind, Micros, Seen};
+use oakshed_core::facade::{Condition, Entry, ListKind, Micros, Observation};
 pub(crate) use state::DiscoveryState;
 use watch::Watch;
 
@@ -291,7 +291,7 @@
         } else {
             ListKind::Failed
         };
-        self.net.report(Seen::List(kind, &[]));
+        self.net.report(Observation::List(kind, &[]));
     }
 }
 
--- a/crates/server/src/net/discovery/tests/fleet.rs
+++ b/crates/server/src/net/discovery/tests/fleet.rs
@@ -18,7 +18,9 @@
 use super::super::error::CallError;
 use super::super::watch::{Discovery, Watch};
 use crate::list::Answer;
-use oakshed_core::facade::{Condition, Entry, Facade, ListKind, Micros, Seen, Settings, Span};
+use oakshed_core::facade::{
+    Condition, Entry, Facade, ListKind, Micros, Observation, Settings, Span,
+};
 use oakshed_core::interface::{Class, Effect, Scope};
 
 fn connect_error(kind: ErrorKind) -> CallError {
@@ -300,7 +302,7 @@
         };
         self.facade
             .borrow_mut()
-            .report(self.now(), Seen::List(kind, &[entry]));
+            .report(self.now(), Observation::List(kind, &[entry]));
     }
 
     fn set_call_state(&self, state: CallState) {
@@ -372,6 +374,6 @@
         };
         self.facade
             .borrow_mut()
-            .report(self.now(), Seen::List(kind, &[]));
+            .report(self.now(), Observation::List(kind, &[]));
     }
 }
--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -20,7 +20,7 @@
 use super::super::Net;
 use super::clients::Client;
 use super::request::{class_of, read_request};
-use oakshed_core::facade::{Ending, Handle, Job, Micros, Report, Seen, Step};
+use oakshed_core::facade::{Ending, Handle, Job, Micros, Observation, Report, Step};
 use oakshed_core::figures::{End, Entry};
 
 /// Routes a request by its path, answers it, and counts its outcome.
@@ -157,15 +157,15 @@
     fn on_progress(self, net: &Net, started: bool) {
         let RequestAttempt(request, attempt) = self;
         net.report(if started {
-            Seen::Started(request, attempt)
+            Observation::Started(request, attempt)
         } else {
-            Seen::Progress(request, attempt)
+            Observation::Progress(request, attempt)
         });
     }
 
     fn on_ended(self, net: &Rc<Net>, ending: Ending, _: Option<Bytes>, load: Option<Report>) {
         let RequestAttempt(request, attempt) = self;
-        net.report(Seen::Ended(request, attempt, ending, load));
+        net.report(Observation::Ended(request, attempt, ending, load));
     }
 }
 
@@ -203,8 +203,12 @@
         if let Some(attempt) = self.attempts.get(attempt) {
             attempt.stop();
         }
-        self.net
-            .report(Seen::Ended(self.request, attempt, Ending::Revoked, None));
+        self.net.report(Observation::Ended(
+            self.request,
+            attempt,
+            Ending::Revoked,
+            None,
+        ));
     }
 }
 
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -41,7 +41,7 @@
 pub(crate) use clock::{wall_clock, Clock};
 use counters::Counters;
 pub use error::{ListenError, ServeError};
-use oakshed_core::facade::{Entry, Facade, ListKind, Seen, Step};
+use oakshed_core::facade::{Entry, Facade, ListKind, Observation, Step};
 use oakshed_core::figures::Ledger;
 pub use serve::serve;
 use shutdown::Shutdown;
@@ -104,14 +104,16 @@
         }
     }
 
-    pub(crate) fn report(&self, seen: Seen<'_>) {
-        self.facade.borrow_mut().report(self.clock.now(), seen);
+    pub(crate) fn report(&self, observation: Observation<'_>) {
+        self.facade
+            .borrow_mut()
+            .report(self.clock.now(), observation);
     }
 
     /// Reports an endpoint list, with the wall clock by which its workers' starts are to be judged.
     pub(crate) fn report_list(&self, kind: ListKind, entries: &[Entry]) {
-        self.report(Seen::WallClock(wall_clock()));
-        self.report(Seen::List(kind, entries));
+        self.report(Observation::WallClock(wall_clock()));
+        self.report(Observation::List(kind, entries));
     }
 
     pub(crate) async fn pick(&self, request: oakshed_core::facade::Handle) -> Step {
--- a/crates/server/src/net/serve.rs
+++ b/crates/server/src/net/serve.rs
@@ -21,7 +21,7 @@
 use super::transient::retry_at_start;
 use super::{admin, discovery, durable, exclusions, front, peers, workers, Net};
 use crate::config::Config;
-use oakshed_core::facade::{Facade, Seen};
+use oakshed_core::facade::{Facade, Observation};
 
 /// Serves until SIGTERM or SIGINT, and then until all that was taken is answered.
 ///
@@ -50,7 +50,7 @@
     if let Some(directory) = &start.directory {
         exclusions::start(&net, directory);
     }
-    net.report(Seen::WallClock(wall_clock()));
+    net.report(Observation::WallClock(wall_clock()));
     discovery::load_cached_list(&net, start.inherited_list);
     if net.peers.is_some() {
         tokio::task::spawn_local(peers::run(net.clone()));
--- a/crates/server/src/net/workers/probe.rs
+++ b/crates/server/src/net/workers/probe.rs
@@ -15,16 +15,16 @@
 use super::attempt::{connect, encoded_len};
 use super::connection::Connection;
 use super::stream::{load_from_headers, parse_load, LoadForm, MAX_LINE_BYTES};
-use oakshed_core::facade::{Ending, Micros, Report, Seen};
+use oakshed_core::facade::{Ending, Micros, Observation, Report};
 
 /// Probes a worker for its load and reports the outcome to the facade.
 pub(crate) async fn probe(net: Rc<Net>, to: Rc<str>) {
     let limit = 2 * net.workers.connect_timeout;
     let deadline = net.clock.now().saturating_add(limit.as_micros() as Micros);
     match timeout(limit, probe_load(&net, &to, deadline)).await {
-        Ok(Err(Ending::LocalFault)) => net.report(Seen::NotProbed(&to)),
-        Ok(Ok(load)) => net.report(Seen::Probed(&to, load.is_some(), load)),
-        Ok(Err(_)) | Err(_) => net.report(Seen::Probed(&to, false, None)),
+        Ok(Err(Ending::LocalFault)) => net.report(Observation::NotProbed(&to)),
+        Ok(Ok(load)) => net.report(Observation::Probed(&to, load.is_some(), load)),
+        Ok(Err(_)) | Err(_) => net.report(Observation::Probed(&to, false, None)),
     }
 }
 
