--- a/crates/core/src/facade/mod.rs
+++ b/crates/core/src/facade/mod.rs
@@ -74,12 +74,12 @@
 
     /// Registers a request, whose final answer `pick` will return.
     pub fn take(&mut self, now: Micros, job: &Job) -> Handle {
-        self.take_again(now, job, &[])
+        self.resume(now, job, &[])
     }
 
     /// Registers a request that an earlier process has already tried. `earlier` has the workers on which it may
     /// have run and how long ago each attempt was sent; new attempts are numbered after these.
-    pub fn take_again(&mut self, now: Micros, job: &Job, earlier: &[Earlier<Rc<str>>]) -> Handle {
+    pub fn resume(&mut self, now: Micros, job: &Job, earlier: &[Earlier<Rc<str>>]) -> Handle {
         self.last_handle += 1;
         self.tally.taken += 1;
         let request = Handle(self.last_handle);
--- a/crates/jobs/src/machine/attempts.rs
+++ b/crates/jobs/src/machine/attempts.rs
@@ -116,7 +116,7 @@
                 });
             }
         }
-        job.stage = Stage::Scheduled(facade.take_again(now, &request, &earlier));
+        job.stage = Stage::Scheduled(facade.resume(now, &request, &earlier));
         if let Ok(mut jobs) = self.wake_queue.jobs.lock() {
             jobs.push(id);
         }
