--- a/crates/core/src/facade/hot_restart.rs
+++ b/crates/core/src/facade/hot_restart.rs
@@ -16,7 +16,7 @@
 impl Facade {
     /// Sets how many processes of this scheduler are alive, including this one. Each uses its share of the
     /// scheduler's limits.
-    pub fn share(&mut self, processes: usize) {
+    pub fn set_process_count(&mut self, processes: usize) {
         self.scheduler.set_process_count(processes);
     }
 
--- a/crates/server/src/net/hot_restart/mod.rs
+++ b/crates/server/src/net/hot_restart/mod.rs
@@ -78,7 +78,9 @@
 
     fn set(&self, net: &Net, which: &Cell<bool>, there: bool) {
         which.set(there);
-        net.facade.borrow_mut().share(self.process_count());
+        net.facade
+            .borrow_mut()
+            .set_process_count(self.process_count());
     }
 }
 
