--- a/crates/core/src/facade/mod.rs
+++ b/crates/core/src/facade/mod.rs
@@ -218,7 +218,7 @@
 
     /// Returns the number of requests without a final answer.
     #[must_use]
-    pub fn owed(&self) -> usize {
+    pub fn unanswered_requests(&self) -> usize {
         let open = self.requests.values();
         open.filter(|open| !open.is_answered()).count()
     }
--- a/crates/core/tests/model/main.rs
+++ b/crates/core/tests/model/main.rs
@@ -63,7 +63,13 @@
         tally.ended.iter().sum::<u64>(),
         "an attempt without an end, or with two"
     );
-    assert_eq!((world.facade.owed(), tally.invariant_violations), (0, 0));
+    assert_eq!(
+        (
+            world.facade.unanswered_requests(),
+            tally.invariant_violations
+        ),
+        (0, 0)
+    );
 }
 
 /// The ledger has counted the same ends.
--- a/crates/jobs/tests/world/invariants.rs
+++ b/crates/jobs/tests/world/invariants.rs
@@ -81,7 +81,7 @@
             return Err("no scheduler at the end".into());
         };
         let open = scheduler.jobs.sizes().open;
-        let owed = scheduler.facade.owed();
+        let owed = scheduler.facade.unanswered_requests();
         if open > 0 || owed > 0 {
             return Err(format!("{open} jobs are open, {owed} requests owed"));
         }
--- a/crates/server/src/net/shutdown.rs
+++ b/crates/server/src/net/shutdown.rs
@@ -109,7 +109,7 @@
         net.shutdown.handed_over.send_replace(true);
     }
     tokio::time::sleep(Duration::from_micros(linger)).await;
-    let owed = net.facade.borrow().owed();
+    let owed = net.facade.borrow().unanswered_requests();
     info!(owed, "closing: {owed} requests in flight");
     net.shutdown.closing.send_replace(true);
     if net.durable.is_some() {
