--- a/crates/server/src/list.rs
+++ b/crates/server/src/list.rs
@@ -142,7 +142,7 @@
                 // Draining, or a state of a later version: nothing new goes there.
                 _ => Condition::Leaving,
             },
-            online_since: oakshed_wire::micros(self.started_at_ms),
+            online_since: oakshed_wire::ms_to_micros(self.started_at_ms),
         }
     }
 }
--- a/crates/wire/src/host/input.rs
+++ b/crates/wire/src/host/input.rs
@@ -8,7 +8,7 @@
 use serde_json::value::RawValue;
 
 use super::LineError;
-use crate::settings::micros;
+use crate::settings::ms_to_micros;
 
 /// One input line, with the fields of all kinds of lines. Fields that a line does not have are `None`.
 #[derive(Deserialize)]
@@ -178,8 +178,8 @@
             slots: self.slots,
             memory: self.memory,
             key: self.key,
-            hint: self.hint.map(micros).filter(|&h| h > 0),
-            remaining: micros(self.remaining.ok_or_else(no_remaining)?),
+            hint: self.hint.map(ms_to_micros).filter(|&h| h > 0),
+            remaining: ms_to_micros(self.remaining.ok_or_else(no_remaining)?),
         })
     }
 }
--- a/crates/wire/src/host/mod.rs
+++ b/crates/wire/src/host/mod.rs
@@ -10,7 +10,7 @@
 
 use rustc_hash::FxHashMap;
 
-use crate::settings::{micros, settings};
+use crate::settings::{ms_to_micros, settings};
 use oakshed_core::interface::{Action, Condition, Micros, Row, WorkerId};
 use oakshed_core::names::worker_id;
 use oakshed_core::Scheduler;
@@ -74,7 +74,7 @@
                 cell: row.block,
                 weight: row.weight.unwrap_or(1.0),
                 condition,
-                online_since: micros(row.online_since),
+                online_since: ms_to_micros(row.online_since),
             });
         }
         if slot >= DIRECTORY_SLOTS {
@@ -182,7 +182,7 @@
         match line.what {
             "BATCH" => {
                 let clock = line.clock.ok_or_else(|| missing_field(&line, "clock-ms"));
-                now = micros(clock.map_err(at_line)?);
+                now = ms_to_micros(clock.map_err(at_line)?);
             }
             "OVER_TO_YOU" => host.end_batch(now, &mut out)?,
             _ => host.handle_line(now, &line).map_err(at_line)?,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -18,4 +18,4 @@
 pub mod settings;
 
 pub use host::{lenient, parse_request_id, serve, LineError, ServeError};
-pub use settings::{micros, settings, settings_and_names, BootInfoError, Names};
+pub use settings::{ms_to_micros, settings, settings_and_names, BootInfoError, Names};
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -171,7 +171,7 @@
 /// Converts a time in the settings. Rejects a negative one, which would otherwise be taken as 0.
 fn parse_span(path: &str, ms: f64) -> Result<Span, BootInfoError> {
     if (0.0..=MAX_TIME_MS).contains(&ms) {
-        Ok(Span::from_micros(micros(ms)))
+        Ok(Span::from_micros(ms_to_micros(ms)))
     } else {
         Err(BootInfoError::Time {
             path: path.to_owned(),
@@ -228,7 +228,7 @@
 
 /// Converts milliseconds to microseconds; a value that is not a positive number counts as 0.
 #[must_use]
-pub fn micros(ms: f64) -> Micros {
+pub fn ms_to_micros(ms: f64) -> Micros {
     (ms * 1000.0).round().max(0.0) as Micros
 }
 
