--- a/crates/core/src/facade/mod.rs
+++ b/crates/core/src/facade/mod.rs
@@ -21,11 +21,11 @@
 use rustc_hash::FxHashMap;
 
 use crate::figures::Members;
+use crate::interface::{Action, Event, RequestId, WorkerId};
 pub use crate::interface::{
-    Accounts, ClassEstimates, Condition, Earlier, Ending, Endpoint, Estimates, Job, ListKind,
+    ClassEstimates, Condition, Earlier, Ending, Endpoint, Estimates, InFlightCounts, Job, ListKind,
     Micros, Report, Settings, SettingsError, Span, LONGEST_STALL, NOTIFICATION_DEADLINE, UNKNOWN,
 };
-use crate::interface::{Action, Event, RequestId, WorkerId};
 use crate::names::worker_id;
 use crate::Scheduler;
 use open_request::OpenRequest;
@@ -194,9 +194,9 @@
     /// Returns counts of what is queued or in flight. A request counts until its handler and all of its attempts
     /// have ended.
     #[must_use]
-    pub fn accounts(&self) -> Accounts {
-        let counts = self.scheduler.accounts();
-        Accounts {
+    pub fn in_flight_counts(&self) -> InFlightCounts {
+        let counts = self.scheduler.in_flight_counts();
+        InFlightCounts {
             requests: counts.requests.max(self.requests.len()),
             workers: counts.workers.max(self.worker_names.len()),
             ..counts
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -255,7 +255,7 @@
 /// Counts of what is queued or in flight. All except `workers` are 0 once every request is answered and every
 /// attempt has ended.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Accounts {
+pub struct InFlightCounts {
     /// Requests that have no final answer yet or have attempts in flight.
     pub requests: usize,
     /// Requests waiting to be sent.
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The modules here store and update the state but make no scheduling decisions; those are in `scheduler`.
 
-use crate::interface::{Accounts, Action, RequestId};
+use crate::interface::{Action, InFlightCounts, RequestId};
 use crate::scheduler::Scheduler;
 use crate::time::Instant;
 
@@ -98,7 +98,7 @@
     /// Counts what is queued or in flight now. All counts but the one of workers return to 0 once every
     /// request is answered and every attempt has ended, so that callers can check for leaks.
     #[must_use]
-    pub fn accounts(&self) -> Accounts {
+    pub fn in_flight_counts(&self) -> InFlightCounts {
         let (mut attempts, mut slots) = (0, self.in_flight.slots + self.in_flight.excluded);
         for worker in self.workers.iter() {
             let at_worker = &worker.in_flight;
@@ -110,7 +110,7 @@
             .iter()
             .map(|w| w.in_flight.slots + w.in_flight.excluded_slots)
             .sum::<f64>();
-        Accounts {
+        InFlightCounts {
             requests: self.requests.len(),
             queued: self.queues.len() + self.backoffs.len(),
             attempts,
--- a/crates/core/tests/mechanism/input.rs
+++ b/crates/core/tests/mechanism/input.rs
@@ -101,7 +101,7 @@
     let (huge, actions) = bench.wide_request(0, 1e300);
     assert!(sent(&actions, huge).is_some(), "a wide job finds a worker");
     let (small, _) = bench.request(0);
-    let in_flight = bench.scheduler.accounts().slots;
+    let in_flight = bench.scheduler.in_flight_counts().slots;
     assert!(
         in_flight.is_finite() && in_flight < 1e6,
         "{in_flight} slots in flight"
@@ -109,10 +109,10 @@
     bench.settled(huge, 0, Ending::Delivered);
     bench.settled(small, 0, Ending::Delivered);
     assert_eq!(
-        bench.scheduler.accounts(),
-        Accounts {
+        bench.scheduler.in_flight_counts(),
+        InFlightCounts {
             workers: 2,
-            ..Accounts::default()
+            ..InFlightCounts::default()
         }
     );
 }
--- a/crates/core/tests/mechanism/list.rs
+++ b/crates/core/tests/mechanism/list.rs
@@ -133,13 +133,10 @@
         let rows: Vec<Row> = (100 * n..100 * n + 100).map(row).collect();
         bench.list(ListKind::Snapshot, &rows);
     }
-    let accounts = bench.scheduler.accounts();
-    assert!(
-        accounts.workers < 5_000,
-        "{accounts:?} after 29,900 workers"
-    );
+    let counts = bench.scheduler.in_flight_counts();
+    assert!(counts.workers < 5_000, "{counts:?} after 29,900 workers");
     assert_eq!(
-        (accounts.requests, accounts.attempts),
+        (counts.requests, counts.attempts),
         (1, 3),
         "an attempt out, open and not started"
     );
@@ -150,7 +147,7 @@
     let actions = bench.settled(id, 0, Ending::Dropped);
     assert!(sent(&actions, id).is_none(), "{first:?} is not forgotten");
     bench.wait(6_000 * MS);
-    assert_eq!(bench.scheduler.accounts().requests, 0);
+    assert_eq!(bench.scheduler.in_flight_counts().requests, 0);
 }
 
 /// One of the schedulers that share slow discovery.
--- a/crates/core/tests/mechanism/local_faults.rs
+++ b/crates/core/tests/mechanism/local_faults.rs
@@ -52,10 +52,10 @@
     }
     bench.settled(id, 2 * bench_attempts(), Ending::Delivered);
     assert_eq!(
-        bench.scheduler.accounts(),
-        Accounts {
+        bench.scheduler.in_flight_counts(),
+        InFlightCounts {
             workers: 3,
-            ..Accounts::default()
+            ..InFlightCounts::default()
         }
     );
 }
@@ -277,10 +277,10 @@
         bench.now - start
     );
     assert_eq!(
-        bench.scheduler.accounts(),
-        Accounts {
+        bench.scheduler.in_flight_counts(),
+        InFlightCounts {
             workers: 3,
-            ..Accounts::default()
+            ..InFlightCounts::default()
         }
     );
 }
--- a/crates/core/tests/model/main.rs
+++ b/crates/core/tests/model/main.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::task::Waker;
 
-use oakshed_core::facade::{Accounts, Ending, Facade, Micros, Observation, Report};
+use oakshed_core::facade::{Ending, Facade, InFlightCounts, Micros, Observation, Report};
 use oakshed_core::figures::End;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -37,12 +37,12 @@
         world.wait_until(world.now + 20_000 * MS);
         check_counts(&world);
         check_ledger(&world);
-        let accounts = world.facade.accounts();
+        let counts = world.facade.in_flight_counts();
         assert_eq!(
-            accounts,
-            Accounts {
+            counts,
+            InFlightCounts {
                 workers: 4,
-                ..Accounts::default()
+                ..InFlightCounts::default()
             },
             "something was not given back"
         );
--- a/crates/core/tests/rules/main.rs
+++ b/crates/core/tests/rules/main.rs
@@ -29,12 +29,12 @@
         }
         let end = world.now + 20_000 * MS;
         world.wait_until(end);
-        let accounts = world.scheduler.accounts();
+        let counts = world.scheduler.in_flight_counts();
         assert_eq!(
-            accounts,
-            Accounts {
+            counts,
+            InFlightCounts {
                 workers: 8,
-                ..Accounts::default()
+                ..InFlightCounts::default()
             },
             "something was not given back"
         );
--- a/crates/server/src/net/counters.rs
+++ b/crates/server/src/net/counters.rs
@@ -15,7 +15,7 @@
 
 use super::durable::DurableJobs;
 use super::Net;
-use oakshed_core::facade::{Accounts, Tally};
+use oakshed_core::facade::{InFlightCounts, Tally};
 
 /// Between two checks whether there is something new to log.
 const LOG_PERIOD: Duration = Duration::from_secs(10);
@@ -156,7 +156,7 @@
 pub(super) struct Summary<'a> {
     tally: Tally,
     counters: &'a Counters,
-    accounts: Accounts,
+    in_flight: InFlightCounts,
     open_request_ids: usize,
     body_bytes: usize,
     worker_sockets: usize,
@@ -169,7 +169,7 @@
         Summary {
             tally: facade.tally(),
             counters: &net.counters,
-            accounts: facade.accounts(),
+            in_flight: facade.in_flight_counts(),
             open_request_ids: net.open_requests.ids(),
             body_bytes: net.open_requests.bytes(),
             worker_sockets: net.workers.sockets(),
@@ -180,17 +180,17 @@
 
 impl fmt::Display for Summary<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let accounts = &self.accounts;
+        let in_flight = &self.in_flight;
         write!(f, "{} {} ", self.tally, self.counters)?;
         f.debug_struct("Open")
-            .field("requests", &accounts.requests)
-            .field("held", &accounts.queued)
-            .field("attempts", &accounts.attempts)
-            .field("slots", &format_args!("{}", accounts.slots))
+            .field("requests", &in_flight.requests)
+            .field("held", &in_flight.queued)
+            .field("attempts", &in_flight.attempts)
+            .field("slots", &format_args!("{}", in_flight.slots))
             .field("ids", &self.open_request_ids)
             .field("body_bytes", &self.body_bytes)
             .field("backend_sockets", &self.worker_sockets)
-            .field("backends", &accounts.workers)
+            .field("backends", &in_flight.workers)
             .finish()?;
         match self.jobs {
             Some(durable) => write!(f, " {}", durable.summary()),
--- a/crates/server/src/net/counters/tests.rs
+++ b/crates/server/src/net/counters/tests.rs
@@ -13,10 +13,10 @@
     let summary = Summary {
         tally: Tally::default(),
         counters: &counters,
-        accounts: Accounts {
+        in_flight: InFlightCounts {
             slots: 2.5,
             workers: 3,
-            ..Accounts::default()
+            ..InFlightCounts::default()
         },
         open_request_ids: 4,
         body_bytes: 5,
