--- a/crates/core/src/interface/fingerprint.rs
+++ b/crates/core/src/interface/fingerprint.rs
@@ -41,7 +41,7 @@
             .field("max_attempts", &settings.max_attempts)
             .field("idle_close", &settings.idle_close.as_micros())
             .field("connect_timeout", &settings.connect_timeout.as_micros())
-            .field("cross_price", &settings.cross_price)
+            .field("cross_price", &settings.cross_zone_cost)
             .field("tick", &settings.tick.as_micros())
             .field("cold_share", &settings.cold_share)
             .field("ramp", &settings.ramp.as_micros())
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -117,7 +117,7 @@
     /// Time within which a connection must be established.
     pub connect_timeout: Span,
     /// Cost of an attempt in another zone, as a fraction of the value of one request; 0 if free.
-    pub cross_price: f64,
+    pub cross_zone_cost: f64,
     /// Minimum time between two batches of decisions.
     pub tick: Span,
     /// Minimum share of its capacity that a worker has right after its start.
@@ -175,7 +175,7 @@
             max_attempts: 6,
             idle_close: Span::from_millis(60_000),
             connect_timeout: Span::from_millis(120),
-            cross_price: 0.0,
+            cross_zone_cost: 0.0,
             tick: Span::from_millis(2),
             cold_share: 0.3,
             ramp: Span::from_millis(10_000),
--- a/crates/core/src/scheduler/worker_selection.rs
+++ b/crates/core/src/scheduler/worker_selection.rs
@@ -13,7 +13,7 @@
 /// Upper bound on the random draws for two fitting workers, and on the queued jobs without a
 /// fitting worker that are skipped in a tier.
 pub(super) const MAX_DRAWS: usize = 8;
-/// Mean penalty of a worker in another zone, in slots, at a `cross_price` of 1 (the value of the
+/// Mean penalty of a worker in another zone, in slots, at a `cross_zone_cost` of 1 (the value of the
 /// whole result).
 const CROSS_ZONE_SLOTS: f64 = 160.0;
 /// The number of fitting workers that are compared.
@@ -112,8 +112,8 @@
         let group = self.group_of(request);
         let home = key.map(|key| self.home(key));
         // A random price per job prevents all jobs from crossing at the same moment.
-        let zone_cost = 2.0 * self.rng.f64() * CROSS_ZONE_SLOTS * self.settings.cross_price;
-        let prefers_own_zone = self.settings.cross_price > 0.0
+        let zone_cost = 2.0 * self.rng.f64() * CROSS_ZONE_SLOTS * self.settings.cross_zone_cost;
+        let prefers_own_zone = self.settings.cross_zone_cost > 0.0
             && !self.pools.own_zone.is_empty()
             && self.zone_wait_penalty(self.settings.own_zone()) < zone_cost;
         Some(SelectionCriteria {
--- a/crates/core/src/state/settings.rs
+++ b/crates/core/src/state/settings.rs
@@ -102,7 +102,7 @@
             "must be 0 to a million",
         )?;
         require(
-            is_usable_amount(self.cross_price),
+            is_usable_amount(self.cross_zone_cost),
             "cross_price",
             "must be 0 or more",
         )
--- a/crates/core/tests/fingerprint.rs
+++ b/crates/core/tests/fingerprint.rs
@@ -59,7 +59,7 @@
         max_attempts: 4,
         idle_close: Span::from_micros(30_000_000),
         connect_timeout: Span::from_micros(110_000),
-        cross_price: 0.02,
+        cross_zone_cost: 0.02,
         tick: Span::from_micros(3_000),
         cold_share: 0.25,
         ramp: Span::from_micros(8_900_000),
--- a/crates/core/tests/mechanism/failing.rs
+++ b/crates/core/tests/mechanism/failing.rs
@@ -70,7 +70,7 @@
 fn tries_at_a_lost_zone(fails_after: Micros) -> u32 {
     let mut bench = Bench::new(
         Settings {
-            cross_price: 0.03,
+            cross_zone_cost: 0.03,
             schedulers: 300,
             ..settings()
         },
--- a/crates/core/tests/mechanism/input.rs
+++ b/crates/core/tests/mechanism/input.rs
@@ -50,7 +50,7 @@
         (with(|s| s.cold_share = 1.5), "cold_share"),
         (with(|s| s.fall_multiple = f64::INFINITY), "fall_multiple"),
         (with(|s| s.tenants = vec![1.0, -1.0]), "tenants"),
-        (with(|s| s.cross_price = f64::NAN), "cross_price"),
+        (with(|s| s.cross_zone_cost = f64::NAN), "cross_price"),
     ];
     for (n, (settings, name)) in wrong.into_iter().enumerate() {
         let error = Scheduler::new(settings, 1)
--- a/crates/core/tests/mechanism/overload_fleet.rs
+++ b/crates/core/tests/mechanism/overload_fleet.rs
@@ -111,7 +111,7 @@
         reports: Reports::Probe,
         may_probe: true,
         may_cancel: false,
-        cross_price: 0.03,
+        cross_zone_cost: 0.03,
         in_order: true,
         ..settings()
     }
--- a/crates/core/tests/mechanism/slow_start_sum.rs
+++ b/crates/core/tests/mechanism/slow_start_sum.rs
@@ -20,14 +20,14 @@
 pub fn kinds() -> [(Settings, f64); 3] {
     let kind = |cold_share, ramp, fall_multiple, fall_span, least_slots| {
         // The kind with small jobs charges crossings as well: its jobs stay in their zones.
-        let cross_price = if least_slots < 1.0 { 0.03 } else { 0.0 };
+        let cross_zone_cost = if least_slots < 1.0 { 0.03 } else { 0.0 };
         (
             Settings {
                 cold_share,
                 ramp: Span::from_millis(ramp),
                 fall_multiple,
                 fall_span: Span::from_millis(fall_span),
-                cross_price,
+                cross_zone_cost,
                 ..settings()
             },
             least_slots,
--- a/crates/core/tests/mechanism/worker_selection.rs
+++ b/crates/core/tests/mechanism/worker_selection.rs
@@ -85,10 +85,10 @@
 /// when it has none.
 #[test]
 fn own_zone_is_preferred_where_crossings_are_charged() {
-    let bench = |cross_price: f64| {
+    let bench = |cross_zone_cost: f64| {
         let mut bench = Bench::new(
             Settings {
-                cross_price,
+                cross_zone_cost,
                 ..settings()
             },
             9,
@@ -102,8 +102,8 @@
         bench.list(ListKind::Delta, &far);
         bench
     };
-    let near = |cross_price: f64| {
-        let mut bench = bench(cross_price);
+    let near = |cross_zone_cost: f64| {
+        let mut bench = bench(cross_zone_cost);
         let mut near = 0;
         for _ in 0..100 {
             let (id, actions) = bench.request(0);
@@ -281,7 +281,7 @@
     let crossed = |wait: Micros| {
         let mut bench = Bench::new(
             Settings {
-                cross_price: 0.03,
+                cross_zone_cost: 0.03,
                 schedulers: 48,
                 ..settings()
             },
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -302,7 +302,7 @@
         max_attempts: limits.max_attempts,
         idle_close: parse_span("limits.idle-close-ms", limits.idle_close_ms)?,
         connect_timeout: parse_span("limits.connect-timeout-ms", limits.connect_timeout_ms)?,
-        cross_price: boot.prices.cross_zone,
+        cross_zone_cost: boot.prices.cross_zone,
         tick: parse_span("resolution-ms", boot.resolution_ms)?,
         cold_share: obligations.cold_share,
         ramp: parse_span("obligations.ramp-time-ms", obligations.ramp_time_ms)?,
--- a/crates/wire/tests/settings_keys.rs
+++ b/crates/wire/tests/settings_keys.rs
@@ -58,7 +58,7 @@
         max_attempts: 5,
         idle_close: Span::from_micros(8_000_000),
         connect_timeout: Span::from_micros(70_000),
-        cross_price: 0.125,
+        cross_zone_cost: 0.125,
         tick: Span::from_micros(2_000),
         cold_share: 0.25,
         ramp: Span::from_micros(8_900_000),
