--- a/crates/core/src/interface/fingerprint.rs
+++ b/crates/core/src/interface/fingerprint.rs
@@ -31,7 +31,7 @@
             .field("ask_every", &settings.poll_interval.as_micros())
             .field("weights", &settings.weights)
             .field("tells_start", &settings.reports_start)
-            .field("in_order", &settings.in_order)
+            .field("in_order", &settings.fifo_workers)
             .field("progress_every", &settings.progress_every.as_micros())
             .field("reports", &settings.reports)
             .field("may_probe", &settings.may_probe)
--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -97,7 +97,7 @@
     /// Workers report when a job starts.
     pub reports_start: bool,
     /// Workers start queued jobs strictly in the order of arrival.
-    pub in_order: bool,
+    pub fifo_workers: bool,
     /// How often workers report the progress of a job; 0 if never.
     pub progress_every: Span,
     /// How load reports are delivered.
@@ -165,7 +165,7 @@
             poll_interval: Span::from_millis(10_000),
             weights: Weights::None,
             reports_start: true,
-            in_order: false,
+            fifo_workers: false,
             progress_every: Span::ZERO,
             reports: Reports::None,
             may_probe: false,
--- a/crates/core/src/state/attempts.rs
+++ b/crates/core/src/state/attempts.rs
@@ -216,7 +216,7 @@
     /// connect timeout, as an attempt on a new connection reaches the worker up to that much later than it
     /// was sent.
     fn mark_overtaken_as_lost(&mut self, w: WorkerIndex, sent: Instant) {
-        if self.settings.in_order {
+        if self.settings.fifo_workers {
             let before = sent.saturating_sub(self.settings.connect_timeout);
             self.mark_lost(w, |attempt| {
                 attempt.started.is_none() && attempt.sent < before
--- a/crates/core/tests/fingerprint.rs
+++ b/crates/core/tests/fingerprint.rs
@@ -49,7 +49,7 @@
         poll_interval: Span::from_micros(500_000),
         weights: Weights::Live,
         reports_start: false,
-        in_order: true,
+        fifo_workers: true,
         progress_every: Span::from_micros(100_000),
         reports: Reports::Probe,
         may_probe: true,
--- a/crates/core/tests/mechanism/overload_fleet.rs
+++ b/crates/core/tests/mechanism/overload_fleet.rs
@@ -112,7 +112,7 @@
         may_probe: true,
         may_cancel: false,
         cross_zone_cost: 0.03,
-        in_order: true,
+        fifo_workers: true,
         ..settings()
     }
 }
--- a/crates/core/tests/mechanism/unresponsive.rs
+++ b/crates/core/tests/mechanism/unresponsive.rs
@@ -11,7 +11,7 @@
 #[test]
 fn unresponsive_connection_does_not_mark_its_worker() {
     let with = Settings {
-        in_order: true,
+        fifo_workers: true,
         progress_every: Span::from_millis(200),
         ..settings()
     };
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -288,7 +288,7 @@
         poll_interval: parse_span("obligations.ask-every-ms", obligations.ask_every_ms)?,
         weights: parse_choice("weight-kind", &boot.weight_kind, &WEIGHT_KINDS)?,
         reports_start: family.reports_start,
-        in_order: parse_choice(
+        fifo_workers: parse_choice(
             "family-info.queue-order",
             &family.queue_order,
             &QUEUE_ORDERS,
--- a/crates/wire/tests/settings_keys.rs
+++ b/crates/wire/tests/settings_keys.rs
@@ -48,7 +48,7 @@
         poll_interval: Span::from_micros(6_000_000),
         weights: Weights::Live,
         reports_start: true,
-        in_order: true,
+        fifo_workers: true,
         progress_every: Span::from_micros(30_000),
         reports: Reports::Probe,
         may_probe: true,
