--- a/crates/core/src/facade/mod.rs
+++ b/crates/core/src/facade/mod.rs
@@ -1,11 +1,11 @@
 //! Per-request interface to the scheduler, for programs that handle requests in separate tasks.
 //!
-//! `take` registers a request, `pick` polls for its next step, `report` passes observations to the scheduler,
+//! `take` registers a request, `poll_step` polls for its next step, `report` passes observations to the scheduler,
 //! and `tick` runs its timer. The facade numbers requests and attempts, maps worker names to ids, and ensures
 //! that each request gets exactly one final answer. The scheduler's events, actions and ids stay internal.
 //!
 //! All decisions are left to the scheduler. Time is passed in, and there is no dependency on sockets, HTTP or an
-//! async runtime: a `pick` that has to wait stores only the standard library's [`Waker`].
+//! async runtime: a `poll_step` that has to wait stores only the standard library's [`Waker`].
 
 mod actions;
 mod exclusions;
@@ -34,7 +34,7 @@
     Due, Entry, Handle, HandoverState, Observation, Step, WarmingWorker, WorkerBackoff,
 };
 
-/// One scheduler behind `take`, `pick`, `report` and `tick`.
+/// One scheduler behind `take`, `poll_step`, `report` and `tick`.
 pub struct Facade {
     scheduler: Scheduler,
     /// Empty between events; kept to reuse its allocation.
@@ -72,7 +72,7 @@
         })
     }
 
-    /// Registers a request, whose final answer `pick` will return.
+    /// Registers a request, whose final answer `poll_step` will return.
     pub fn take(&mut self, now: Micros, job: &Job) -> Handle {
         self.resume(now, job, &[])
     }
@@ -104,7 +104,7 @@
 
     /// Polls for the next step of a request. While there is none, as when the job is queued, the waker is stored
     /// and woken once there is one.
-    pub fn pick(&mut self, request: Handle, waker: &Waker) -> Poll<Step> {
+    pub fn poll_step(&mut self, request: Handle, waker: &Waker) -> Poll<Step> {
         let Some(open) = self.requests.get_mut(&request) else {
             self.check_invariant(false, "step requested after the end of the request");
             return Poll::Ready(Step::Fail);
--- a/crates/core/tests/model/world.rs
+++ b/crates/core/tests/model/world.rs
@@ -121,7 +121,7 @@
             while !self.requests[&request].over {
                 let woken = self.requests[&request].woken.clone();
                 let was = woken.0.swap(false, Ordering::SeqCst);
-                match self.facade.pick(request, &Waker::from(woken)) {
+                match self.facade.poll_step(request, &Waker::from(woken)) {
                     Poll::Pending => break,
                     Poll::Ready(step) => {
                         self.requests[&request]
--- a/crates/jobs/src/machine/mod.rs
+++ b/crates/jobs/src/machine/mod.rs
@@ -236,7 +236,7 @@
         while let Some(request) = self.jobs.get(&id).and_then(Job::request) {
             let queue = self.wake_queue.clone();
             let waker = Waker::from(Arc::new(JobWaker { id, queue }));
-            let Poll::Ready(step) = facade.pick(request, &waker) else {
+            let Poll::Ready(step) = facade.poll_step(request, &waker) else {
                 return;
             };
             self.take_step(id, request, step, facade);
--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -1,6 +1,6 @@
 //! Answers one client request.
 //!
-//! The scheduler decides what happens to a request: each step comes from the facade's `pick` and is performed here at
+//! The scheduler decides what happens to a request: each step comes from the facade's `poll_step` and is performed here at
 //! once. This module also reports the progress of the request's attempts to the facade and counts the request and its
 //! outcome in the ledger.
 
@@ -226,7 +226,7 @@
         attempts: Vec::new(),
     };
     loop {
-        match net.pick(request).await {
+        match net.next_step(request).await {
             Step::Attempt {
                 attempt,
                 worker,
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -116,8 +116,8 @@
         self.report(Observation::List(kind, entries));
     }
 
-    pub(crate) async fn pick(&self, request: oakshed_core::facade::Handle) -> Step {
-        poll_fn(|cx| self.facade.borrow_mut().pick(request, cx.waker())).await
+    pub(crate) async fn next_step(&self, request: oakshed_core::facade::Handle) -> Step {
+        poll_fn(|cx| self.facade.borrow_mut().poll_step(request, cx.waker())).await
     }
 
     /// Whether requests that come now can be served.
