--- a/crates/core/src/facade/mod.rs
+++ b/crates/core/src/facade/mod.rs
@@ -1,11 +1,11 @@
 //! Per-request interface to the scheduler, for programs that handle requests in separate tasks.
 //!
-//! `take` registers a request, `pick` polls for its next step, `report` passes observations to the scheduler,
+//! `take` registers a request, `poll_step` polls for its next step, `report` passes observations to the scheduler,
 //! and `tick` runs its timer. The facade numbers requests and attempts, maps worker names to ids, and ensures
 //! that each request gets exactly one final answer. The scheduler's events, actions and ids stay internal.
 //!
 //! All decisions are left to the scheduler. Time is passed in, and there is no dependency on sockets, HTTP or an
-//! async runtime: a `pick` that has to wait stores only the standard library's [`Waker`].
+//! async runtime: a `poll_step` that has to wait stores only the standard library's [`Waker`].
 
 mod actions;
 mod exclusions;
@@ -21,18 +21,20 @@
 use rustc_hash::FxHashMap;
 
 use crate::figures::Members;
+use crate::interface::{Action, Event, RequestId, WorkerId};
 pub use crate::interface::{
-    Accounts, ClassEstimates, Condition, Earlier, Ending, Endpoint, Estimates, Job, ListKind,
+    ClassEstimates, Condition, Earlier, Ending, Endpoint, Estimates, InFlightCounts, Job, ListKind,
     Micros, Report, Settings, SettingsError, Span, LONGEST_STALL, NOTIFICATION_DEADLINE, UNKNOWN,
 };
-use crate::interface::{Action, Event, RequestId, WorkerId};
 use crate::names::worker_id;
 use crate::Scheduler;
 use open_request::OpenRequest;
 pub use tally::Tally;
-pub use types::{Due, Entry, Handle, HandoverState, Seen, Step, WarmingWorker, WorkerBackoff};
+pub use types::{
+    Due, Entry, Handle, HandoverState, Observation, Step, WarmingWorker, WorkerBackoff,
+};
 
-/// One scheduler behind `take`, `pick`, `report` and `tick`.
+/// One scheduler behind `take`, `poll_step`, `report` and `tick`.
 pub struct Facade {
     scheduler: Scheduler,
     /// Empty between events; kept to reuse its allocation.
@@ -70,14 +72,14 @@
         })
     }
 
-    /// Registers a request, whose final answer `pick` will return.
+    /// Registers a request, whose final answer `poll_step` will return.
     pub fn take(&mut self, now: Micros, job: &Job) -> Handle {
-        self.take_again(now, job, &[])
+        self.resume(now, job, &[])
     }
 
     /// Registers a request that an earlier process has already tried. `earlier` has the workers on which it may
     /// have run and how long ago each attempt was sent; new attempts are numbered after these.
-    pub fn take_again(&mut self, now: Micros, job: &Job, earlier: &[Earlier<Rc<str>>]) -> Handle {
+    pub fn resume(&mut self, now: Micros, job: &Job, earlier: &[Earlier<Rc<str>>]) -> Handle {
         self.last_handle += 1;
         self.tally.taken += 1;
         let request = Handle(self.last_handle);
@@ -102,7 +104,7 @@
 
     /// Polls for the next step of a request. While there is none, as when the job is queued, the waker is stored
     /// and woken once there is one.
-    pub fn pick(&mut self, request: Handle, waker: &Waker) -> Poll<Step> {
+    pub fn poll_step(&mut self, request: Handle, waker: &Waker) -> Poll<Step> {
         let Some(open) = self.requests.get_mut(&request) else {
             self.check_invariant(false, "step requested after the end of the request");
             return Poll::Ready(Step::Fail);
@@ -192,9 +194,9 @@
     /// Returns counts of what is queued or in flight. A request counts until its handler and all of its attempts
     /// have ended.
     #[must_use]
-    pub fn accounts(&self) -> Accounts {
-        let counts = self.scheduler.accounts();
-        Accounts {
+    pub fn in_flight_counts(&self) -> InFlightCounts {
+        let counts = self.scheduler.in_flight_counts();
+        InFlightCounts {
             requests: counts.requests.max(self.requests.len()),
             workers: counts.workers.max(self.worker_names.len()),
             ..counts
@@ -216,7 +218,7 @@
 
     /// Returns the number of requests without a final answer.
     #[must_use]
-    pub fn owed(&self) -> usize {
+    pub fn unanswered_requests(&self) -> usize {
         let open = self.requests.values();
         open.filter(|open| !open.is_answered()).count()
     }
--- a/crates/jobs/src/machine/attempts.rs
+++ b/crates/jobs/src/machine/attempts.rs
@@ -4,7 +4,9 @@
 
 use std::rc::Rc;
 
-use oakshed_core::facade::{Earlier, Ending, Facade, Job as JobRequest, Micros, Report, Seen};
+use oakshed_core::facade::{
+    Earlier, Ending, Facade, Job as JobRequest, Micros, Observation, Report,
+};
 
 use super::job::{Attempt, AttemptState, Job, Stage};
 use super::{Effect, Jobs, Pending};
@@ -114,7 +116,7 @@
                 });
             }
         }
-        job.stage = Stage::Scheduled(facade.take_again(now, &request, &earlier));
+        job.stage = Stage::Scheduled(facade.resume(now, &request, &earlier));
         if let Ok(mut jobs) = self.wake_queue.jobs.lock() {
             jobs.push(id);
         }
@@ -222,7 +224,7 @@
         attempt.state = state;
         attempt.fence_at = now;
         if let (Some(request), Some(index)) = (request, attempt.facade_index) {
-            facade.report(now, Seen::Ended(request, index, ending, load));
+            facade.report(now, Observation::Ended(request, index, ending, load));
         } else {
             self.process_due(id, facade);
         }
@@ -250,7 +252,7 @@
             attempt.result = Some(result);
             facade.report(
                 self.now,
-                Seen::Ended(request, index, Ending::Delivered, load),
+                Observation::Ended(request, index, Ending::Delivered, load),
             );
         } else {
             self.finish(id, Answer::Served(result), facade);
--- a/crates/jobs/src/machine/ends.rs
+++ b/crates/jobs/src/machine/ends.rs
@@ -2,7 +2,7 @@
 //!
 //! Each job gets exactly one final answer.
 
-use oakshed_core::facade::{Ending, Facade, Seen};
+use oakshed_core::facade::{Ending, Facade, Observation};
 
 use super::clients::settled_state;
 use super::job::{answer_size, AttemptState, Stage};
@@ -33,7 +33,7 @@
                 } else {
                     Ending::Unused
                 };
-                facade.report(now, Seen::Ended(request, index, ending, None));
+                facade.report(now, Observation::Ended(request, index, ending, None));
             }
         }
         if request.is_none() {
@@ -97,7 +97,10 @@
         // The scheduler waits for the ends of attempts that may not be cancelled.
         for attempt in job.attempts.iter().filter(|attempt| attempt.is_open()) {
             if let Some(index) = attempt.facade_index {
-                facade.report(self.now, Seen::Ended(request, index, Ending::Revoked, None));
+                facade.report(
+                    self.now,
+                    Observation::Ended(request, index, Ending::Revoked, None),
+                );
             }
         }
     }
--- a/crates/jobs/src/machine/mod.rs
+++ b/crates/jobs/src/machine/mod.rs
@@ -25,7 +25,7 @@
 use std::sync::{Arc, Mutex};
 use std::task::{Poll, Wake, Waker};
 
-use oakshed_core::facade::{Ending, Facade, Handle, Micros, Seen, Step};
+use oakshed_core::facade::{Ending, Facade, Handle, Micros, Observation, Step};
 use rustc_hash::FxHashMap;
 
 use crate::record::{Answer, JobId, JobPayload, Record};
@@ -249,7 +249,7 @@
         while let Some(request) = self.jobs.get(&id).and_then(Job::request) {
             let queue = self.wake_queue.clone();
             let waker = Waker::from(Arc::new(JobWaker { id, queue }));
-            let Poll::Ready(step) = facade.pick(request, &waker) else {
+            let Poll::Ready(step) = facade.poll_step(request, &waker) else {
                 return;
             };
             self.apply_step(id, request, step, facade);
@@ -290,7 +290,7 @@
                 }
                 facade.report(
                     self.now,
-                    Seen::Ended(request, attempt, Ending::Revoked, None),
+                    Observation::Ended(request, attempt, Ending::Revoked, None),
                 );
             }
         }
--- a/crates/jobs/src/machine/network.rs
+++ b/crates/jobs/src/machine/network.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use oakshed_core::facade::{Ending, Facade, Micros, Report, Seen};
+use oakshed_core::facade::{Ending, Facade, Micros, Observation, Report};
 
 use super::job::{Attempt, AttemptState, Stage, INITIAL_FENCE_INTERVAL};
 use super::{Effect, End, FenceReply, FenceStatus, Jobs, Pending};
@@ -99,9 +99,9 @@
         attempt.fence_interval = INITIAL_FENCE_INTERVAL;
         if let (Some(request), Some(index)) = (request, attempt.facade_index) {
             let seen = if started {
-                Seen::Started(request, index)
+                Observation::Started(request, index)
             } else {
-                Seen::Progress(request, index)
+                Observation::Progress(request, index)
             };
             facade.report(now, seen);
         }
--- a/crates/server/src/net/hot_restart/fingerprint.rs
+++ b/crates/server/src/net/hot_restart/fingerprint.rs
@@ -5,7 +5,7 @@
 
 use std::net::SocketAddr;
 
-use oakshed_core::names::number_of;
+use oakshed_core::names::hash_name;
 
 use crate::config::Config;
 
@@ -13,7 +13,7 @@
 /// workers of another installation: an endpoint list from there would be kept for good once its number is one that this
 /// scheduler's own discovery reaches too.
 pub(super) fn configuration_fingerprint(config: &Config, discovery: SocketAddr) -> u64 {
-    number_of(&format!(
+    hash_name(&format!(
         "{discovery} {} {:?}",
         config.settings.fingerprint_form(),
         config.names
--- a/crates/server/src/net/hot_restart/mod.rs
+++ b/crates/server/src/net/hot_restart/mod.rs
@@ -80,7 +80,9 @@
     /// Sets `has_predecessor` or `has_successor`, and adapts the share of the limits.
     fn set(&self, net: &Net, flag: &Cell<bool>, value: bool) {
         flag.set(value);
-        net.facade.borrow_mut().share(self.process_count());
+        net.facade
+            .borrow_mut()
+            .set_process_count(self.process_count());
     }
 }
 
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -171,7 +171,7 @@
 /// Converts a time in the settings. Rejects a negative one, which would otherwise be taken as 0.
 fn parse_span(path: &str, ms: f64) -> Result<Span, BootInfoError> {
     if (0.0..=MAX_TIME_MS).contains(&ms) {
-        Ok(Span::from_micros(micros(ms)))
+        Ok(Span::from_micros(ms_to_micros(ms)))
     } else {
         Err(BootInfoError::Time {
             path: path.to_owned(),
@@ -228,7 +228,7 @@
 
 /// Converts milliseconds to microseconds; a value that is not a positive number counts as 0.
 #[must_use]
-pub fn micros(ms: f64) -> Micros {
+pub fn ms_to_micros(ms: f64) -> Micros {
     (ms * 1000.0).round().max(0.0) as Micros
 }
 
@@ -288,7 +288,7 @@
         poll_interval: parse_span("obligations.ask-every-ms", obligations.ask_every_ms)?,
         weights: parse_choice("weight-kind", &boot.weight_kind, &WEIGHT_KINDS)?,
         reports_start: family.reports_start,
-        in_order: parse_choice(
+        fifo_workers: parse_choice(
             "family-info.queue-order",
             &family.queue_order,
             &QUEUE_ORDERS,
@@ -302,7 +302,7 @@
         max_attempts: limits.max_attempts,
         idle_close: parse_span("limits.idle-close-ms", limits.idle_close_ms)?,
         connect_timeout: parse_span("limits.connect-timeout-ms", limits.connect_timeout_ms)?,
-        cross_price: boot.prices.cross_zone,
+        cross_zone_cost: boot.prices.cross_zone,
         tick: parse_span("resolution-ms", boot.resolution_ms)?,
         cold_share: obligations.cold_share,
         ramp: parse_span("obligations.ramp-time-ms", obligations.ramp_time_ms)?,
