--- a/crates/server/src/net/reader.rs
+++ b/crates/server/src/net/reader.rs
@@ -1,12 +1,12 @@
-//! The bytes that a client sends, below hyper.
+//! The transport between a client's socket and hyper, which enforces request boundaries.
 //!
-//! It owns where each request begins and ends: one is passed on at a time, its head whole, the next
-//! once the one before is answered. It must never answer, change a byte, buffer more than `LARGEST_BUFFER`, or stop
-//! reading while a request is answered.
+//! Requests are passed to hyper one at a time: only once the head is complete, and only after the previous request has
+//! been answered. The bytes themselves are never changed, at most `MAX_BUFFER_BYTES` are buffered, and the socket is
+//! read even while a request is being answered, so that a disconnect is noticed.
 //!
-//! Guards against what hyper does not show: it drops `Content-Length` beside `Transfer-Encoding`
-//! (before the service sees the head, in either order) and reads on behind it, it waits for the end
-//! of a head for ever, and with the next request in its buffer it no longer sees that a client left.
+//! hyper alone is not enough. It drops `Content-Length` beside `Transfer-Encoding`, in either order and before the
+//! service sees the head, and reads on after the body, which allows request smuggling. It waits for the end of a head
+//! without a time limit, and with the next request in its buffer it does not notice that the client has disconnected.
 
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -25,180 +25,184 @@
 
 use super::transient::TransientRetry;
 
-/// The longest head.
+/// The largest request head, in bytes.
 pub(super) const LONGEST_HEAD: usize = 8 << 10;
-/// The most bytes that are buffered of a connection: some heads, for clients that send requests ahead.
-const LARGEST_BUFFER: usize = 4 * LONGEST_HEAD;
-/// The most header fields; hyper takes as many.
-const MOST_FIELDS: usize = 100;
-/// The most bytes that are read and thrown away, here and once a connection ends: who sends more has it closed
-/// over the rest.
+/// The most bytes buffered for a connection: several heads, for clients that pipeline requests.
+const MAX_BUFFER_BYTES: usize = 4 * LONGEST_HEAD;
+/// The most header fields in a head, which is also the limit of hyper.
+const MAX_HEADER_FIELDS: usize = 100;
+/// The most bytes that are read and discarded, both here and while a connection is closed. A client that sends more has
+/// its connection closed with bytes unread.
 pub(super) const MOST_THROWN_AWAY: usize = 256 << 10;
-/// How much is read at once.
-const CHUNK: usize = 2 << 10;
-/// How long a request may take to arrive from when it began; the first begins with the connection.
+/// The buffer space reserved before each read, in bytes.
+const READ_CHUNK_BYTES: usize = 2 << 10;
+/// How long a request may take to arrive from its first byte; the first request starts with the connection.
 pub(super) const ARRIVAL: Duration = Duration::from_millis(2_400);
-/// How long a request may still be answered once what follows it cannot be read: its client is owed an error, or the
-/// end, within 3 s.
-const BEHIND: Duration = Duration::from_millis(1_500);
-/// A request of which nothing came for so long, or an answer of which nothing went, makes no progress.
-const STALL: Duration = Duration::from_millis(500);
+/// How long a request may still take to be answered once malformed bytes have followed it: the client must get an error
+/// or the end of the connection within 3 s.
+const ANSWER_TIMEOUT_IF_MALFORMED: Duration = Duration::from_millis(1_500);
+/// A transfer in which no byte was received or sent for this long counts as stalled.
+const STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What a connection's reader and the service above hyper tell each other.
+/// The state of a connection that its [`Reader`], below hyper, and the service, above hyper, share.
 pub(super) struct Intake {
-    /// When the request began that has not arrived in full.
-    began: Cell<Option<Instant>>,
-    /// When the last byte of it came, if one came.
-    last_byte: Cell<Option<Instant>>,
+    /// When the request that has not arrived in full started.
+    started_at: Cell<Option<Instant>>,
+    /// When its last byte so far was received, if any was.
+    last_byte_at: Cell<Option<Instant>>,
+    /// How many requests were passed to hyper, at least in part.
     passed: Cell<u64>,
     answered: Cell<u64>,
-    /// When last anything was written of an answer that is not written whole.
-    unwritten: Cell<Option<Instant>>,
-    /// What has come cannot be read.
+    /// When bytes of a response that is not written in full were last written, or when it was ready.
+    last_write: Cell<Option<Instant>>,
+    /// The client has sent bytes that are not a valid request.
     pub malformed: Cell<bool>,
-    /// Since when that lies behind a request that is being answered.
-    malformed_behind: Cell<Option<Instant>>,
-    /// Nothing can follow the request that is being passed on.
+    /// When such bytes were found behind a request that is still being answered.
+    malformed_at: Cell<Option<Instant>>,
+    /// No other request can follow the current one on this connection.
     pub last: Cell<bool>,
-    waiting: RefCell<Option<Waker>>,
+    /// Wakes the reader, which waits for the current request to be answered.
+    answer_waker: RefCell<Option<Waker>>,
 }
 
 impl Intake {
     pub(super) fn new() -> Self {
         Intake {
-            began: Cell::new(Some(Instant::now())),
-            last_byte: Cell::new(None),
+            started_at: Cell::new(Some(Instant::now())),
+            last_byte_at: Cell::new(None),
             passed: Cell::new(0),
             answered: Cell::new(0),
-            unwritten: Cell::new(None),
+            last_write: Cell::new(None),
             malformed: Cell::new(false),
-            malformed_behind: Cell::new(None),
+            malformed_at: Cell::new(None),
             last: Cell::new(false),
-            waiting: RefCell::new(None),
+            answer_waker: RefCell::new(None),
         }
     }
 
-    /// The service has answered: the next request may come once that is written.
+    /// Notes that the service has answered: the next request may be passed to hyper.
     pub(super) fn answered(&self) {
-        self.unwritten.set(Some(Instant::now()));
+        self.last_write.set(Some(Instant::now()));
         self.answered.set(self.answered.get() + 1);
-        if let Some(waker) = self.waiting.take() {
+        if let Some(waker) = self.answer_waker.take() {
             waker.wake();
         }
     }
 
-    /// The request that is being passed on has arrived in full.
+    /// Notes that the current request has arrived in full.
     pub(super) fn arrived(&self) {
-        self.began.set(None);
-        self.last_byte.set(None);
+        self.started_at.set(None);
+        self.last_byte_at.set(None);
     }
 
-    /// Whether a part of a request has come, and no more: and if so, whether it still comes in.
+    /// `None` unless a request has arrived in part; otherwise whether it is still arriving rather than stalled.
     pub(super) fn partial_request(&self, now: Instant) -> Option<bool> {
-        self.last_byte.get().map(|at| now < at + STALL)
+        self.last_byte_at.get().map(|at| now < at + STALL_TIMEOUT)
     }
 
-    /// Whether an answer is not written whole yet: and if so, whether its client still takes of it.
+    /// `None` unless a response is not written in full; otherwise whether it makes progress rather than being stalled.
     pub(super) fn unwritten(&self, now: Instant) -> Option<bool> {
-        self.unwritten.get().map(|at| now < at + STALL)
+        self.last_write.get().map(|at| now < at + STALL_TIMEOUT)
     }
 
-    /// Whether a request comes in, or its answer goes out.
+    /// Whether a request is arriving or a response is being written, and neither is stalled.
     pub(super) fn under_way(&self, now: Instant) -> bool {
         self.partial_request(now) == Some(true) || self.unwritten(now) == Some(true)
     }
 
-    /// Whether a request began too long ago and is not there yet, or its client has taken nothing of its answer for
-    /// as long.
+    /// Whether a request has not arrived within [`ARRIVAL`], the client has read nothing of a response for as long, or
+    /// malformed bytes have waited too long for the request before them.
     pub(super) fn overdue(&self, now: Instant) -> bool {
         let long_ago = |since: Option<Instant>| since.is_some_and(|at| now > at + ARRIVAL);
-        long_ago(self.began.get()) || long_ago(self.unwritten.get()) || self.malformed_for_long(now)
+        long_ago(self.started_at.get())
+            || long_ago(self.last_write.get())
+            || self.malformed_for_long(now)
     }
 
-    /// Whether a client has waited too long for the answer to what cannot be read, behind a request of its own.
+    /// Whether malformed bytes have waited too long for the request before them to be answered.
     pub(super) fn malformed_for_long(&self, now: Instant) -> bool {
-        self.malformed_behind
+        self.malformed_at
             .get()
-            .is_some_and(|at| now > at + BEHIND)
+            .is_some_and(|at| now > at + ANSWER_TIMEOUT_IF_MALFORMED)
     }
 
-    /// Whether what has come cannot be read, and nothing was being answered.
+    /// Whether the client has sent malformed bytes and no request is being answered.
     pub(super) fn is_rejected(&self) -> bool {
-        self.malformed.get() && !self.busy()
+        self.malformed.get() && !self.is_answering()
     }
 
-    fn busy(&self) -> bool {
+    /// Whether a request that was passed to hyper has not been answered.
+    fn is_answering(&self) -> bool {
         self.passed.get() > self.answered.get()
     }
 }
 
-/// How the buffered bytes go on.
+/// How the end of a buffered request is determined.
 #[derive(Debug, PartialEq)]
-enum Next {
-    /// No head is whole yet.
+enum Framing {
+    /// The head is not complete yet.
     Incomplete,
-    /// A request of so many bytes, head and body.
-    Request(u64),
+    /// A request of this many bytes, head and body.
+    Length(u64),
     /// A request whose body is chunked.
     Chunked,
-    /// No request, or one with an ambiguous end.
-    Unreadable,
+    /// Not a request, or one whose length is ambiguous.
+    Malformed,
 }
 
-/// Reads what begins with a head.
-fn next(buffer: &[u8]) -> Next {
-    // Every method is in capitals: what else there is, such as the rest of a body that is longer than
-    // its length, may never come to an end.
+/// Parses the head at the start of the buffer.
+fn parse_framing(buffer: &[u8]) -> Framing {
+    // All methods are upper case. Anything else, such as the excess of a body that is too long, is rejected at once, as
+    // the end of a head might never come.
     if buffer
         .first()
         .is_some_and(|b| !b.is_ascii_uppercase() && !b"\r\n".contains(b))
     {
-        return Next::Unreadable;
+        return Framing::Malformed;
     }
-    let mut fields = [const { MaybeUninit::uninit() }; MOST_FIELDS];
+    let mut fields = [const { MaybeUninit::uninit() }; MAX_HEADER_FIELDS];
     let mut no_fields = [];
     let mut request = Request::new(&mut no_fields);
     let head_length = match request.parse_with_uninit_headers(buffer, &mut fields) {
         Ok(Status::Complete(length)) if length <= LONGEST_HEAD => length,
-        Ok(Status::Partial) if buffer.len() < LONGEST_HEAD => return Next::Incomplete,
-        _ => return Next::Unreadable,
+        Ok(Status::Partial) if buffer.len() < LONGEST_HEAD => return Framing::Incomplete,
+        _ => return Framing::Malformed,
     };
-    let named = |name: &'static str| {
+    let fields_named = |name: &'static str| {
         request
             .headers
             .iter()
             .filter(move |h: &&Header| h.name.eq_ignore_ascii_case(name))
             .map(|h| h.value)
     };
-    let mut lengths = named("content-length");
-    let mut codings = named("transfer-encoding");
+    let mut lengths = fields_named("content-length");
+    let mut codings = fields_named("transfer-encoding");
     match (lengths.next(), lengths.next(), codings.next()) {
-        (None, _, None) => Next::Request(head_length as u64),
-        (None, _, Some(_)) => Next::Chunked,
+        (None, _, None) => Framing::Length(head_length as u64),
+        (None, _, Some(_)) => Framing::Chunked,
         (Some(length), None, None) => {
             let digits = std::str::from_utf8(length)
                 .ok()
                 .filter(|t| t.bytes().all(|b| b.is_ascii_digit()));
             let body = digits.and_then(|t| t.parse::<u64>().ok());
             body.and_then(|body| body.checked_add(head_length as u64))
-                .map_or(Next::Unreadable, Next::Request)
+                .map_or(Framing::Malformed, Framing::Length)
         }
-        _ => Next::Unreadable,
+        _ => Framing::Malformed,
     }
 }
 
-/// What hyper reads a client's requests from.
+/// The stream that hyper reads a client's requests from and writes the responses to.
 pub(super) struct Reader {
     stream: Rc<RefCell<TcpStream>>,
     intake: Rc<Intake>,
-    /// What has come and is not passed on yet.
+    /// Bytes that were received and not yet passed to hyper.
     buffer: BytesMut,
-    /// How much of `buffer` was looked at for a head's end.
-    seen: usize,
-    /// How many bytes more belong to the request that is being passed on.
-    left: u64,
-    /// How many bytes were thrown away.
-    thrown_away: usize,
+    /// How many bytes of `buffer` were searched for the end of a head.
+    searched: usize,
+    /// How many bytes of the current request are still to be passed to hyper; `u64::MAX` where its body is chunked.
+    remaining: u64,
+    discarded: usize,
     read_retry: TransientRetry,
     write_retry: TransientRetry,
 }
@@ -209,105 +213,108 @@
             stream,
             intake,
             buffer: BytesMut::new(),
-            seen: 0,
-            left: 0,
-            thrown_away: 0,
+            searched: 0,
+            remaining: 0,
+            discarded: 0,
             read_retry: TransientRetry::default(),
             write_retry: TransientRetry::default(),
         }
     }
 
-    /// Finds a head in the buffer: at once, and then only where a line that may end one has
-    /// come. Guards against one that comes byte by byte: each search costs its whole length.
-    fn find_head(&mut self) -> Next {
-        let ended = |new: &[u8]| {
+    /// Parses the head at the start of the buffer if it may be complete. A parse costs the whole length of the head, so
+    /// one that arrives byte by byte is not parsed again before an empty line.
+    fn find_head(&mut self) -> Framing {
+        let ends_head = |new: &[u8]| {
             new.windows(2).any(|w| w == b"\n\n") || new.windows(3).any(|w| w == b"\n\r\n")
         };
         let full = self.buffer.len() >= LONGEST_HEAD;
-        let worth_it = self.seen == 0 || full || ended(&self.buffer[self.seen.saturating_sub(2)..]);
-        self.seen = self.buffer.len();
-        if worth_it {
-            next(&self.buffer)
+        let may_be_complete = self.searched == 0
+            || full
+            || ends_head(&self.buffer[self.searched.saturating_sub(2)..]);
+        self.searched = self.buffer.len();
+        if may_be_complete {
+            parse_framing(&self.buffer)
         } else {
-            Next::Incomplete
+            Framing::Incomplete
         }
     }
 
-    /// Begins to pass the next request on, where its head is there.
-    fn begin(&mut self) -> io::Result<()> {
+    /// Starts to pass the next request to hyper, if its head is complete and the previous request is answered.
+    fn start_request(&mut self) -> io::Result<()> {
         let intake = &self.intake;
-        if self.buffer.is_empty() || intake.busy() || self.left > 0 {
+        if self.buffer.is_empty() || intake.is_answering() || self.remaining > 0 {
             return Ok(());
         }
-        if intake.began.get().is_none() {
-            intake.began.set(Some(Instant::now()));
-            intake.last_byte.set(Some(Instant::now()));
-            self.seen = 0;
+        if intake.started_at.get().is_none() {
+            intake.started_at.set(Some(Instant::now()));
+            intake.last_byte_at.set(Some(Instant::now()));
+            self.searched = 0;
         }
-        self.left = match self.find_head() {
-            Next::Incomplete => return Ok(()),
-            Next::Request(length) => length,
-            Next::Chunked => u64::MAX,
-            Next::Unreadable => return Err(self.reject()),
+        self.remaining = match self.find_head() {
+            Framing::Incomplete => return Ok(()),
+            Framing::Length(length) => length,
+            Framing::Chunked => u64::MAX,
+            Framing::Malformed => return Err(self.reject()),
         };
-        // A body that is longer than its length: what follows it is no request.
-        let behind = usize::try_from(self.left)
+        // Bytes after the request that are not a request: the body is longer than its `Content-Length`.
+        let following = usize::try_from(self.remaining)
             .ok()
             .and_then(|end| self.buffer.get(end..));
-        if behind.is_some_and(|behind| !behind.is_empty() && next(behind) == Next::Unreadable) {
+        if following.is_some_and(|f| !f.is_empty() && parse_framing(f) == Framing::Malformed) {
             return Err(self.reject());
         }
-        self.seen = 0;
-        self.intake.last.set(self.left == u64::MAX);
+        self.searched = 0;
+        self.intake.last.set(self.remaining == u64::MAX);
         self.intake.passed.set(self.intake.passed.get() + 1);
         Ok(())
     }
 
-    /// What cannot be read ends the connection, whatever waits on it.
+    /// Marks what was received as malformed; the error ends the connection even if a response is outstanding.
     fn reject(&self) -> io::Error {
         self.intake.malformed.set(true);
-        io::Error::new(io::ErrorKind::InvalidData, "no request")
+        io::Error::new(io::ErrorKind::InvalidData, "malformed HTTP request")
     }
 
-    /// What cannot be read behind a request: that one gets its answer first, for a while.
+    /// Discards what follows the current request as malformed. That request may still be answered, for a limited time.
     fn reject_following(&mut self) {
         self.intake.malformed.set(true);
-        self.intake.malformed_behind.set(Some(Instant::now()));
+        self.intake.malformed_at.set(Some(Instant::now()));
         self.intake.last.set(true);
-        self.thrown_away = self.buffer.len();
+        self.discarded = self.buffer.len();
         self.buffer.clear();
-        self.seen = 0;
+        self.searched = 0;
     }
 
-    /// Throws away what waits behind a request, where it is too much: nothing can follow that request any more.
-    /// Guards against clients that send much and leave: who is not read from is not seen to go. One that sends
-    /// without end is no client.
+    /// Discards the bytes that follow the current request once the buffer is full, after which no other request can
+    /// follow. Reading has to go on, as a disconnect is only noticed by reading; a client that sends more than
+    /// [`MOST_THROWN_AWAY`] is disconnected.
     fn discard_excess(&mut self) -> io::Result<()> {
-        if self.buffer.len() < LARGEST_BUFFER && self.thrown_away == 0 {
+        if self.buffer.len() < MAX_BUFFER_BYTES && self.discarded == 0 {
             return Ok(());
         }
         self.intake.last.set(true);
-        self.thrown_away += self.buffer.len();
+        self.discarded += self.buffer.len();
         self.buffer.clear();
-        self.seen = 0;
-        if self.thrown_away > MOST_THROWN_AWAY {
+        self.searched = 0;
+        if self.discarded > MOST_THROWN_AWAY {
             return Err(self.reject());
         }
         Ok(())
     }
 
-    fn pass_on(&mut self, buf: &mut ReadBuf<'_>) {
+    /// Copies buffered bytes of the current request to hyper.
+    fn fill(&mut self, buf: &mut ReadBuf<'_>) {
         let n = self
             .buffer
             .len()
             .min(buf.remaining())
-            .min(usize::try_from(self.left).unwrap_or(usize::MAX));
+            .min(usize::try_from(self.remaining).unwrap_or(usize::MAX));
         buf.put_slice(&self.buffer[..n]);
         self.buffer.advance(n);
-        if self.left < u64::MAX {
-            self.left -= n as u64;
+        if self.remaining < u64::MAX {
+            self.remaining -= n as u64;
         }
-        if self.left == 0 {
+        if self.remaining == 0 {
             self.intake.arrived();
         }
     }
@@ -320,21 +327,21 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         loop {
-            self.begin()?;
-            if self.left > 0 && !self.buffer.is_empty() {
-                self.pass_on(buf);
+            self.start_request()?;
+            if self.remaining > 0 && !self.buffer.is_empty() {
+                self.fill(buf);
                 return Poll::Ready(Ok(()));
             }
-            let behind = self.left == 0 && self.intake.busy();
-            if behind {
-                // Another request waits for its turn.
-                if self.thrown_away == 0
-                    && self.seen < self.buffer.len()
-                    && self.find_head() == Next::Unreadable
+            let awaiting_answer = self.remaining == 0 && self.intake.is_answering();
+            if awaiting_answer {
+                // Bytes received now belong to the next request.
+                if self.discarded == 0
+                    && self.searched < self.buffer.len()
+                    && self.find_head() == Framing::Malformed
                 {
                     self.reject_following();
                 }
-                *self.intake.waiting.borrow_mut() = Some(cx.waker().clone());
+                *self.intake.answer_waker.borrow_mut() = Some(cx.waker().clone());
                 self.discard_excess()?;
             }
             let Reader {
@@ -344,12 +351,12 @@
                 read_retry,
                 ..
             } = &mut *self;
-            buffer.reserve(CHUNK);
+            buffer.reserve(READ_CHUNK_BYTES);
             let mut stream = stream.borrow_mut();
             if ready!(read_retry.poll(cx, |cx| pin!(stream.read_buf(buffer)).poll(cx)))? == 0 {
                 return Poll::Ready(Ok(()));
             }
-            intake.last_byte.set(Some(Instant::now()));
+            intake.last_byte_at.set(Some(Instant::now()));
         }
     }
 }
@@ -368,18 +375,18 @@
         let mut stream = stream.borrow_mut();
         let n = ready!(write_retry.poll(cx, |cx| Pin::new(&mut *stream).poll_write(cx, buf)))?;
         drop(stream);
-        self.intake.unwritten.set(Some(Instant::now()));
+        self.intake.last_write.set(Some(Instant::now()));
         Poll::Ready(Ok(n))
     }
 
-    /// Called once all that was to be written is.
+    /// Called by hyper once everything that it had to write is written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.intake.unwritten.set(None);
+        self.intake.last_write.set(None);
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The answer to what cannot be read is not hyper's, and is still to come.
+        // The response to a malformed request is written after hyper has finished with the connection.
         Poll::Ready(if self.intake.is_rejected() {
             Ok(())
         } else {
--- a/crates/server/src/net/reader/tests.rs
+++ b/crates/server/src/net/reader/tests.rs
@@ -1,17 +1,23 @@
-//! How the reader tells where a request ends.
+//! Tests of how the reader determines where a request ends.
 //!
-//! It owns no socket: what clients send is in tests/sockets.
+//! Connections with malformed requests are tested in `tests/sockets`.
 
 use super::*;
 
 #[test]
-fn a_request_ends_where_its_one_length_says_and_nowhere_else() {
+fn framing_accepts_one_valid_content_length_and_rejects_ambiguous_ones() {
     let head = |fields: &str| format!("POST /transfer HTTP/1.1\r\nHost: x\r\n{fields}\r\n");
-    let of = |fields: &str| next(head(fields).as_bytes());
-    let bare = head("").len() as u64;
-    assert_eq!(of(""), Next::Request(bare));
-    assert_eq!(of("Content-Length: 4\r\n"), Next::Request(bare + 19 + 4));
-    assert_eq!(of("transfer-encoding: chunked\r\n"), Next::Chunked);
+    let framing_of = |fields: &str| parse_framing(head(fields).as_bytes());
+    let head_length = head("").len() as u64;
+    assert_eq!(framing_of(""), Framing::Length(head_length));
+    assert_eq!(
+        framing_of("Content-Length: 4\r\n"),
+        Framing::Length(head_length + 19 + 4)
+    );
+    assert_eq!(
+        framing_of("transfer-encoding: chunked\r\n"),
+        Framing::Chunked
+    );
     for ambiguous in [
         "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
         "Transfer-Encoding: chunked\r\ncontent-length: 4\r\n",
@@ -23,9 +29,9 @@
         "Content-Length: 99999999999999999999\r\n",
         "no field\r\n",
     ] {
-        assert_eq!(of(ambiguous), Next::Unreadable, "{ambiguous}");
+        assert_eq!(framing_of(ambiguous), Framing::Malformed, "{ambiguous}");
     }
-    assert_eq!(next(b"POST /transfer HT"), Next::Incomplete);
-    assert_eq!(next(b"dy"), Next::Unreadable);
-    assert_eq!(next(&vec![b'A'; LONGEST_HEAD]), Next::Unreadable);
+    assert_eq!(parse_framing(b"POST /transfer HT"), Framing::Incomplete);
+    assert_eq!(parse_framing(b"dy"), Framing::Malformed);
+    assert_eq!(parse_framing(&vec![b'A'; LONGEST_HEAD]), Framing::Malformed);
 }
