--- a/crates/server/src/net/admin.rs
+++ b/crates/server/src/net/admin.rs
@@ -1,8 +1,8 @@
-//! The operators' address: a line in, an answer out, and the connection ends.
+//! The operators' address: each connection carries one command line and one response, and is then closed.
 //!
-//! It owns the form of the calls and the connections that bring them, out of a reserve of descriptors of
-//! their own. It must never take a job, hold an answer back, or let callers that say nothing keep others
-//! out.
+//! Its connections have a reserve of file descriptors, so that commands are answered however many clients are
+//! connected. At the limit, connections that have sent no command yet are closed in favour of new ones. Jobs are not
+//! accepted here.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -20,84 +20,83 @@
 use super::exclusions::ExclusionError;
 use super::{front, Net};
 
-/// Descriptors that are reserved for operators.
-pub(super) const SOCKETS: usize = 16;
-/// Connections at once: one descriptor listens, one accepts the next caller of a full house, the rest
-/// are on their way from closed to gone.
-const CALLERS: usize = SOCKETS - 4;
-/// The longest call; ids of workers are shorter.
-const LONGEST: usize = 1 << 10;
-/// How long a call may take to come, and its answer to be taken.
-const CALL: Duration = Duration::from_secs(10);
-const ANSWER: Duration = Duration::from_secs(2);
-/// How long to wait where accepting fails.
-const PAUSE: Duration = Duration::from_millis(20);
+/// File descriptors that are reserved for operators.
+pub(super) const MAX_SOCKETS: usize = 16;
+/// The most open connections. Of the other descriptors one is the listener's and one a connection's that is accepted at
+/// the limit; the rest allow for connections that are being closed.
+const MAX_CONNECTIONS: usize = MAX_SOCKETS - 4;
+/// The longest command, in bytes; worker ids are shorter.
+const MAX_COMMAND_BYTES: usize = 1 << 10;
+/// How long a connection may stay open in all.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
+/// How long writing a response may take.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The delay before accepting is retried after an error.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Binds the operators' address.
 pub(super) fn listen(address: SocketAddr) -> Result<TcpListener, ServeError> {
     front::listen(address, false).map_err(ServeError::Operators)
 }
 
-/// A caller whose call has not come yet.
-struct Caller {
-    /// It has sent something.
-    spoke: Cell<bool>,
-    leave: Notify,
+/// An open connection.
+struct Connection {
+    has_sent: Cell<bool>,
+    close: Notify,
 }
 
-/// The callers whose calls are open, in the order in which they came.
+/// The open connections, in the order in which they were accepted.
 #[derive(Default)]
-struct Callers {
-    open: RefCell<Vec<Rc<Caller>>>,
-    /// One of them has ended.
-    ended: Notify,
+struct Connections {
+    open: RefCell<Vec<Rc<Connection>>>,
+    closed: Notify,
 }
 
-impl Callers {
-    /// Returns once one more may come. A full house gives up who has said nothing, longest first, then who has said
-    /// half.
+impl Connections {
+    /// Returns once there is capacity for one more connection. At the limit it closes the oldest connection that has
+    /// sent nothing, or the oldest of all if each has sent something.
     async fn evict_beyond_limit(&self) {
-        while self.open.borrow().len() >= CALLERS {
-            let least = self
+        while self.open.borrow().len() >= MAX_CONNECTIONS {
+            let evicted = self
                 .open
                 .borrow()
                 .iter()
-                .min_by_key(|caller| caller.spoke.get())
+                .min_by_key(|connection| connection.has_sent.get())
                 .cloned();
-            if let Some(caller) = least {
-                caller.leave.notify_one();
+            if let Some(connection) = evicted {
+                connection.close.notify_one();
             }
-            self.ended.notified().await;
+            self.closed.notified().await;
         }
     }
 
-    fn add(&self) -> Rc<Caller> {
-        let caller = Rc::new(Caller {
-            spoke: Cell::new(false),
-            leave: Notify::new(),
+    fn add(&self) -> Rc<Connection> {
+        let connection = Rc::new(Connection {
+            has_sent: Cell::new(false),
+            close: Notify::new(),
         });
-        self.open.borrow_mut().push(caller.clone());
-        caller
+        self.open.borrow_mut().push(connection.clone());
+        connection
     }
 
-    fn remove(&self, caller: &Rc<Caller>) {
+    fn remove(&self, connection: &Rc<Connection>) {
         self.open
             .borrow_mut()
-            .retain(|open| !Rc::ptr_eq(open, caller));
-        self.ended.notify_one();
+            .retain(|open| !Rc::ptr_eq(open, connection));
+        self.closed.notify_one();
     }
 }
 
-/// Serves operators until the program ends.
+/// Accepts and serves connections until the process exits.
 pub(super) async fn run(net: Rc<Net>, listener: TcpListener) {
-    let callers = Rc::new(Callers::default());
+    let connections = Rc::new(Connections::default());
     let mut errors = 0_u64;
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 _ = stream.set_nodelay(true);
-                callers.evict_beyond_limit().await;
-                spawn_caller(&net, &callers, stream);
+                connections.evict_beyond_limit().await;
+                spawn_connection(&net, &connections, stream);
             }
             Err(e) => {
                 errors += 1;
@@ -108,70 +107,73 @@
                         "operators' address: accept failed {errors} times: {e}"
                     );
                 }
-                tokio::time::sleep(PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn spawn_caller(net: &Rc<Net>, callers: &Rc<Callers>, mut stream: TcpStream) {
-    let caller = callers.add();
+fn spawn_connection(net: &Rc<Net>, connections: &Rc<Connections>, mut stream: TcpStream) {
+    let connection = connections.add();
     let net = net.clone();
-    let callers = callers.clone();
+    let connections = connections.clone();
     tokio::task::spawn_local(async move {
         tokio::select! {
-            _ = tokio::time::timeout(CALL, serve_connection(&net, &caller, &mut stream)) => {}
-            () = caller.leave.notified() => {}
+            _ = tokio::time::timeout(CONNECTION_TIMEOUT, serve_connection(&net, &connection, &mut stream)) => {}
+            () = connection.close.notified() => {}
         }
         drop(stream);
-        callers.remove(&caller);
+        connections.remove(&connection);
     });
 }
 
-/// One call and its answer.
+/// Reads one command and writes its response.
 async fn serve_connection(
     net: &Rc<Net>,
-    caller: &Caller,
+    connection: &Connection,
     stream: &mut TcpStream,
 ) -> io::Result<()> {
-    let mut call = Vec::new();
-    let answer = loop {
-        let mut piece = [0; 256];
-        let n = stream.read(&mut piece).await?;
-        caller.spoke.set(true);
-        call.extend_from_slice(&piece[..n]);
-        // A call may also end with the connection's writing side.
-        let end = call
+    let mut command = Vec::new();
+    let response = loop {
+        let mut chunk = [0; 256];
+        let n = stream.read(&mut chunk).await?;
+        connection.has_sent.set(true);
+        command.extend_from_slice(&chunk[..n]);
+        // The command ends with a line feed, or where the operator shuts down the sending side.
+        let end = command
             .iter()
             .position(|b| *b == b'\n')
-            .or_else(|| (n == 0).then_some(call.len()));
+            .or_else(|| (n == 0).then_some(command.len()));
         match end {
-            _ if call.len() > LONGEST => break "NO too long\n".to_owned(),
-            Some(end) => break answer(net, &call[..end]),
+            _ if command.len() > MAX_COMMAND_BYTES => break "NO command too long\n".to_owned(),
+            Some(end) => break respond(net, &command[..end]),
             None => {}
         }
     };
-    if let Ok(written) = tokio::time::timeout(ANSWER, stream.write_all(answer.as_bytes())).await {
+    if let Ok(written) =
+        tokio::time::timeout(RESPONSE_TIMEOUT, stream.write_all(response.as_bytes())).await
+    {
         written?;
         front::lingering_close(stream, b"", None).await;
     }
     Ok(())
 }
 
-fn answer(net: &Rc<Net>, call: &[u8]) -> String {
-    let Ok(call) = std::str::from_utf8(call) else {
-        return "NO not text\n".to_owned();
+/// Executes a command and returns its response.
+fn respond(net: &Rc<Net>, command: &[u8]) -> String {
+    let Ok(command) = std::str::from_utf8(command) else {
+        return "NO command is not UTF-8\n".to_owned();
     };
-    let words: Vec<&str> = call.split_ascii_whitespace().collect();
+    let words: Vec<&str> = command.split_ascii_whitespace().collect();
     let outcome = match words.as_slice() {
         ["readyz"] => ready(net),
         ["telemetry"] => return telemetry(net),
         ["exclude", id] => exclude(net, id),
         ["include", id] => include(net, id),
-        [] => Err(CallError::Empty),
-        ["exclude" | "include"] => Err(CallError::NoId),
-        ["readyz" | "telemetry" | "exclude" | "include", ..] => Err(CallError::TooManyWords),
-        _ => Err(CallError::Unknown),
+        [] => Err(CommandError::Empty),
+        ["exclude" | "include"] => Err(CommandError::MissingId),
+        ["readyz" | "telemetry" | "exclude" | "include", ..] => Err(CommandError::TooManyArguments),
+        _ => Err(CommandError::Unknown),
     };
     match outcome {
         Ok(confirmation) => format!("YES {confirmation}\n"),
@@ -179,56 +181,56 @@
     }
 }
 
-/// Why a call is answered with NO; the text is the answer to the operator.
+/// Why a command is answered with `NO`; the text is sent to the operator.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-enum CallError {
-    #[error("empty call")]
+enum CommandError {
+    #[error("empty command")]
     Empty,
-    #[error("no id")]
-    NoId,
-    #[error("too many words")]
-    TooManyWords,
-    #[error("unknown call; there are readyz, telemetry, exclude ID, include ID")]
+    #[error("missing worker id")]
+    MissingId,
+    #[error("too many arguments")]
+    TooManyArguments,
+    #[error("unknown command; expected readyz, telemetry, exclude ID or include ID")]
     Unknown,
-    #[error("stopping")]
-    Stopping,
-    #[error("the process before is not told yet")]
+    #[error("shutting down")]
+    ShuttingDown,
+    #[error("the predecessor has not been notified yet")]
     PredecessorNotNotified,
-    #[error("no worker is ready that may be used")]
+    #[error("no usable worker is ready")]
     NoUsableWorker,
     #[error(transparent)]
     Exclusion(#[from] ExclusionError),
 }
 
-/// Whether requests that come now can be served.
-fn ready(net: &Net) -> Result<&'static str, CallError> {
+/// Whether a request that arrived now could be served.
+fn ready(net: &Net) -> Result<&'static str, CommandError> {
     if net.shutdown.is_closing() {
-        return Err(CallError::Stopping);
+        return Err(CommandError::ShuttingDown);
     }
     if !net.hot_restart.replaces_predecessor() {
-        return Err(CallError::PredecessorNotNotified);
+        return Err(CommandError::PredecessorNotNotified);
     }
     if !net.can_serve() {
-        return Err(CallError::NoUsableWorker);
+        return Err(CommandError::NoUsableWorker);
     }
     Ok("ready")
 }
 
-/// Excludes a worker from what is new.
-fn exclude(net: &Net, id: &str) -> Result<&'static str, CallError> {
+/// Excludes a worker from new attempts.
+fn exclude(net: &Net, id: &str) -> Result<&'static str, CommandError> {
     let mut facade = net.facade.borrow_mut();
     let confirmation = net.exclusions.exclude(&mut facade, net.clock.now(), id)?;
     Ok(confirmation)
 }
 
 /// Ends a worker's exclusion.
-fn include(net: &Net, id: &str) -> Result<&'static str, CallError> {
+fn include(net: &Net, id: &str) -> Result<&'static str, CommandError> {
     let mut facade = net.facade.borrow_mut();
     let confirmation = net.exclusions.include(&mut facade, net.clock.now(), id)?;
     Ok(confirmation)
 }
 
-/// The operators' figures.
+/// Returns the metrics.
 fn telemetry(net: &Net) -> String {
     let members = net.facade.borrow().members();
     net.ledger
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -1,13 +1,12 @@
-//! The network side of the program: sockets, HTTP and the platform's protocol, around the facade.
+//! The network layer of the scheduler: sockets, HTTP and the platform's protocol, around the core's [`Facade`].
 //!
-//! This file owns `Net`, which holds the parts together; what a function needs of one part alone it is passed. `serve`
-//! is the way of a start, `timer` the time of the decisions, `reload` and `shutdown` what follows a signal, `clock` and
-//! `counters` what their names say. It must never decide on a request: each step comes from the facade, and what is
-//! seen goes back to it.
+//! All decisions are made by the facade; this layer carries out its steps and reports back what it observes. `Net`
+//! holds the state of the submodules. `serve` starts the process, `timer` runs the facade's timer, and `reload` and
+//! `shutdown` handle signals.
 //!
-//! The parts use one another in one direction: `front` uses `durable` and `workers`, `durable` uses
-//! `workers`, and `workers` neither. `answers` and `forwarded_request` are leaves: all three use them, and they
-//! use none of the three. What an attempt has to say goes back through the trait `workers::AttemptObserver`.
+//! Dependencies between the submodules are acyclic: `front` uses `durable` and `workers`, and `durable` uses `workers`.
+//! All three use `answers` and `forwarded_request`, which use none of them. Attempts report their events through the
+//! trait `workers::AttemptObserver`.
 
 mod admin;
 mod answers;
@@ -47,17 +46,18 @@
 use shutdown::Shutdown;
 pub use transient::retry_at_start;
 
-/// Descriptors for what is not a client or a worker: standard streams, the runtime's own, the
-/// listener, discovery, and what is on its way from closed to gone.
+/// File descriptors reserved for uses other than client and worker connections: standard streams, the runtime, the
+/// listener, discovery, and connections that are being closed.
 const RESERVED_SOCKETS: usize = 32;
-/// Where hardly any are left beside those, so many are for clients, and as many for workers.
-const LEAST_SHARE: usize = 4;
-/// Tells the other side that nothing more will come.
+/// The fewest file descriptors for clients, and for workers, however low the limit is.
+const MIN_SOCKET_SHARE: usize = 4;
+
+/// Shuts down the sending side of a connection.
 pub(crate) fn end_sending(stream: &TcpStream) -> io::Result<()> {
     socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write)
 }
 
-/// The parts of the process, each of which owns what its name says.
+/// The shared state of the process.
 pub(crate) struct Net {
     pub config: Config,
     pub clock: Clock,
@@ -66,16 +66,16 @@
     pub discovery: discovery::DiscoveryState,
     pub shutdown: Shutdown,
     pub counters: Counters,
-    /// What became of requests, for operators.
+    /// Counts of requests by outcome, for the metrics.
     pub ledger: Ledger,
-    /// The start is complete: requests may be served as far as the endpoint list allows.
+    /// Startup is complete: requests may be served if the endpoint list has ready workers.
     pub started: Cell<bool>,
     pub open_requests: Rc<forwarded_request::OpenRequests>,
     pub hot_restart: hot_restart::HotRestart,
     pub exclusions: exclusions::Exclusions,
-    /// Durable jobs, where the operators have switched them on.
+    /// Durable jobs, if operators have enabled them.
     pub durable: Option<durable::Durable>,
-    /// What schedulers share, where the operators have switched that on.
+    /// The exchange of state with other schedulers, if operators have enabled it.
     pub peers: Option<peers::Peers>,
 }
 
@@ -99,34 +99,36 @@
         }
     }
 
+    /// Reports an observation to the facade.
     pub(crate) fn report(&self, seen: Seen<'_>) {
         self.facade.borrow_mut().report(self.clock.now(), seen);
     }
 
-    /// Reports an endpoint list, with the wall clock by which its workers' starts are to be judged.
+    /// Reports an endpoint list, preceded by the wall-clock time against which the start times in it are compared.
     pub(crate) fn report_list(&self, kind: ListKind, entries: &[Entry]) {
         self.report(Seen::WallClock(wall_clock()));
         self.report(Seen::List(kind, entries));
     }
 
+    /// Waits for the next step of a request.
     pub(crate) async fn pick(&self, request: oakshed_core::facade::Handle) -> Step {
         poll_fn(|cx| self.facade.borrow_mut().pick(request, cx.waker())).await
     }
 
-    /// Whether requests that come now can be served.
+    /// Whether a request that arrived now could be served.
     pub(crate) fn can_serve(&self) -> bool {
         let facade = self.facade.borrow();
         self.started.get() && self.workers.any_ready(|name| !facade.is_excluded(name))
     }
 
-    /// Descriptors for clients, and as many for workers. Two processes of this scheduler share them.
+    /// The number of file descriptors for clients, and for workers. During a hot restart the processes share the limit.
     pub(crate) fn socket_share(&self) -> usize {
-        let operators = if self.config.admin.is_some() {
-            admin::SOCKETS
+        let admin_sockets = if self.config.admin.is_some() {
+            admin::MAX_SOCKETS
         } else {
             0
         };
         let sockets = self.config.sockets / self.hot_restart.process_count();
-        (sockets.saturating_sub(RESERVED_SOCKETS + operators) / 2).max(LEAST_SHARE)
+        (sockets.saturating_sub(RESERVED_SOCKETS + admin_sockets) / 2).max(MIN_SOCKET_SHARE)
     }
 }
