--- a/crates/server/src/net/exclusions.rs
+++ b/crates/server/src/net/exclusions.rs
@@ -1,8 +1,9 @@
-//! Manual exclusions of workers, as they are stored for a predecessor or successor and for the next start.
+//! Persistence of manual worker exclusions, for both processes of a hot restart and for the next startup.
 //!
-//! It owns the directory of exclusions: one file for each excluded worker, by its id. The exclusions in force are
-//! the facade's; it must never let one process overwrite what another has recorded, or confirm an exclusion that is
-//! not in force yet.
+//! The facade holds the exclusions in force. Each is recorded as an empty file, named after the worker's id, in a
+//! directory that the processes share: one process cannot overwrite what another has recorded, and each picks up the
+//! other's changes by reading the directory at intervals. An exclusion is in force before it is confirmed to the
+//! operator, whether or not it could be recorded.
 
 #[cfg(test)]
 mod tests;
@@ -22,62 +23,64 @@
 use super::Net;
 use oakshed_core::facade::{Facade, Micros};
 
-/// Between two reads of the directory; an exclusion must be in force in both processes within 300 ms.
+/// The interval at which the directory is read; an exclusion must be in force in both processes within 300 ms.
 const RELOAD_PERIOD: Duration = Duration::from_millis(100);
-/// How often a start tries to read the directory.
-const READS_AT_START: u32 = 6;
-/// The most files that are read, and the most exclusions that are stored.
+/// How many times reading the directory is attempted at startup.
+const STARTUP_READ_ATTEMPTS: u32 = 6;
+/// The most files that are read from the directory, and the most exclusions that are recorded.
 const MAX_EXCLUSIONS: usize = 4_096;
-/// The longest id that is stored, in bytes: a file's name holds 255 bytes, two for each of the id's.
-const LONGEST_ID: usize = 120;
-/// The directory's name on disk, which other versions know.
+/// The longest worker id that is recorded, in bytes: a file name has at most 255 bytes, and uses two per byte of the
+/// id.
+const MAX_ID_BYTES: usize = 120;
+/// The name of the directory on disk, which is shared with other versions of the program.
 const DIRECTORY: &str = "bans";
 
-/// The exclusions as recorded in the directory, where there is one.
+/// The exclusions recorded in the directory.
 #[derive(Default)]
 pub(crate) struct Exclusions {
+    /// `None` if the processes of this scheduler have no shared directory.
     directory: RefCell<Option<PathBuf>>,
-    /// What the directory contained when it was last read, and what was recorded since.
+    /// The ids that the directory contained when it was last read, and those recorded since.
     recorded: RefCell<FxHashSet<String>>,
-    /// Exclusions in force in this process that are not on disk yet: writing is retried.
+    /// The ids excluded in this process that could not be written yet; writing is retried.
     unwritten: RefCell<FxHashSet<String>>,
 }
 
-/// Why an exclusion is not recorded in the directory.
+/// Why recording an exclusion failed.
 #[derive(Debug, Error)]
 enum RecordError {
-    /// The system has failed: retried.
+    /// An I/O error; recording is retried.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It never will be recorded.
+    /// The exclusion cannot be recorded at all, so there is no retry.
     #[error(transparent)]
     Unrecordable(#[from] Unrecordable),
 }
 
-/// Why an exclusion can never be recorded.
+/// Why an exclusion cannot be recorded at all.
 #[derive(Debug, Error)]
 enum Unrecordable {
-    #[error("there is no folder for it")]
+    #[error("there is no shared directory")]
     NoDirectory,
-    #[error("the id is too long for a file's name")]
+    #[error("its id is too long for a file name")]
     IdTooLong,
-    #[error("there are too many")]
+    #[error("the limit of {MAX_EXCLUSIONS} exclusions is reached")]
     TooMany,
 }
 
-/// Why an operator's call was not carried out; the text is the answer to the operator.
+/// Why an operator's command failed; the text is sent to the operator.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub(super) enum ExclusionError {
     /// Discovery has never listed a worker with this id.
-    #[error("this id was never listed")]
+    #[error("no worker with this id was ever listed")]
     NeverListed,
-    /// The file that records the exclusion is still there.
-    #[error("its ban can't be removed; see the log")]
+    /// The file that records the exclusion cannot be removed.
+    #[error("its recorded exclusion cannot be removed; see the log")]
     NotRemoved,
 }
 
 impl Exclusions {
-    /// Excludes a worker; returns the answer to the operator.
+    /// Excludes a worker; returns the confirmation for the operator.
     pub(super) fn exclude(
         &self,
         facade: &mut Facade,
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Ends a worker's exclusion; returns the answer to the operator.
+    /// Ends a worker's exclusion; returns the confirmation for the operator.
     pub(super) fn include(
         &self,
         facade: &mut Facade,
@@ -120,14 +123,14 @@
         id: &str,
     ) -> Result<&'static str, ExclusionError> {
         self.unwritten.borrow_mut().remove(id);
-        // First the file: else the next reload would bring the exclusion back.
+        // The file is removed first; otherwise the next reload would restore the exclusion.
         if let Some(directory) = &*self.directory.borrow() {
-            match fs::remove_file(directory.join(name_of(id))) {
+            match fs::remove_file(directory.join(file_name_of(id))) {
                 Err(e) if e.kind() != io::ErrorKind::NotFound && facade.is_excluded(id) => {
                     warn!(
                         worker = id,
                         error = %e,
-                        "worker {id}: its exclusion cannot be removed: {e}"
+                        "worker {id}: recorded exclusion cannot be removed: {e}"
                     );
                     return Err(ExclusionError::NotRemoved);
                 }
@@ -145,37 +148,37 @@
     fn record(&self, id: &str) -> Result<(), RecordError> {
         let directory = self.directory.borrow();
         let directory = directory.as_ref().ok_or(Unrecordable::NoDirectory)?;
-        if id.len() > LONGEST_ID {
+        if id.len() > MAX_ID_BYTES {
             return Err(Unrecordable::IdTooLong.into());
         }
         if self.recorded.borrow().len() + self.unwritten.borrow().len() >= MAX_EXCLUSIONS {
             return Err(Unrecordable::TooMany.into());
         }
-        // A directory that has vanished is not created here: an empty one would end all other exclusions.
-        File::create(directory.join(name_of(id)))?;
+        // A missing directory is not created again here: the next reload would end all exclusions that it had recorded.
+        File::create(directory.join(file_name_of(id)))?;
         self.recorded.borrow_mut().insert(id.to_owned());
         Ok(())
     }
 
-    /// Retries to write what could not be written.
+    /// Retries to record the exclusions that could not be written.
     fn retry_unwritten(&self) {
         let ids: Vec<String> = self.unwritten.take().into_iter().collect();
         for id in ids {
             match self.record(&id) {
-                Ok(()) => info!(worker = id, "worker {id}: its exclusion is recorded now"),
+                Ok(()) => info!(worker = id, "worker {id}: exclusion recorded after a retry"),
                 Err(RecordError::Io(_)) => _ = self.unwritten.borrow_mut().insert(id),
                 Err(RecordError::Unrecordable(why)) => {
                     warn!(
                         worker = id,
                         error = %why,
-                        "worker {id}: its exclusion cannot be recorded: {why}"
+                        "worker {id}: exclusion cannot be recorded: {why}"
                     );
                 }
             }
         }
     }
 
-    /// Takes over what another process has recorded or removed.
+    /// Applies the exclusions that another process has recorded or removed.
     fn reload(&self, facade: &mut Facade, now: Micros) -> io::Result<()> {
         let Some(directory) = &*self.directory.borrow() else {
             return Ok(());
@@ -185,7 +188,7 @@
         for id in found.difference(&recorded) {
             facade.resume_exclusion(now, id);
         }
-        // What was never recorded stays excluded.
+        // Exclusions that were never recorded stay in force.
         for id in recorded.difference(&found) {
             facade.include(now, id);
         }
@@ -194,7 +197,7 @@
     }
 }
 
-/// Takes over the recorded exclusions before anything is forwarded, and keeps reloading them.
+/// Applies the recorded exclusions before anything is forwarded, and starts the task that reloads them.
 pub(super) fn start(net: &Rc<Net>, directory: &SharedDirectory) {
     let path = directory.path(DIRECTORY);
     net.exclusions.directory.replace(Some(path.clone()));
@@ -212,7 +215,7 @@
             tokio::time::sleep(RELOAD_PERIOD).await;
             created = created || create_directory(&path).is_ok();
             net.exclusions.retry_unwritten();
-            // What can't be read now stands as it was.
+            // If the directory cannot be read, the exclusions stay as they are.
             _ = net
                 .exclusions
                 .reload(&mut net.facade.borrow_mut(), net.clock.now());
@@ -220,7 +223,7 @@
     });
 }
 
-/// Creates the directory where there is none.
+/// Creates the directory if it does not exist.
 fn create_directory(directory: &Path) -> io::Result<()> {
     match fs::create_dir(directory) {
         Err(e) if e.kind() != io::ErrorKind::AlreadyExists => Err(e),
@@ -228,10 +231,10 @@
     }
 }
 
-/// Reads the exclusions at a start, a few times where the system fails: a missed one would be forwarded to.
+/// Reads the exclusions at startup, with retries: requests would be forwarded to a worker whose exclusion was missed.
 fn read_at_start(net: &Net, directory: &Path, created: &mut bool) -> io::Result<()> {
     let mut outcome = Ok(());
-    for _ in 0..READS_AT_START {
+    for _ in 0..STARTUP_READ_ATTEMPTS {
         let creation = create_directory(directory);
         *created = creation.is_ok();
         outcome = creation.and_then(|()| {
@@ -246,28 +249,30 @@
     outcome
 }
 
-/// The exclusions recorded in a directory. Other files are ignored.
+/// Returns the ids of the workers that are excluded according to the directory. Other files in it are ignored.
 fn read(directory: &Path) -> io::Result<FxHashSet<String>> {
     let mut found = FxHashSet::default();
     for entry in fs::read_dir(directory)?.take(MAX_EXCLUSIONS) {
-        found.extend(entry?.file_name().to_str().and_then(id_of));
+        found.extend(entry?.file_name().to_str().and_then(id_of_file));
     }
     Ok(found)
 }
 
-/// A file's name for an id, whatever bytes it holds.
-fn name_of(id: &str) -> String {
+/// The file name for a worker's id: its bytes in hexadecimal, as an id may contain any character.
+fn file_name_of(id: &str) -> String {
     id.bytes().map(|b| format!("{b:02x}")).collect()
 }
 
-fn id_of(name: &str) -> Option<String> {
+/// The worker's id for a file name, unless the file is not one of an exclusion.
+fn id_of_file(file_name: &str) -> Option<String> {
     let digits = |at: usize| {
-        name.get(at..at + 2)
+        file_name
+            .get(at..at + 2)
             .and_then(|two| u8::from_str_radix(two, 16).ok())
     };
-    let bytes: Option<Vec<u8>> = (0..name.len()).step_by(2).map(digits).collect();
-    // Only what this program would write: one id has one name.
+    let bytes: Option<Vec<u8>> = (0..file_name.len()).step_by(2).map(digits).collect();
+    // Accepts only the form that `file_name_of` produces, so that each id has one file name.
     String::from_utf8(bytes?)
         .ok()
-        .filter(|id| !id.is_empty() && name_of(id) == name)
+        .filter(|id| !id.is_empty() && file_name_of(id) == file_name)
 }
