--- a/crates/server/src/net/shutdown.rs
+++ b/crates/server/src/net/shutdown.rs
@@ -1,7 +1,8 @@
-//! The way of a shutdown: from SIGTERM or SIGINT to the last answer.
+//! Graceful shutdown on SIGTERM or SIGINT.
 //!
-//! It owns the state and the times of a shutdown. It must never leave a request without an answer before SIGKILL, or
-//! keep the process from ending by then.
+//! The platform sends SIGKILL a fixed time after SIGTERM. The process first serves as before, as requests still arrive
+//! (draining), and then closes its connections. Before SIGKILL each request must have its answer, and the process must
+//! have exited.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,42 +15,45 @@
 use super::{Clock, Net};
 use oakshed_core::facade::{Micros, Settings};
 
-/// How long after SIGTERM the platform may still bring requests that must be answered, whatever else: its
-/// front sends some for 0.4 s, and clients use their connections until these are closed.
-const LINGER: Micros = 720_000;
-/// SIGKILL follows SIGTERM after the longest deadline, or this where that is longer, and a bit.
-const LONGEST_STOP: Micros = 3_000_000;
-const STOP_MARGIN: Micros = 700_000;
-/// The last answer is out this long before SIGKILL: the process may be paused for 0.15 s just then, and has to end.
-const BEFORE_KILL: Micros = 250_000;
-/// Closing takes so long, the last answers included; the platform's margin is longer.
-const CLOSING: Micros = 330_000;
-/// What is idle is closed so long before SIGKILL, or half of the time there is, where the next process serves: later,
-/// what comes at the last moment could not be answered any more.
-const IDLE_UNTIL: Micros = 1_000_000;
+/// How long connections are served after SIGTERM at least, in microseconds, unless `CLOSE_TIME` leaves less. The
+/// platform's front end sends requests for another 0.4 s, and clients use their connections until these are closed.
+const MIN_DRAIN_TIME: Micros = 720_000;
+/// SIGKILL follows SIGTERM after the longest deadline of a class or this time, whichever is shorter, plus
+/// `KILL_MARGIN`; in microseconds.
+const MAX_DEADLINE_AWAITED: Micros = 3_000_000;
+/// The time that the platform adds to the longest deadline before it sends SIGKILL, in microseconds.
+const KILL_MARGIN: Micros = 700_000;
+/// How long before SIGKILL the last answer must be written, in microseconds: the process may be paused for 0.15 s just
+/// then, and still has to exit.
+const ANSWER_MARGIN: Micros = 250_000;
+/// The time reserved for closing connections and writing the last answers, in microseconds; `KILL_MARGIN` is longer.
+const CLOSE_TIME: Micros = 330_000;
+/// How long before SIGKILL idle connections are closed if a successor serves, but not before half of the time has
+/// passed; in microseconds. With less time left, a request that arrives last could not be answered.
+const IDLE_CLOSE_MARGIN: Micros = 1_000_000;
 
-/// The times of a shutdown that has begun.
+/// The deadlines of a shutdown in progress.
 #[derive(Clone, Copy)]
 struct ShutdownTimes {
-    /// Requests that arrive later have `last_answer` as their deadline.
-    bounds_arrivals_after: Micros,
-    /// When the last answer has to be written.
+    /// Requests that arrive later have their deadline limited to `last_answer`.
+    limits_deadlines_from: Micros,
+    /// When the last answer must be written.
     last_answer: Micros,
 }
 
-/// How far the shutdown of this process has come.
+/// The progress of this process's shutdown.
 pub(crate) struct Shutdown {
     clock: Clock,
-    /// Nothing new is taken, and what is open is finished.
+    /// Connections are being closed: no new ones are accepted, and requests in progress are finished.
     pub closing: watch::Sender<bool>,
-    /// The successor has the listening socket: nothing more is accepted.
+    /// A successor accepts from the listening socket, so this process no longer does.
     pub handed_over: watch::Sender<bool>,
-    /// Set at SIGTERM.
+    /// Set when a shutdown is requested.
     times: Cell<Option<ShutdownTimes>>,
 }
 
 impl Shutdown {
-    /// A process that goes on.
+    /// The state before a shutdown is requested.
     pub(super) fn new(clock: Clock) -> Shutdown {
         Shutdown {
             clock,
@@ -67,76 +71,76 @@
         *self.handed_over.borrow()
     }
 
-    /// A deadline, cut to what SIGKILL leaves of it. Prevents a request that was taken late in a shutdown
-    /// from being cut off without an answer.
+    /// Limits the deadline of a request that arrived late in a shutdown, so that it is answered before SIGKILL.
     pub(crate) fn bounded(&self, arrived: Micros, deadline: Micros) -> Micros {
         match self.times.get() {
-            Some(times) if arrived > times.bounds_arrivals_after => deadline.min(times.last_answer),
+            Some(times) if arrived > times.limits_deadlines_from => deadline.min(times.last_answer),
             _ => deadline,
         }
     }
 
-    /// When the last answer of a shutdown has to be written.
+    /// When the last answer must be written; `None` before a shutdown is requested.
     pub(crate) fn last_answer(&self) -> Option<tokio::time::Instant> {
         self.times
             .get()
             .map(|times| self.clock.instant(times.last_answer))
     }
 
-    /// When nothing may be left of this process in a shutdown: a quarter of what is left then until SIGKILL.
+    /// When the process must exit, which is a quarter of the way from `last_answer` to SIGKILL; `None` before a
+    /// shutdown is requested.
     pub(crate) fn exit_deadline(&self) -> Option<tokio::time::Instant> {
         self.times
             .get()
-            .map(|times| self.clock.instant(times.last_answer + BEFORE_KILL / 4))
+            .map(|times| self.clock.instant(times.last_answer + ANSWER_MARGIN / 4))
     }
 }
 
-/// Waits for a signal, serves on for a while, and closes then.
+/// Waits for SIGTERM or SIGINT, drains, and then closes.
 pub(super) async fn shut_down_on_signal(net: Rc<Net>, mut term: Signal, mut int: Signal) {
     tokio::select! { _ = term.recv() => {} _ = int.recv() => {} }
     let has_successor = net.hot_restart.has_ready_successor();
-    let kill = time_to_kill(&net.config.settings);
-    let linger = linger(kill, has_successor);
+    let time_to_kill = time_to_kill(&net.config.settings);
+    let drain_time = drain_time(time_to_kill, has_successor);
     let now = net.clock.now();
     net.shutdown.times.set(Some(ShutdownTimes {
-        bounds_arrivals_after: now + LINGER / 2,
-        last_answer: now + kill.saturating_sub(BEFORE_KILL),
+        limits_deadlines_from: now + MIN_DRAIN_TIME / 2,
+        last_answer: now + time_to_kill.saturating_sub(ANSWER_MARGIN),
     }));
-    let ms = linger / 1_000;
+    let ms = drain_time / 1_000;
     info!(ms, "shutdown requested: serving for {ms} ms");
     if has_successor {
         info!("hot restart: no longer accepting");
         net.shutdown.handed_over.send_replace(true);
     }
-    tokio::time::sleep(Duration::from_micros(linger)).await;
+    tokio::time::sleep(Duration::from_micros(drain_time)).await;
     let owed = net.facade.borrow().owed();
     info!(owed, "closing: {owed} requests in flight");
     net.shutdown.closing.send_replace(true);
     if net.durable.is_some() {
-        return; // its jobs outlive the shutdown
+        return; // durable jobs outlive the shutdown
     }
-    // Answers what has a deadline beyond SIGKILL, at workers that hang through all of the shutdown.
+    // Answers requests whose deadline is after SIGKILL and whose workers have not responded during the shutdown.
     if let Some(last) = net.shutdown.last_answer() {
         tokio::time::sleep_until(last).await;
         net.facade.borrow_mut().answer_all(net.clock.now());
     }
 }
 
-/// From SIGTERM to SIGKILL, in microseconds.
+/// The time from SIGTERM to SIGKILL, in microseconds.
 fn time_to_kill(settings: &Settings) -> Micros {
     let deadlines = settings.classes.iter().map(|c| c.deadline.as_micros());
-    deadlines.max().unwrap_or(0).min(LONGEST_STOP) + STOP_MARGIN
+    deadlines.max().unwrap_or(0).min(MAX_DEADLINE_AWAITED) + KILL_MARGIN
 }
 
-/// For how long open connections are served on, in microseconds: about half of the time there is, as the other
-/// schedulers may be just as busy, or stopped themselves; what is left is for what was taken.
-fn linger(kill: Micros, has_successor: bool) -> Micros {
-    let half = (kill / 2).max(LINGER);
-    let linger = if has_successor {
-        half.max(kill.saturating_sub(IDLE_UNTIL))
+/// For how long open connections are still served, in microseconds. This is about half of the time until SIGKILL, as
+/// other schedulers may be just as busy, or be shutting down too; the rest is for finishing the requests accepted.
+fn drain_time(time_to_kill: Micros, has_successor: bool) -> Micros {
+    let half = (time_to_kill / 2).max(MIN_DRAIN_TIME);
+    let drain_time = if has_successor {
+        half.max(time_to_kill.saturating_sub(IDLE_CLOSE_MARGIN))
     } else {
         half
     };
-    // Prevents deadlines so short that SIGKILL comes first.
-    linger.min(kill - CLOSING)
+    // Leaves time to close before SIGKILL even where all deadlines are short.
+    drain_time.min(time_to_kill - CLOSE_TIME)
 }
