--- a/crates/server/src/net/serve.rs
+++ b/crates/server/src/net/serve.rs
@@ -1,6 +1,7 @@
-//! The start of the program and its run to the end.
+//! Startup of the scheduler, and its operation until it exits.
 //!
-//! It owns the order of a start: what is opened before what, and when the process counts as ready.
+//! Settings, addresses and stores that cannot be used fail the startup before a predecessor is affected. Connections
+//! are accepted only once all other tasks are running.
 
 use std::io;
 use std::os::fd::OwnedFd;
@@ -23,52 +24,53 @@
 use crate::config::Config;
 use oakshed_core::facade::{Facade, Seen};
 
-/// Serves until SIGTERM or SIGINT, and then until all that was taken is answered.
+/// Runs the scheduler until SIGTERM or SIGINT, and then until all accepted requests are answered.
 ///
 /// # Errors
 ///
-/// Where the settings cannot be used, or a socket, signal handler or store cannot be opened at the start.
+/// Returns an error if the settings are invalid, or if a socket, signal handler or store cannot be opened at startup.
 pub async fn serve(mut config: Config) -> Result<(), ServeError> {
-    // Before anything can be seen of the program: a signal without a handler would end it.
+    // Installed first, as a signal without a handler would kill the process.
     let signals = Signals::install()?;
     let mut facade = Facade::new(config.settings.clone(), config.seed)?;
     let admin = config.admin.map(admin::listen).transpose()?;
     let clock = Clock::new();
-    // Before the hot restart: two processes can't have one store, and the predecessor must not be disturbed.
+    // Opened before the hot restart begins: only one process can use a store, and if it is in use the predecessor must
+    // not be disturbed.
     let (durable, store_events) = durable::open(&config, clock.now())?;
     let peers = peers::open(&config, clock.now())?;
     let directory = SharedDirectory::open(config.tmp.as_deref(), config.listen).map(Rc::new);
-    let start = Start::open(directory, &mut config, &mut facade, clock)?;
+    let resources = StartupResources::open(directory, &mut config, &mut facade, clock)?;
     if let Some(advice) = durable::advice(&config) {
         info!("store: {advice}");
     }
     let mut net = Net::new(config, clock, facade, durable);
     net.peers = peers;
     let net = Rc::new(net);
-    log_start(&net, &start.listener)?;
+    log_start(&net, &resources.listener)?;
     tokio::task::spawn_local(durable::run(net.clone(), store_events));
-    if let Some(directory) = &start.directory {
+    if let Some(directory) = &resources.directory {
         exclusions::start(&net, directory);
     }
     net.report(Seen::WallClock(wall_clock()));
-    discovery::load_cached_list(&net, start.inherited_list);
+    discovery::load_cached_list(&net, resources.inherited_list);
     if net.peers.is_some() {
         tokio::task::spawn_local(peers::run(net.clone()));
     }
     net.started.set(true);
-    spawn_tasks(&net, signals, start.inherited_list);
+    spawn_tasks(&net, signals, resources.inherited_list);
     if let Some(admin) = admin {
         let at = retry_at_start(|| admin.local_addr())?;
         info!(%at, "operators call {at}");
         tokio::task::spawn_local(admin::run(net.clone(), admin));
     }
-    let listener = start.join_hot_restart(&net);
+    let listener = resources.join_hot_restart(&net);
     front::run(&net, listener).await;
     info!("stopped: {}", Summary::of(&net));
     Ok(())
 }
 
-/// The handlers of the signals that operators send.
+/// The signals that the process handles.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -86,26 +88,26 @@
     }
 }
 
-/// What a start has of its own, or of its predecessor.
-struct Start {
+/// The resources opened at startup, or inherited from the predecessor.
+struct StartupResources {
     directory: Option<Rc<SharedDirectory>>,
     listener: TcpListener,
-    /// A duplicate of the listener, for a successor.
-    donated: io::Result<OwnedFd>,
-    /// The connection to the predecessor, where there is one.
+    /// A duplicate of the listener, to be passed to a successor.
+    listener_duplicate: io::Result<OwnedFd>,
+    /// The connection to the predecessor.
     predecessor: Option<UnixStream>,
-    /// The endpoint list is the predecessor's.
+    /// The endpoint list was inherited from the predecessor.
     inherited_list: bool,
 }
 
-impl Start {
-    /// Takes over from a predecessor, or listens anew where there is none.
+impl StartupResources {
+    /// Takes over the listener of a predecessor, or binds a new one if there is no predecessor.
     fn open(
         directory: Option<Rc<SharedDirectory>>,
         config: &mut Config,
         facade: &mut Facade,
         clock: Clock,
-    ) -> Result<Start, ServeError> {
+    ) -> Result<StartupResources, ServeError> {
         let inherited = directory
             .as_ref()
             .and_then(|directory| hot_restart::take_over(directory, config));
@@ -122,21 +124,21 @@
             }
             None => front::listen(config.listen, directory.is_some())?,
         };
-        let donated = retry_at_start(|| Ok(rustix::io::dup(&listener)?));
-        Ok(Start {
+        let listener_duplicate = retry_at_start(|| Ok(rustix::io::dup(&listener)?));
+        Ok(StartupResources {
             directory,
             listener,
-            donated,
+            listener_duplicate,
             predecessor,
             inherited_list,
         })
     }
 
-    /// Replaces the predecessor and awaits a successor, where there is a place for that; returns the listener.
+    /// Replaces the predecessor and awaits a successor, if the processes have a shared directory; returns the listener.
     fn join_hot_restart(self, net: &Rc<Net>) -> TcpListener {
         if let Some(directory) = self.directory {
-            match self.donated {
-                Ok(donated) => hot_restart::start(net, directory, donated, self.predecessor),
+            match self.listener_duplicate {
+                Ok(duplicate) => hot_restart::start(net, directory, duplicate, self.predecessor),
                 Err(e) => {
                     warn!(error = %e, "hot restart: {e}; no successor can take over from this process");
                 }
@@ -158,7 +160,7 @@
     Ok(())
 }
 
-/// Starts the tasks that run for as long as the process.
+/// Spawns the tasks that run until the process exits.
 fn spawn_tasks(net: &Rc<Net>, signals: Signals, inherited_list: bool) {
     let Signals {
         terminate,
