--- a/crates/server/src/net/transient.rs
+++ b/crates/server/src/net/transient.rs
@@ -1,7 +1,8 @@
-//! Calls that fail for a moment: interrupted by a signal, or for want of the system's buffers or descriptors.
+//! Retries of system calls that fail transiently: interrupted by a signal, or for lack of buffers, memory or file
+//! descriptors.
 //!
-//! It owns when such a call is repeated, on open connections and at a start. It must never take a failed connection for
-//! one of these, or spin.
+//! The error of a failed connection is never treated as transient. Repeated failures are retried after a delay, so that
+//! they do not cause a busy loop.
 
 use std::future::Future;
 use std::io;
@@ -15,45 +16,45 @@
 use tokio::net::{TcpStream, UnixStream};
 use tokio::time::{sleep, Sleep};
 
-/// The pause before a call that has failed twice in a row is repeated.
-const PAUSE: Duration = Duration::from_millis(1);
+/// The delay between retries on an open socket.
+const RETRY_DELAY: Duration = Duration::from_millis(1);
 
-/// Whether an error of a call on an open socket passes by itself and leaves the connection as it was.
+/// Whether an error of a call on an open socket is temporary and leaves the connection intact.
 pub(super) fn is_transient(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     matches!(errno, Some(Errno::INTR | Errno::NOBUFS | Errno::NOMEM))
 }
 
-/// Whether what a start needs may be there in a moment: the system, or this process beside the one before, is short
-/// of it.
-fn passes_at_start(error: &io::Error) -> bool {
+/// Whether an error at startup may be temporary: the system is short of a resource, or this process is while it runs
+/// beside its predecessor.
+fn is_transient_at_start(error: &io::Error) -> bool {
     let errno = error.raw_os_error().map(Errno::from_raw_os_error);
     is_transient(error) || matches!(errno, Some(Errno::NFILE | Errno::MFILE | Errno::AGAIN))
 }
 
-/// How long a start tries to get what it needs.
-const START: Duration = Duration::from_secs(2);
-/// The pause between two of these tries.
-const START_PAUSE: Duration = Duration::from_millis(10);
+/// How long a call is retried at startup.
+const STARTUP_RETRY_TIMEOUT: Duration = Duration::from_secs(2);
+/// The delay between retries at startup.
+const STARTUP_RETRY_DELAY: Duration = Duration::from_millis(10);
 
-/// Repeats a call of a start, which blocks, for as long as its failure may pass.
+/// Retries a blocking call at startup while its error may be temporary.
 ///
 /// # Errors
 ///
-/// The last failure, where it is a lasting one or the time of a start is over.
+/// Returns the last error if it is permanent, or if the call did not succeed within `STARTUP_RETRY_TIMEOUT`.
 pub fn retry_at_start<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-    let until = Instant::now() + START;
+    let until = Instant::now() + STARTUP_RETRY_TIMEOUT;
     loop {
         match call() {
-            Err(error) if passes_at_start(&error) && Instant::now() < until => {
-                std::thread::sleep(START_PAUSE);
+            Err(error) if is_transient_at_start(&error) && Instant::now() < until => {
+                std::thread::sleep(STARTUP_RETRY_DELAY);
             }
             result => return result,
         }
     }
 }
 
-/// Repeats a call on an open socket, which blocks, where it fails for a moment; until then at the latest.
+/// Retries a blocking call on an open socket while it fails transiently, at the latest until the given time.
 pub(super) fn retry_until<T>(
     until: Instant,
     mut call: impl FnMut() -> io::Result<T>,
@@ -61,14 +62,15 @@
     loop {
         match call() {
             Err(error) if is_transient(&error) && Instant::now() < until => {
-                std::thread::sleep(PAUSE);
+                std::thread::sleep(RETRY_DELAY);
             }
             result => return result,
         }
     }
 }
 
-/// How much of the next byte lies unread in the system.
+/// Returns 1 if the socket has unread bytes and 0 at the end of the stream; fails with `WouldBlock` if there is
+/// neither.
 pub(super) fn peek(stream: &TcpStream) -> io::Result<usize> {
     loop {
         match socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit(); 1]) {
@@ -78,34 +80,35 @@
     }
 }
 
-/// The repetitions of one direction of a connection.
+/// The retry state of one direction of a connection.
 #[derive(Default)]
 pub(super) struct TransientRetry {
-    failed_before: bool,
-    pause: Option<Pin<Box<Sleep>>>,
+    has_failed: bool,
+    delay: Option<Pin<Box<Sleep>>>,
 }
 
 impl TransientRetry {
-    /// Polls a call, which is repeated at once where it fails for a moment, and after a pause where it does so again.
+    /// Polls a call. After the first transient failure the call is retried at once, and after each further one in a row
+    /// with a delay.
     pub(super) fn poll<T>(
         &mut self,
         cx: &mut Context<'_>,
         mut call: impl FnMut(&mut Context<'_>) -> Poll<io::Result<T>>,
     ) -> Poll<io::Result<T>> {
         loop {
-            if let Some(pause) = &mut self.pause {
-                ready!(pause.as_mut().poll(cx));
-                self.pause = None;
+            if let Some(delay) = &mut self.delay {
+                ready!(delay.as_mut().poll(cx));
+                self.delay = None;
             }
             match call(cx) {
                 Poll::Ready(Err(error)) if is_transient(&error) => {
-                    if self.failed_before {
-                        self.pause = Some(Box::pin(sleep(PAUSE)));
+                    if self.has_failed {
+                        self.delay = Some(Box::pin(sleep(RETRY_DELAY)));
                     }
-                    self.failed_before = true;
+                    self.has_failed = true;
                 }
                 result => {
-                    self.failed_before = false;
+                    self.has_failed = false;
                     return result;
                 }
             }
@@ -113,7 +116,7 @@
     }
 }
 
-/// A Unix socket whose reads and writes are repeated where they fail for a moment.
+/// A Unix socket whose reads and writes are retried where they fail transiently.
 pub(super) struct SteadyStream {
     pub(super) stream: UnixStream,
     read_retry: TransientRetry,
