--- a/crates/server/src/net/forwarded_request.rs
+++ b/crates/server/src/net/forwarded_request.rs
@@ -1,8 +1,6 @@
-//! What goes to a worker for a request, and the memory reserved for requests until they are answered.
+//! Requests as they are forwarded to workers, and the resources that open requests hold.
 //!
-//! It owns the ids of the open requests and the count of their bodies' bytes, and gives both back with the last copy of
-//! a forwarded request. It must never know who makes an attempt, or for whom: of the network's parts it uses `answers`
-//! alone.
+//! A request holds its id and the memory for its body until the last reference to its `ForwardedRequest` is dropped.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -17,34 +15,36 @@
 
 use super::answers::REQ_DEADLINE;
 
-/// Bodies may take the memory divided by this.
-const BODIES_DIVISOR: usize = 8;
-/// How long a request may have lain in the system before its arrival was noted: its client counts from before that.
-const ARRIVAL_LAG: Micros = 20_000;
-/// Of a short time less is taken off: the time divided by this.
-const LAG_DIVISOR: Micros = 10;
+/// The part of the configured memory that request bodies may use, as a divisor.
+const BODY_MEMORY_DIVISOR: usize = 8;
+/// The longest time assumed between a request's arrival in the kernel and its being read, in microseconds. The client's
+/// own deadline starts no later than the arrival.
+const MAX_ARRIVAL_LAG: Micros = 20_000;
+/// The largest part of the remaining time that is subtracted for this lag, as a divisor.
+const ARRIVAL_LAG_DIVISOR: Micros = 10;
 
-/// The deadline that is sent to a worker, in milliseconds from now: no more than what is left to the client. A process
-/// may be paused for 0.15 s between this and the write; that much slack the platform gives.
+/// The deadline sent to a worker, in milliseconds from now, which is never later than the client's own. The platform
+/// tolerates a delay of up to 0.15 s between this computation and the write, such as when the process is paused.
 pub(super) fn remaining_ms(deadline: Micros, now: Micros) -> u64 {
-    let left = deadline.saturating_sub(now);
-    (left - ARRIVAL_LAG.min(left / LAG_DIVISOR)) / 1_000
+    let remaining = deadline.saturating_sub(now);
+    (remaining - MAX_ARRIVAL_LAG.min(remaining / ARRIVAL_LAG_DIVISOR)) / 1_000
 }
 
-/// What goes to a worker unchanged.
+/// The parts of a request that every attempt forwards unchanged, and its deadline.
 pub(crate) struct ForwardedRequest {
     pub method: Method,
     pub target: PathAndQuery,
     pub headers: HeaderMap,
     pub id: HeaderValue,
     pub body: Bytes,
-    /// When the client gives up, or this program has to end.
+    /// When the client gives up, or this process has to exit.
     pub deadline: Micros,
-    /// The id and the memory for the body, which are given back with the last copy of this.
+    /// Releases the id and the memory for the body when dropped.
     pub _reservation: Option<Reservation>,
 }
 
 impl ForwardedRequest {
+    /// Builds the HTTP request to a worker, with the deadline that applies now.
     pub(super) fn request(&self, now: Micros) -> Result<Request<Full<Bytes>>, hyper::http::Error> {
         let mut request = Request::builder()
             .method(self.method.clone())
@@ -58,11 +58,11 @@
     }
 }
 
-/// The ids of the open requests, and the bytes of their bodies and of those under way.
+/// The ids of the open requests, and the memory reserved for their bodies and for bodies that are being received.
 #[derive(Default)]
 pub(crate) struct OpenRequests {
     ids: RefCell<FxHashSet<HeaderValue>>,
-    bodies: Cell<usize>,
+    body_bytes: Cell<usize>,
 }
 
 impl OpenRequests {
@@ -71,40 +71,40 @@
     }
 
     pub(super) fn bytes(&self) -> usize {
-        self.bodies.get()
+        self.body_bytes.get()
     }
 }
 
-/// What one request reserves of these, for as long as its handler or an attempt has its `ForwardedRequest`: where
-/// attempts may not be cancelled, an attempt outlives its client.
+/// The share of one request in [`OpenRequests`]. It is part of the `ForwardedRequest`, which handler and attempts
+/// share, as an attempt that must not be cancelled outlives its client.
 pub(crate) struct Reservation {
     open: Rc<OpenRequests>,
     id: Option<HeaderValue>,
-    body: usize,
+    body_bytes: usize,
 }
 
 impl Reservation {
-    /// Reserves memory for a body, where the configured memory and the processes that share it leave some. Prevents
-    /// many large ones at once from ending the program.
+    /// Reserves memory for a body, unless this process's share of the configured memory is used up. Many large bodies
+    /// at the same time must not exhaust the memory.
     pub(super) fn for_body(
         open: &Rc<OpenRequests>,
         memory: usize,
         processes: usize,
-        body: usize,
+        body_bytes: usize,
     ) -> Option<Reservation> {
-        let bodies = open.bodies.get() + body;
-        if bodies > memory / BODIES_DIVISOR / processes {
+        let total = open.body_bytes.get() + body_bytes;
+        if total > memory / BODY_MEMORY_DIVISOR / processes {
             return None;
         }
-        open.bodies.set(bodies);
+        open.body_bytes.set(total);
         Some(Reservation {
             open: open.clone(),
             id: None,
-            body,
+            body_bytes,
         })
     }
 
-    /// The id, unless another open request has it: a worker's answer could not be attributed.
+    /// Claims an id; returns false if another open request has it, as the worker's response would be ambiguous.
     pub(super) fn claim(&mut self, id: &HeaderValue) -> bool {
         let new = self.open.ids.borrow_mut().insert(id.clone());
         if new {
@@ -117,7 +117,7 @@
 impl Drop for Reservation {
     fn drop(&mut self) {
         let open = &self.open;
-        open.bodies.set(open.bodies.get() - self.body);
+        open.body_bytes.set(open.body_bytes.get() - self.body_bytes);
         if let Some(id) = self.id.take() {
             open.ids.borrow_mut().remove(&id);
         }
