--- a/crates/server/src/net/counters.rs
+++ b/crates/server/src/net/counters.rs
@@ -1,7 +1,7 @@
-//! The counters of what went wrong, and the line that reports them.
+//! Counters of network events and faults, and the summary line that reports them.
 //!
-//! It owns the counters, by the part that counts, the form in which they are printed, and when they are logged. It
-//! must never log more often than once in a period, or log a line that says nothing new.
+//! The summary is logged at most once per `LOG_PERIOD`, and only if it has changed. Operators' tools parse it, so its
+//! field names are fixed independently of the names used in the code.
 
 #[cfg(test)]
 mod tests;
@@ -17,10 +17,10 @@
 use super::Net;
 use oakshed_core::facade::{Accounts, Tally};
 
-/// Between two checks whether there is something new to log.
+/// The interval at which the summary is checked for changes.
 const LOG_PERIOD: Duration = Duration::from_secs(10);
 
-/// A count that only rises.
+/// A monotonically increasing count.
 #[derive(Default)]
 pub(crate) struct Counter(Cell<u64>);
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// What went wrong on the network, or should have been impossible.
+/// The counters of all parts of the network layer.
 #[derive(Default)]
 pub(crate) struct Counters {
     pub clients: ClientCounters,
@@ -49,65 +49,64 @@
     invariant_violations: Counter,
 }
 
-/// What is counted of clients and their connections.
+/// Counters of clients and their connections.
 #[derive(Default)]
 pub(crate) struct ClientCounters {
-    /// Requests that were malformed, or whose id was in use.
+    /// Requests that were invalid or not accepted, including those with the id of an open request.
     pub bad_requests: Counter,
     /// Errors of accept(2).
     pub accept_errors: Counter,
     /// Idle connections that were evicted.
     pub evicted: Counter,
-    /// Connections that were closed with a request begun too long ago.
+    /// Connections that were closed because a request took too long to arrive, or its response to be read.
     pub overdue_requests: Counter,
-    /// Requests that were rejected as the memory for bodies was reserved.
+    /// Requests that were rejected because the memory for bodies was used up.
     pub out_of_memory: Counter,
 }
 
-/// What is counted of workers and the connections to them.
+/// Counters of workers and the connections to them.
 #[derive(Default)]
 pub(crate) struct WorkerCounters {
-    /// Connections that were opened.
+    /// Connections that were attempted.
     pub dials: Counter,
-    /// Attempts on idle connections.
+    /// Attempts that reused an idle connection.
     pub reused: Counter,
     /// Idle connections that were found closed.
     pub dead_idle: Counter,
-    /// Attempts whose connection failed before its answer.
+    /// Attempts whose connection failed before the response.
     pub resets: Counter,
-    /// The same on a connection that had been idle.
+    /// The same, on a connection that had been idle.
     pub idle_resets: Counter,
-    /// Answers that ended without a final line.
+    /// Response streams that ended without a final line.
     pub early_ends: Counter,
-    /// Jobs that a worker said to have lost.
+    /// Jobs that a worker reported as lost.
     pub lost_jobs: Counter,
-    /// Lines of a worker's stream that could not be read.
+    /// Lines of a response stream that could not be parsed.
     pub malformed_lines: Counter,
-    /// Lines with another request's id.
+    /// Lines of a response stream that have the id of another request.
     pub wrong_id_lines: Counter,
-    /// Attempts without a free descriptor.
+    /// Attempts that failed because no file descriptor was free.
     pub no_socket: Counter,
-    /// Connections that failed for a fault of this machine.
+    /// Connections that failed because of a fault of the local machine.
     pub local_faults: Counter,
-    /// Attempts that the write guard stopped.
+    /// Attempts that the write guard stopped before the request was written in full.
     pub drained_before_send: Counter,
 }
 
-/// What is counted of discovery.
+/// Counters of the calls to discovery.
 #[derive(Default)]
 pub(crate) struct DiscoveryCounters {
-    /// Calls.
     pub calls: Counter,
     /// Calls that failed.
     pub failures: Counter,
-    /// Watches that were given up as unresponsive.
+    /// Calls whose response was overdue, so that another call was made beside them.
     pub unresponsive_watches: Counter,
-    /// Endpoint lists that could not be read.
+    /// Endpoint lists that could not be parsed.
     pub malformed_lists: Counter,
 }
 
 impl Counters {
-    /// An invariant that does not hold is a panic in debug builds, and counted in release builds.
+    /// Checks an invariant: a violation panics in debug builds, and is counted in release builds.
     pub(crate) fn check_invariant(&self, holds: bool, what: &str) {
         debug_assert!(holds, "{what}");
         if !holds {
@@ -116,7 +115,7 @@
     }
 }
 
-/// All counters with the names that operators know, in their order.
+/// All counters, under the names and in the order that operators' tools expect.
 impl fmt::Display for Counters {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Counters {
@@ -152,7 +151,7 @@
     }
 }
 
-/// The counters of all parts and what is open, in one line.
+/// A summary line of all counters, and of what is currently open.
 pub(super) struct Summary<'a> {
     tally: Tally,
     counters: &'a Counters,
@@ -199,15 +198,15 @@
     }
 }
 
-/// Logs the summary whenever it has changed, once a period at most.
+/// Logs the summary if it has changed, at most once per `LOG_PERIOD`.
 pub(super) async fn log_counters(net: Rc<Net>) {
-    let mut last = String::new();
+    let mut logged = String::new();
     loop {
         tokio::time::sleep(LOG_PERIOD).await;
-        let now = Summary::of(&net).to_string();
-        if now != last {
-            info!("counts: {now}");
-            last = now;
+        let summary = Summary::of(&net).to_string();
+        if summary != logged {
+            info!("counts: {summary}");
+            logged = summary;
         }
     }
 }
--- a/crates/server/src/net/counters/tests.rs
+++ b/crates/server/src/net/counters/tests.rs
@@ -1,9 +1,9 @@
-//! The text of the counters, which operators' programs read.
+//! Tests of the summary line, which operators' tools parse.
 
 use super::*;
 
 #[test]
-fn the_summary_has_the_names_that_operators_know() {
+fn summary_uses_the_documented_field_names_in_order() {
     let counters = Counters::default();
     counters.clients.bad_requests.increment();
     counters.clients.out_of_memory.increment();
