--- a/crates/server/src/net/answers.rs
+++ b/crates/server/src/net/answers.rs
@@ -1,6 +1,4 @@
-//! The answers that this program makes by itself, and the names of the fields that several parts read.
-//!
-//! It owns their form. It must never know who answers, or why: it uses no other part.
+//! HTTP responses that the scheduler generates itself, and the names of the platform's header fields.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -18,6 +16,7 @@
 pub(super) static LEASE_TOKEN: HeaderName = HeaderName::from_static("lease-token");
 pub(super) static LEASE_MS: HeaderName = HeaderName::from_static("lease-ms");
 
+/// A plain-text response.
 pub(super) fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
@@ -27,19 +26,21 @@
     response
 }
 
+/// A 503 response, with `Retry-After` in seconds to the millisecond where a delay is given.
 pub(super) fn rejection(retry_after: Option<Micros>) -> Response<Full<Bytes>> {
-    let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE, "try again later\n");
-    let value = retry_after.map(|t| format!("{:.3}", t as f64 / 1e6));
-    if let Some(value) = value.and_then(|v| HeaderValue::try_from(v).ok()) {
-        answer.headers_mut().insert(RETRY_AFTER, value);
+    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "try again later\n");
+    let seconds = retry_after.map(|t| format!("{:.3}", t as f64 / 1e6));
+    if let Some(value) = seconds.and_then(|s| HeaderValue::try_from(s).ok()) {
+        response.headers_mut().insert(RETRY_AFTER, value);
     }
-    answer
+    response
 }
 
+/// A 405 response that lists the methods allowed.
 pub(super) fn not_allowed(allow: &'static str) -> Response<Full<Bytes>> {
-    let mut answer = plain(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n");
-    answer
+    let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n");
+    response
         .headers_mut()
         .insert(ALLOW, HeaderValue::from_static(allow));
-    answer
+    response
 }
--- a/crates/server/src/net/error.rs
+++ b/crates/server/src/net/error.rs
@@ -1,4 +1,4 @@
-//! Why the program cannot start.
+//! Errors that prevent startup.
 
 use std::io;
 use std::net::SocketAddr;
@@ -9,36 +9,36 @@
 use super::peers::PeersError;
 use oakshed_core::facade::SettingsError;
 
-/// Why the program cannot start; the text is one line for operators.
+/// An error that prevents startup; its text is a single line for operators.
 #[derive(Debug, Error)]
 pub enum ServeError {
-    /// The settings of the decisions cannot be used.
+    /// The settings of the facade are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The clients' address cannot be listened on.
+    /// Listening on the clients' address failed.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The operators' address cannot be listened on.
+    /// Listening on the operators' address failed.
     #[error("operators' address: {0}")]
     Operators(#[source] ListenError),
-    /// The store of durable jobs cannot be opened.
+    /// Opening the store of durable jobs failed.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// What schedulers share cannot be taken part in.
+    /// Joining the exchange with other schedulers failed.
     #[error(transparent)]
     Peers(#[from] PeersError),
-    /// A signal handler, a socket or a thread cannot be had.
+    /// Setting up a signal handler, a socket or a thread failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Why an address cannot be listened on.
+/// A failure to listen on an address.
 #[derive(Debug, Error)]
 #[error("cannot listen on {address}: {error}")]
 pub struct ListenError {
-    /// The address.
+    /// The address to listen on.
     pub address: SocketAddr,
-    /// What failed.
+    /// The underlying error.
     #[source]
     pub error: io::Error,
 }
--- a/crates/server/src/net/reload.rs
+++ b/crates/server/src/net/reload.rs
@@ -1,6 +1,4 @@
-//! The reload of the configuration at SIGHUP.
-//!
-//! It owns what of a new configuration is taken over while requests are open: discovery's address alone.
+//! Reloads the configuration on SIGHUP.
 
 use std::rc::Rc;
 
@@ -10,9 +8,8 @@
 use super::Net;
 use crate::config::{self, Config};
 
-/// Reads the configuration again at each SIGHUP and takes over discovery's address, which is all
-/// that can change while requests are open. The environment's address is that of the start: the file
-/// counts now.
+/// Reads the configuration file again on each SIGHUP and applies the address of discovery, the only setting that can
+/// change while requests are open. An address in the environment applies at startup only, so it is ignored here.
 pub(super) async fn reload_on_signal(net: Rc<Net>, mut hangup: Signal) {
     while hangup.recv().await.is_some() {
         let var = |name: &str| {
@@ -31,12 +28,12 @@
         let limits = |c: &Config| (c.listen, c.admin, c.sockets, c.memory);
         let settings = |c: &Config| (c.name.clone(), c.names.clone(), c.settings.clone());
         let unchanged = limits(&new) == limits(old) && settings(&new) == settings(old);
-        let rest = if unchanged {
+        let restart_notice = if unchanged {
             ""
         } else {
             "; other changes need a restart"
         };
-        info!(discovery = %new.discovery, "reload: discovery {}{rest}", new.discovery);
+        info!(discovery = %new.discovery, "reload: discovery {}{restart_notice}", new.discovery);
         net.discovery.move_to(new.discovery);
     }
 }
--- a/crates/server/src/net/timer.rs
+++ b/crates/server/src/net/timer.rs
@@ -1,7 +1,4 @@
-//! The timer of the decisions.
-//!
-//! It owns when the facade is next called for a time that is due, and starts what it then asks for besides the steps
-//! of requests. It must never decide what is due.
+//! Runs the facade's timer, and starts the discovery polls and probes that it asks for.
 
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
@@ -13,7 +10,7 @@
 
 use super::{workers, Net};
 
-/// The timer of the decisions, and what they want done besides the steps of requests.
+/// Calls the facade whenever it is due or wakes its waker, and performs the actions that belong to no request.
 pub(super) async fn run_timer(net: Rc<Net>) {
     let mut sleep: Pin<Box<Sleep>> = Box::pin(tokio::time::sleep(Duration::ZERO));
     loop {
