--- a/crates/server/src/net/admin.rs
+++ b/crates/server/src/net/admin.rs
@@ -233,7 +233,9 @@
 /// Returns the metrics.
 fn telemetry(net: &Net) -> String {
     let members = net.facade.borrow().members();
-    net.ledger
-        .render(&net.config.names.classes, net.workers.attempts(), members)
-        + "END\n"
+    net.request_counts.render(
+        &net.config.names.classes,
+        net.workers.written_attempts(),
+        members,
+    ) + "END\n"
 }
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -41,7 +41,7 @@
 use counters::Counters;
 pub use error::{ListenError, ServeError};
 use oakshed_core::facade::{Entry, Facade, ListKind, Seen, Step};
-use oakshed_core::figures::Ledger;
+use oakshed_core::figures::RequestCounts;
 pub use serve::serve;
 use shutdown::Shutdown;
 pub use transient::retry_at_start;
@@ -67,20 +67,25 @@
     pub shutdown: Shutdown,
     pub counters: Counters,
     /// Counts of requests by outcome, for the metrics.
-    pub ledger: Ledger,
+    pub request_counts: RequestCounts,
     /// Startup is complete: requests may be served if the endpoint list has ready workers.
     pub started: Cell<bool>,
     pub open_requests: Rc<forwarded_request::OpenRequests>,
     pub hot_restart: hot_restart::HotRestart,
     pub exclusions: exclusions::Exclusions,
     /// Durable jobs, if operators have enabled them.
-    pub durable: Option<durable::Durable>,
+    pub durable: Option<durable::DurableJobs>,
     /// The exchange of state with other schedulers, if operators have enabled it.
     pub peers: Option<peers::Peers>,
 }
 
 impl Net {
-    fn new(config: Config, clock: Clock, facade: Facade, durable: Option<durable::Durable>) -> Net {
+    fn new(
+        config: Config,
+        clock: Clock,
+        facade: Facade,
+        durable: Option<durable::DurableJobs>,
+    ) -> Net {
         Net {
             clock,
             facade: RefCell::new(facade),
@@ -88,7 +93,7 @@
             discovery: discovery::DiscoveryState::new(config.discovery),
             shutdown: Shutdown::new(clock),
             counters: Counters::default(),
-            ledger: Ledger::new(config.settings.classes.len()),
+            request_counts: RequestCounts::new(config.settings.classes.len()),
             started: Cell::new(false),
             open_requests: Rc::default(),
             hot_restart: hot_restart::HotRestart::default(),
--- a/crates/server/src/net/serve.rs
+++ b/crates/server/src/net/serve.rs
@@ -41,8 +41,8 @@
     let peers = peers::open(&config, clock.now())?;
     let directory = SharedDirectory::open(config.tmp.as_deref(), config.listen).map(Rc::new);
     let resources = StartupResources::open(directory, &mut config, &mut facade, clock)?;
-    if let Some(advice) = durable::advice(&config) {
-        info!("store: {advice}");
+    if let Some(notice) = durable::missing_lease_notice(&config) {
+        info!("store: {notice}");
     }
     let mut net = Net::new(config, clock, facade, durable);
     net.peers = peers;
@@ -169,7 +169,7 @@
     } = signals;
     tokio::task::spawn_local(run_timer(net.clone()));
     tokio::task::spawn_local(discovery::run(net.clone(), inherited_list));
-    tokio::task::spawn_local(workers::sweep(net.clone()));
+    tokio::task::spawn_local(workers::close_expired_connections(net.clone()));
     tokio::task::spawn_local(log_counters(net.clone()));
     tokio::task::spawn_local(reload_on_signal(net.clone(), hangup));
     tokio::task::spawn_local(shut_down_on_signal(net.clone(), terminate, interrupt));
--- a/crates/wire/tests/edits/mod.rs
+++ b/crates/wire/tests/edits/mod.rs
@@ -48,7 +48,11 @@
         r#""give-up-ms":0.0001"#,
         "deadline",
     ),
-    (r#""importance":12.0"#, r#""importance":-12.0"#, "worth"),
+    (
+        r#""importance":12.0"#,
+        r#""importance":-12.0"#,
+        "priority weight (importance)",
+    ),
 ];
 
 /// Settings by class, and references between lists that are rejected.
@@ -85,7 +89,7 @@
     (
         r#""importance":12.0}"#,
         r#""importance":12.0,"name":"a"},{"aim-ms":4,"give-up-ms":6,"idempotency":"free","importance":1,"name":"a"}"#,
-        "figures",
+        "2 values for 3 classes",
     ),
 ];
 
