--- a/crates/server/src/net/front/clients.rs
+++ b/crates/server/src/net/front/clients.rs
@@ -10,7 +10,7 @@
 use oakshed_core::facade::Micros;
 use tokio::sync::Notify;
 
-use super::super::reader::Intake;
+use super::super::reader::ConnectionState;
 use super::super::Net;
 
 /// How long a new connection has to send its first request before it ranks first for eviction, and how long a used one
@@ -38,7 +38,7 @@
     pub(super) lingering_since: Cell<Option<Micros>>,
     /// Notifies the connection's task that it should close.
     pub(super) close: Notify,
-    pub(super) intake: Rc<Intake>,
+    pub(super) state: Rc<ConnectionState>,
 }
 
 impl Client {
@@ -72,9 +72,9 @@
     fn close_first_ranked(&self, now: Micros) -> bool {
         let instant = tokio::time::Instant::now();
         let rank = |c: &Client, since: Micros| match c
-            .intake
+            .state
             .partial_request(instant)
-            .or(c.intake.unwritten(instant))
+            .or(c.state.pending_response(instant))
         {
             Some(true) => None,
             Some(false) => Some(1),
@@ -102,7 +102,8 @@
         let open = self.open.borrow();
         let remaining = open.iter().filter(|c| !c.close_requested.get());
         let inactive = remaining.filter(|c| {
-            c.intake.partial_request(instant).is_none() && c.intake.unwritten(instant).is_none()
+            c.state.partial_request(instant).is_none()
+                && c.state.pending_response(instant).is_none()
         });
         let idle = inactive.filter_map(|c| {
             Some((
@@ -161,9 +162,9 @@
             // The response to a request that was answered just now may not be written completely yet.
             let instant = tokio::time::Instant::now();
             let is_active = |c: &Client| {
-                c.intake
+                c.state
                     .partial_request(instant)
-                    .or(c.intake.unwritten(instant))
+                    .or(c.state.pending_response(instant))
                     .is_some()
             };
             let idle = used().filter(|c| !is_active(c));
@@ -192,7 +193,7 @@
             .open
             .borrow()
             .iter()
-            .filter(|c| !c.close_requested.get() && c.intake.overdue(now))
+            .filter(|c| !c.close_requested.get() && c.state.overdue(now))
         {
             net.counters.clients.overdue_requests.increment();
             client.request_close();
--- a/crates/server/src/net/front/connection.rs
+++ b/crates/server/src/net/front/connection.rs
@@ -48,17 +48,20 @@
     let client_connection = ClientConnection::new(&stream);
     let service = service_fn(|request| async {
         let mut response = respond(net, client, &client_connection, request).await;
-        if client.intake.last.get() || net.shutdown.has_handed_over() || net.shutdown.is_closing() {
+        if client.state.close_after_response.get()
+            || net.shutdown.has_handed_over()
+            || net.shutdown.is_closing()
+        {
             response
                 .headers_mut()
                 .insert(CONNECTION, HeaderValue::from_static("close"));
         }
         client.idle_since.set(Some(net.clock.now()));
-        client.intake.answered();
+        client.state.answered();
         clients.limit_idle(net.config.sockets, net.clock.now());
         Ok::<_, Infallible>(response)
     });
-    let reader = TokioIo::new(Reader::new(stream.clone(), client.intake.clone()));
+    let reader = TokioIo::new(Reader::new(stream.clone(), client.state.clone()));
     let connection = http1::Builder::new()
         .auto_date_header(false)
         .max_buf_size(LONGEST_HEAD)
@@ -138,7 +141,7 @@
 /// do not keep the connection open, nor does an unanswered request once malformed input has waited too long behind it.
 fn can_close(client: &Client, stream: &Rc<RefCell<TcpStream>>) -> bool {
     let now = Instant::now();
-    if client.intake.malformed_for_long(now) {
+    if client.state.malformed_overdue(now) {
         return true;
     }
     // After a transient error, bytes may have arrived.
@@ -147,12 +150,13 @@
         Err(error) => is_transient(&error),
     };
     client.idle_since.get().is_some()
-        && (client.intake.overdue(now) || !client.intake.under_way(now) && !may_have_unread_bytes())
+        && (client.state.overdue(now)
+            || !client.state.makes_progress(now) && !may_have_unread_bytes())
 }
 
 /// Counts malformed input, whether the reader or hyper detected it. hyper itself responds to what it detects.
 fn count_malformed(net: &Net, client: &Client, result: hyper::Result<()>) {
-    if client.intake.malformed.get() || result.is_err_and(|e| e.is_parse()) {
+    if client.state.malformed.get() || result.is_err_and(|e| e.is_parse()) {
         net.counters.clients.bad_requests.increment();
     }
 }
@@ -162,13 +166,13 @@
 /// input. A client that has closed the connection ignores both.
 pub(super) fn final_response(client: &Client) -> &'static [u8] {
     let unanswered = client.idle_since.get().is_none();
-    if unanswered && client.intake.malformed.get() {
+    if unanswered && client.state.malformed.get() {
         return BAD_GATEWAY_THEN_BAD_REQUEST;
     }
     if unanswered {
         return BAD_GATEWAY;
     }
-    if client.intake.is_rejected() {
+    if client.state.is_rejected() {
         return BAD_REQUEST;
     }
     b""
--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -98,7 +98,7 @@
                 return error.answer(&net.config.settings, client);
             }
         };
-    client.intake.arrived();
+    client.state.arrived();
     accounting.on_arrived();
     client.has_sent_request.set(true);
     client.idle_since.set(None);
--- a/crates/server/src/net/front/mod.rs
+++ b/crates/server/src/net/front/mod.rs
@@ -24,7 +24,7 @@
 use tokio::time::Instant;
 
 use super::error::ListenError;
-use super::reader::Intake;
+use super::reader::ConnectionState;
 use super::transient::retry_at_start;
 use super::Net;
 use accept::AcceptBackoff;
@@ -136,7 +136,7 @@
         close_requested: Cell::new(false),
         lingering_since: Cell::new(None),
         close: Notify::new(),
-        intake: Rc::new(Intake::new()),
+        state: Rc::new(ConnectionState::new()),
     });
     clients.open.borrow_mut().push(client.clone());
     let net = net.clone();
--- a/crates/server/src/net/front/request.rs
+++ b/crates/server/src/net/front/request.rs
@@ -89,7 +89,7 @@
     /// Returns the response, and marks the request as the connection's last where nothing can follow it.
     pub(super) fn answer(self, settings: &Settings, client: &Client) -> Response<Full<Bytes>> {
         if self.ends_connection() {
-            client.intake.last.set(true);
+            client.state.close_after_response.set(true);
         }
         let bad_request = |text| plain(StatusCode::BAD_REQUEST, text);
         match self {
--- a/crates/server/src/net/reader.rs
+++ b/crates/server/src/net/reader.rs
@@ -45,7 +45,7 @@
 const STALL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The state of a connection that its [`Reader`], below hyper, and the service, above hyper, share.
-pub(super) struct Intake {
+pub(super) struct ConnectionState {
     /// When the request that has not arrived in full started.
     started_at: Cell<Option<Instant>>,
     /// When its last byte so far was received, if any was.
@@ -60,14 +60,13 @@
     /// When such bytes were found behind a request that is still being answered.
     malformed_at: Cell<Option<Instant>>,
     /// No other request can follow the current one on this connection.
-    pub last: Cell<bool>,
-    /// Wakes the reader, which waits for the current request to be answered.
+    pub close_after_response: Cell<bool>,
     answer_waker: RefCell<Option<Waker>>,
 }
 
-impl Intake {
+impl ConnectionState {
     pub(super) fn new() -> Self {
-        Intake {
+        ConnectionState {
             started_at: Cell::new(Some(Instant::now())),
             last_byte_at: Cell::new(None),
             passed: Cell::new(0),
@@ -75,7 +74,7 @@
             last_write: Cell::new(None),
             malformed: Cell::new(false),
             malformed_at: Cell::new(None),
-            last: Cell::new(false),
+            close_after_response: Cell::new(false),
             answer_waker: RefCell::new(None),
         }
     }
@@ -101,13 +100,13 @@
     }
 
     /// `None` unless a response is not written in full; otherwise whether it makes progress rather than being stalled.
-    pub(super) fn unwritten(&self, now: Instant) -> Option<bool> {
+    pub(super) fn pending_response(&self, now: Instant) -> Option<bool> {
         self.last_write.get().map(|at| now < at + STALL_TIMEOUT)
     }
 
     /// Whether a request is arriving or a response is being written, and neither is stalled.
-    pub(super) fn under_way(&self, now: Instant) -> bool {
-        self.partial_request(now) == Some(true) || self.unwritten(now) == Some(true)
+    pub(super) fn makes_progress(&self, now: Instant) -> bool {
+        self.partial_request(now) == Some(true) || self.pending_response(now) == Some(true)
     }
 
     /// Whether a request has not arrived within [`ARRIVAL`], the client has read nothing of a response for as long, or
@@ -116,11 +115,11 @@
         let long_ago = |since: Option<Instant>| since.is_some_and(|at| now > at + ARRIVAL);
         long_ago(self.started_at.get())
             || long_ago(self.last_write.get())
-            || self.malformed_for_long(now)
+            || self.malformed_overdue(now)
     }
 
     /// Whether malformed bytes have waited too long for the request before them to be answered.
-    pub(super) fn malformed_for_long(&self, now: Instant) -> bool {
+    pub(super) fn malformed_overdue(&self, now: Instant) -> bool {
         self.malformed_at
             .get()
             .is_some_and(|at| now > at + ANSWER_TIMEOUT_IF_MALFORMED)
@@ -144,7 +143,6 @@
     Incomplete,
     /// A request of this many bytes, head and body.
     Length(u64),
-    /// A request whose body is chunked.
     Chunked,
     /// Not a request, or one whose length is ambiguous.
     Malformed,
@@ -195,7 +193,7 @@
 /// The stream that hyper reads a client's requests from and writes the responses to.
 pub(super) struct Reader {
     stream: Rc<RefCell<TcpStream>>,
-    intake: Rc<Intake>,
+    state: Rc<ConnectionState>,
     /// Bytes that were received and not yet passed to hyper.
     buffer: BytesMut,
     /// How many bytes of `buffer` were searched for the end of a head.
@@ -208,10 +206,10 @@
 }
 
 impl Reader {
-    pub(super) fn new(stream: Rc<RefCell<TcpStream>>, intake: Rc<Intake>) -> Self {
+    pub(super) fn new(stream: Rc<RefCell<TcpStream>>, state: Rc<ConnectionState>) -> Self {
         Reader {
             stream,
-            intake,
+            state,
             buffer: BytesMut::new(),
             searched: 0,
             remaining: 0,
@@ -241,13 +239,13 @@
 
     /// Starts to pass the next request to hyper, if its head is complete and the previous request is answered.
     fn start_request(&mut self) -> io::Result<()> {
-        let intake = &self.intake;
-        if self.buffer.is_empty() || intake.is_answering() || self.remaining > 0 {
+        let state = &self.state;
+        if self.buffer.is_empty() || state.is_answering() || self.remaining > 0 {
             return Ok(());
         }
-        if intake.started_at.get().is_none() {
-            intake.started_at.set(Some(Instant::now()));
-            intake.last_byte_at.set(Some(Instant::now()));
+        if state.started_at.get().is_none() {
+            state.started_at.set(Some(Instant::now()));
+            state.last_byte_at.set(Some(Instant::now()));
             self.searched = 0;
         }
         self.remaining = match self.find_head() {
@@ -264,22 +262,24 @@
             return Err(self.reject());
         }
         self.searched = 0;
-        self.intake.last.set(self.remaining == u64::MAX);
-        self.intake.passed.set(self.intake.passed.get() + 1);
+        self.state
+            .close_after_response
+            .set(self.remaining == u64::MAX);
+        self.state.passed.set(self.state.passed.get() + 1);
         Ok(())
     }
 
     /// Marks what was received as malformed; the error ends the connection even if a response is outstanding.
     fn reject(&self) -> io::Error {
-        self.intake.malformed.set(true);
+        self.state.malformed.set(true);
         io::Error::new(io::ErrorKind::InvalidData, "malformed HTTP request")
     }
 
     /// Discards what follows the current request as malformed. That request may still be answered, for a limited time.
     fn reject_following(&mut self) {
-        self.intake.malformed.set(true);
-        self.intake.malformed_at.set(Some(Instant::now()));
-        self.intake.last.set(true);
+        self.state.malformed.set(true);
+        self.state.malformed_at.set(Some(Instant::now()));
+        self.state.close_after_response.set(true);
         self.discarded = self.buffer.len();
         self.buffer.clear();
         self.searched = 0;
@@ -292,7 +292,7 @@
         if self.buffer.len() < MAX_BUFFER_BYTES && self.discarded == 0 {
             return Ok(());
         }
-        self.intake.last.set(true);
+        self.state.close_after_response.set(true);
         self.discarded += self.buffer.len();
         self.buffer.clear();
         self.searched = 0;
@@ -315,7 +315,7 @@
             self.remaining -= n as u64;
         }
         if self.remaining == 0 {
-            self.intake.arrived();
+            self.state.arrived();
         }
     }
 }
@@ -332,7 +332,7 @@
                 self.fill(buf);
                 return Poll::Ready(Ok(()));
             }
-            let awaiting_answer = self.remaining == 0 && self.intake.is_answering();
+            let awaiting_answer = self.remaining == 0 && self.state.is_answering();
             if awaiting_answer {
                 // Bytes received now belong to the next request.
                 if self.discarded == 0
@@ -341,13 +341,13 @@
                 {
                     self.reject_following();
                 }
-                *self.intake.answer_waker.borrow_mut() = Some(cx.waker().clone());
+                *self.state.answer_waker.borrow_mut() = Some(cx.waker().clone());
                 self.discard_excess()?;
             }
             let Reader {
                 stream,
                 buffer,
-                intake,
+                state,
                 read_retry,
                 ..
             } = &mut *self;
@@ -356,7 +356,7 @@
             if ready!(read_retry.poll(cx, |cx| pin!(stream.read_buf(buffer)).poll(cx)))? == 0 {
                 return Poll::Ready(Ok(()));
             }
-            intake.last_byte_at.set(Some(Instant::now()));
+            state.last_byte_at.set(Some(Instant::now()));
         }
     }
 }
@@ -375,19 +375,19 @@
         let mut stream = stream.borrow_mut();
         let n = ready!(write_retry.poll(cx, |cx| Pin::new(&mut *stream).poll_write(cx, buf)))?;
         drop(stream);
-        self.intake.last_write.set(Some(Instant::now()));
+        self.state.last_write.set(Some(Instant::now()));
         Poll::Ready(Ok(n))
     }
 
     /// Called by hyper once everything that it had to write is written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.intake.last_write.set(None);
+        self.state.last_write.set(None);
         Poll::Ready(Ok(()))
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         // The response to a malformed request is written after hyper has finished with the connection.
-        Poll::Ready(if self.intake.is_rejected() {
+        Poll::Ready(if self.state.is_rejected() {
             Ok(())
         } else {
             super::end_sending(&self.stream.borrow())
