--- a/crates/server/src/net/front/connection.rs
+++ b/crates/server/src/net/front/connection.rs
@@ -18,7 +18,7 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-use super::super::reader::{Reader, LONGEST_HEAD};
+use super::super::reader::{Reader, MAX_HEAD_BYTES};
 use super::super::transient::{is_transient, peek};
 use super::super::workers::ClientConnection;
 use super::super::Net;
@@ -64,7 +64,7 @@
     let reader = TokioIo::new(Reader::new(stream.clone(), client.state.clone()));
     let connection = http1::Builder::new()
         .auto_date_header(false)
-        .max_buf_size(LONGEST_HEAD)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(reader, service);
     let mut connection = pin!(connection);
     let result = tokio::select! {
--- a/crates/server/src/net/front/lingering_close.rs
+++ b/crates/server/src/net/front/lingering_close.rs
@@ -11,7 +11,7 @@
 use tokio::time::{sleep, Instant};
 
 use super::super::end_sending;
-use super::super::reader::MOST_THROWN_AWAY;
+use super::super::reader::MAX_DISCARDED_BYTES;
 use super::super::transient::is_transient;
 
 /// The longest time for which input is discarded before the connection is closed.
@@ -52,7 +52,7 @@
 /// Reads and discards input until its end, an error, or the limit on discarded bytes.
 async fn discard_input(stream: &TcpStream) {
     let mut buffer = vec![0; 16 << 10];
-    let mut remaining = MOST_THROWN_AWAY;
+    let mut remaining = MAX_DISCARDED_BYTES;
     while stream.readable().await.is_ok() {
         match stream.try_read(&mut buffer) {
             Ok(n) if (1..remaining).contains(&n) => remaining -= n,
--- a/crates/server/src/net/front/request.rs
+++ b/crates/server/src/net/front/request.rs
@@ -20,7 +20,7 @@
     REQ_OWNER,
 };
 use super::super::forwarded_request::{ForwardedRequest, Reservation};
-use super::super::reader::ARRIVAL;
+use super::super::reader::ARRIVAL_TIMEOUT;
 use super::super::{Clock, Net};
 use super::clients::Client;
 use crate::config::Config;
@@ -35,7 +35,7 @@
 const MAX_ID_LENGTH: usize = 128;
 /// How long a body may take to arrive. Shorter than the time for the whole request, so that the client gets a response
 /// before its connection is closed as overdue.
-const BODY_TIMEOUT: Duration = ARRIVAL.saturating_sub(Duration::from_millis(200));
+const BODY_TIMEOUT: Duration = ARRIVAL_TIMEOUT.saturating_sub(Duration::from_millis(200));
 
 /// Returns the class that the first path segment names.
 pub(super) fn class_of(names: &Names, head: &Parts) -> Option<usize> {
--- a/crates/server/src/net/reader.rs
+++ b/crates/server/src/net/reader.rs
@@ -26,18 +26,18 @@
 use super::transient::TransientRetry;
 
 /// The largest request head, in bytes.
-pub(super) const LONGEST_HEAD: usize = 8 << 10;
+pub(super) const MAX_HEAD_BYTES: usize = 8 << 10;
 /// The most bytes buffered for a connection: several heads, for clients that pipeline requests.
-const MAX_BUFFER_BYTES: usize = 4 * LONGEST_HEAD;
+const MAX_BUFFER_BYTES: usize = 4 * MAX_HEAD_BYTES;
 /// The most header fields in a head, which is also the limit of hyper.
 const MAX_HEADER_FIELDS: usize = 100;
 /// The most bytes that are read and discarded, both here and while a connection is closed. A client that sends more has
 /// its connection closed with bytes unread.
-pub(super) const MOST_THROWN_AWAY: usize = 256 << 10;
+pub(super) const MAX_DISCARDED_BYTES: usize = 256 << 10;
 /// The buffer space reserved before each read, in bytes.
 const READ_CHUNK_BYTES: usize = 2 << 10;
 /// How long a request may take to arrive from its first byte; the first request starts with the connection.
-pub(super) const ARRIVAL: Duration = Duration::from_millis(2_400);
+pub(super) const ARRIVAL_TIMEOUT: Duration = Duration::from_millis(2_400);
 /// How long a request may still take to be answered once malformed bytes have followed it: the client must get an error
 /// or the end of the connection within 3 s.
 const ANSWER_TIMEOUT_IF_MALFORMED: Duration = Duration::from_millis(1_500);
@@ -109,10 +109,10 @@
         self.partial_request(now) == Some(true) || self.pending_response(now) == Some(true)
     }
 
-    /// Whether a request has not arrived within [`ARRIVAL`], the client has read nothing of a response for as long, or
+    /// Whether a request has not arrived within [`ARRIVAL_TIMEOUT`], the client has read nothing of a response for as long, or
     /// malformed bytes have waited too long for the request before them.
     pub(super) fn overdue(&self, now: Instant) -> bool {
-        let long_ago = |since: Option<Instant>| since.is_some_and(|at| now > at + ARRIVAL);
+        let long_ago = |since: Option<Instant>| since.is_some_and(|at| now > at + ARRIVAL_TIMEOUT);
         long_ago(self.started_at.get())
             || long_ago(self.last_write.get())
             || self.malformed_overdue(now)
@@ -162,8 +162,8 @@
     let mut no_fields = [];
     let mut request = Request::new(&mut no_fields);
     let head_length = match request.parse_with_uninit_headers(buffer, &mut fields) {
-        Ok(Status::Complete(length)) if length <= LONGEST_HEAD => length,
-        Ok(Status::Partial) if buffer.len() < LONGEST_HEAD => return Framing::Incomplete,
+        Ok(Status::Complete(length)) if length <= MAX_HEAD_BYTES => length,
+        Ok(Status::Partial) if buffer.len() < MAX_HEAD_BYTES => return Framing::Incomplete,
         _ => return Framing::Malformed,
     };
     let fields_named = |name: &'static str| {
@@ -225,7 +225,7 @@
         let ends_head = |new: &[u8]| {
             new.windows(2).any(|w| w == b"\n\n") || new.windows(3).any(|w| w == b"\n\r\n")
         };
-        let full = self.buffer.len() >= LONGEST_HEAD;
+        let full = self.buffer.len() >= MAX_HEAD_BYTES;
         let may_be_complete = self.searched == 0
             || full
             || ends_head(&self.buffer[self.searched.saturating_sub(2)..]);
@@ -287,7 +287,7 @@
 
     /// Discards the bytes that follow the current request once the buffer is full, after which no other request can
     /// follow. Reading has to go on, as a disconnect is only noticed by reading; a client that sends more than
-    /// [`MOST_THROWN_AWAY`] is disconnected.
+    /// [`MAX_DISCARDED_BYTES`] is disconnected.
     fn discard_excess(&mut self) -> io::Result<()> {
         if self.buffer.len() < MAX_BUFFER_BYTES && self.discarded == 0 {
             return Ok(());
@@ -296,7 +296,7 @@
         self.discarded += self.buffer.len();
         self.buffer.clear();
         self.searched = 0;
-        if self.discarded > MOST_THROWN_AWAY {
+        if self.discarded > MAX_DISCARDED_BYTES {
             return Err(self.reject());
         }
         Ok(())
--- a/crates/server/src/net/reader/tests.rs
+++ b/crates/server/src/net/reader/tests.rs
@@ -33,5 +33,8 @@
     }
     assert_eq!(parse_framing(b"POST /transfer HT"), Framing::Incomplete);
     assert_eq!(parse_framing(b"dy"), Framing::Malformed);
-    assert_eq!(parse_framing(&vec![b'A'; LONGEST_HEAD]), Framing::Malformed);
+    assert_eq!(
+        parse_framing(&vec![b'A'; MAX_HEAD_BYTES]),
+        Framing::Malformed
+    );
 }
