--- a/crates/server/src/net/hot_restart/mod.rs
+++ b/crates/server/src/net/hot_restart/mod.rs
@@ -25,7 +25,7 @@
 use tokio::net::UnixStream;
 use tracing::{info, warn};
 
-use super::transient::SteadyStream;
+use super::transient::RetryingStream;
 use super::Net;
 pub(super) use directory::SharedDirectory;
 use error::HotRestartError;
@@ -116,7 +116,7 @@
     link: BlockingStream,
 ) -> Result<(), HotRestartError> {
     link.set_nonblocking(true)?;
-    let mut link = SteadyStream::new(UnixStream::from_std(link)?);
+    let mut link = RetryingStream::new(UnixStream::from_std(link)?);
     while !net.can_serve() {
         tokio::time::sleep(READY_CHECK_PERIOD).await;
     }
--- a/crates/server/src/net/hot_restart/predecessor.rs
+++ b/crates/server/src/net/hot_restart/predecessor.rs
@@ -13,7 +13,7 @@
 use tokio::net::UnixStream;
 use tracing::info;
 
-use super::super::transient::{retry_until, SteadyStream};
+use super::super::transient::{retry_until, RetryingStream};
 use super::super::Net;
 use super::error::HotRestartError;
 use super::fingerprint::configuration_fingerprint;
@@ -27,7 +27,7 @@
 
 /// Donates the socket and what is known to one caller, unless there is a successor, and returns at that one's end.
 pub(super) async fn answer_caller(net: &Rc<Net>, link: UnixStream) -> Result<(), HotRestartError> {
-    let mut link = BufReader::new(SteadyStream::new(link));
+    let mut link = BufReader::new(RetryingStream::new(link));
     let mut greeting = String::new();
     let mut hello = (&mut link).take(LONGEST_LINE);
     let read = tokio::time::timeout(WAIT, hello.read_line(&mut greeting)).await;
@@ -53,7 +53,7 @@
 /// Sends the socket and the message, and waits for the successor to be ready and for its end.
 async fn donate(
     net: &Rc<Net>,
-    mut link: BufReader<SteadyStream>,
+    mut link: BufReader<RetryingStream>,
     listener: &OwnedFd,
 ) -> Result<(), HotRestartError> {
     let text = message_text(net)?;
--- a/crates/server/src/net/transient.rs
+++ b/crates/server/src/net/transient.rs
@@ -117,15 +117,15 @@
 }
 
 /// A Unix socket whose reads and writes are retried where they fail transiently.
-pub(super) struct SteadyStream {
+pub(super) struct RetryingStream {
     pub(super) stream: UnixStream,
     read_retry: TransientRetry,
     write_retry: TransientRetry,
 }
 
-impl SteadyStream {
-    pub(super) fn new(stream: UnixStream) -> SteadyStream {
-        SteadyStream {
+impl RetryingStream {
+    pub(super) fn new(stream: UnixStream) -> RetryingStream {
+        RetryingStream {
             stream,
             read_retry: TransientRetry::default(),
             write_retry: TransientRetry::default(),
@@ -133,26 +133,26 @@
     }
 }
 
-impl AsyncRead for SteadyStream {
+impl AsyncRead for RetryingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let SteadyStream {
+        let RetryingStream {
             stream, read_retry, ..
         } = &mut *self;
         read_retry.poll(cx, |cx| Pin::new(&mut *stream).poll_read(cx, buf))
     }
 }
 
-impl AsyncWrite for SteadyStream {
+impl AsyncWrite for RetryingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        let SteadyStream {
+        let RetryingStream {
             stream,
             write_retry,
             ..
