--- a/crates/server/src/net/answers.rs
+++ b/crates/server/src/net/answers.rs
@@ -17,7 +17,7 @@
 pub(super) static LEASE_MS: HeaderName = HeaderName::from_static("lease-ms");
 
 /// A plain-text response.
-pub(super) fn plain(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+pub(super) fn plain_text(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response
@@ -28,7 +28,7 @@
 
 /// A 503 response, with `Retry-After` in seconds to the millisecond where a delay is given.
 pub(super) fn rejection(retry_after: Option<Micros>) -> Response<Full<Bytes>> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "try again later\n");
+    let mut response = plain_text(StatusCode::SERVICE_UNAVAILABLE, "try again later\n");
     let seconds = retry_after.map(|t| format!("{:.3}", t as f64 / 1e6));
     if let Some(value) = seconds.and_then(|s| HeaderValue::try_from(s).ok()) {
         response.headers_mut().insert(RETRY_AFTER, value);
@@ -38,7 +38,7 @@
 
 /// A 405 response that lists the methods allowed.
 pub(super) fn not_allowed(allow: &'static str) -> Response<Full<Bytes>> {
-    let mut response = plain(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n");
+    let mut response = plain_text(StatusCode::METHOD_NOT_ALLOWED, "method not allowed\n");
     response
         .headers_mut()
         .insert(ALLOW, HeaderValue::from_static(allow));
--- a/crates/server/src/net/durable/clients.rs
+++ b/crates/server/src/net/durable/clients.rs
@@ -16,7 +16,7 @@
 use oakshed_wire::Names;
 use tokio::time::{timeout_at, Instant};
 
-use super::super::answers::{not_allowed, plain, rejection, IDEMPOTENCY_KEY, REQ_OWNER};
+use super::super::answers::{not_allowed, plain_text, rejection, IDEMPOTENCY_KEY, REQ_OWNER};
 use super::super::forwarded_request::ForwardedRequest;
 use super::super::Net;
 use super::{DurableJobs, JobUpdate};
@@ -68,9 +68,9 @@
 fn answer_response(settings: &Settings, answer: Answer) -> Response<Full<Bytes>> {
     match answer {
         Answer::Served(result) => Response::new(Full::new(result.into())),
-        Answer::Failed => plain(StatusCode::BAD_GATEWAY, "failed\n"),
+        Answer::Failed => plain_text(StatusCode::BAD_GATEWAY, "failed\n"),
         Answer::Rejected(wait) => rejection(wait.filter(|_| settings.retry_after)),
-        Answer::Cancelled => plain(StatusCode::GONE, "withdrawn\n"),
+        Answer::Cancelled => plain_text(StatusCode::GONE, "withdrawn\n"),
     }
 }
 
@@ -82,10 +82,10 @@
     options: &JobOptions,
 ) -> Response<Full<Bytes>> {
     let Some(durable) = &net.durable else {
-        return plain(StatusCode::NOT_FOUND, "no durable jobs\n");
+        return plain_text(StatusCode::NOT_FOUND, "no durable jobs\n");
     };
     if forwarded.body.len() > durable.max_payload {
-        return plain(
+        return plain_text(
             StatusCode::PAYLOAD_TOO_LARGE,
             "body too large for a durable job\n",
         );
@@ -141,7 +141,7 @@
         Submitted::Over(answer) => Some(answer_response(settings, answer)),
         Submitted::Conflict => {
             net.counters.clients.bad_requests.increment();
-            Some(plain(
+            Some(plain_text(
                 StatusCode::UNPROCESSABLE_ENTITY,
                 "this key belongs to another payload\n",
             ))
@@ -173,7 +173,7 @@
 
 impl WaitLimits {
     fn new(net: &Net, arrived: Micros, deadline: Micros) -> WaitLimits {
-        let instant = |at| net.clock.instant(net.shutdown.bounded(arrived, at));
+        let instant = |at| net.clock.instant(net.shutdown.limit_deadline(arrived, at));
         WaitLimits {
             deadline: instant(deadline),
             sync_deadline: instant(deadline.saturating_add(SYNC_GRACE)),
@@ -182,7 +182,7 @@
 
     /// Shortens the limits to the time that a shutdown leaves this process.
     fn limit_to_shutdown(&mut self, net: &Net) {
-        if let Some(last_answer) = net.shutdown.last_answer() {
+        if let Some(last_answer) = net.shutdown.last_answer_at() {
             self.sync_deadline = self.sync_deadline.min(last_answer);
         }
         self.deadline = self.deadline.min(self.sync_deadline);
@@ -229,7 +229,7 @@
 
 /// Returns the response to a submission whose job has no durable answer in time.
 fn undecided_response(id: JobId) -> Response<Full<Bytes>> {
-    let mut response = plain(
+    let mut response = plain_text(
         StatusCode::GATEWAY_TIMEOUT,
         "undecided; ask again with the same key\n",
     );
@@ -246,7 +246,7 @@
 
 /// Returns the response to a detached submission whose job is durable.
 fn accepted_response(id: JobId) -> Response<Full<Bytes>> {
-    let mut response = plain(StatusCode::ACCEPTED, "accepted\n");
+    let mut response = plain_text(StatusCode::ACCEPTED, "accepted\n");
     set_location(&mut response, id);
     response.headers_mut().insert(
         &PREFERENCE_APPLIED,
@@ -275,7 +275,7 @@
 }
 
 fn not_found() -> Response<Full<Bytes>> {
-    plain(StatusCode::NOT_FOUND, "no such job\n")
+    plain_text(StatusCode::NOT_FOUND, "no such job\n")
 }
 
 /// Returns a job's status once the job is finished or `wait` seconds have passed.
@@ -286,7 +286,7 @@
     wait: u64,
 ) -> Response<Full<Bytes>> {
     let now = net.clock.now();
-    let end = net.shutdown.bounded(now, now + wait * 1_000_000);
+    let end = net.shutdown.limit_deadline(now, now + wait * 1_000_000);
     let limit = net.clock.instant(end);
     loop {
         let view = durable.jobs.borrow().view(id);
@@ -310,8 +310,8 @@
     durable.process_output(net);
     match cancelled {
         None => not_found(),
-        Some(false) => plain(StatusCode::CONFLICT, "it was sent, or is over\n"),
-        Some(true) => plain(StatusCode::OK, "withdrawn\n"),
+        Some(false) => plain_text(StatusCode::CONFLICT, "it was sent, or is over\n"),
+        Some(true) => plain_text(StatusCode::OK, "withdrawn\n"),
     }
 }
 
--- a/crates/server/src/net/front/connection.rs
+++ b/crates/server/src/net/front/connection.rs
@@ -128,7 +128,7 @@
             result = connection.as_mut() => return Some(result),
             () = tokio::time::sleep(CLOSE_CHECK_INTERVAL) => {}
         }
-        let last_answer = net.shutdown.last_answer();
+        let last_answer = net.shutdown.last_answer_at();
         let past_last_answer = last_answer.is_none_or(|last| Instant::now() >= last);
         if can_close(client, stream) || past_last_answer && client.idle_since.get().is_some() {
             return None;
--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -13,7 +13,7 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
 
-use super::super::answers::{not_allowed, plain, rejection};
+use super::super::answers::{not_allowed, plain_text, rejection};
 use super::super::durable;
 use super::super::forwarded_request::ForwardedRequest;
 use super::super::workers::{self, Attempt, AttemptDeadlines, AttemptObserver, ClientConnection};
@@ -34,8 +34,10 @@
     let (head, body) = request.into_parts();
     if head.uri.path() == "/ready" {
         return match head.method {
-            Method::GET | Method::HEAD if net.can_serve() => plain(StatusCode::OK, "ready\n"),
-            Method::GET | Method::HEAD => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            Method::GET | Method::HEAD if net.can_serve() => plain_text(StatusCode::OK, "ready\n"),
+            Method::GET | Method::HEAD => {
+                plain_text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
+            }
             _ => not_allowed("GET, HEAD"),
         };
     }
@@ -107,7 +109,7 @@
     }
     if !reservation.claim(&forwarded.id) {
         net.counters.clients.bad_requests.increment();
-        return plain(StatusCode::CONFLICT, "another open req has this Req-Id\n");
+        return plain_text(StatusCode::CONFLICT, "another open req has this Req-Id\n");
     }
     perform_steps(
         net,
@@ -194,7 +196,7 @@
             .check_invariant(result.is_some(), "a served attempt has its result");
         match result {
             Some(result) => Response::new(Full::new(result)),
-            None => plain(StatusCode::BAD_GATEWAY, "failed\n"),
+            None => plain_text(StatusCode::BAD_GATEWAY, "failed\n"),
         }
     }
 
@@ -241,7 +243,7 @@
             }
             Step::Serve { attempt } => return handler.serve(attempt).await,
             Step::Reject { retry_after } => return rejection(retry_after),
-            Step::Fail => return plain(StatusCode::BAD_GATEWAY, "failed\n"),
+            Step::Fail => return plain_text(StatusCode::BAD_GATEWAY, "failed\n"),
             Step::Cancel { attempt } => handler.revoke(attempt),
         }
     }
--- a/crates/server/src/net/front/lingering_close.rs
+++ b/crates/server/src/net/front/lingering_close.rs
@@ -10,8 +10,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
-use super::super::end_sending;
 use super::super::reader::MAX_DISCARDED_BYTES;
+use super::super::shutdown_write;
 use super::super::transient::is_transient;
 
 /// The longest time for which input is discarded before the connection is closed.
@@ -31,7 +31,7 @@
     let close = async {
         write_all(stream, final_response).await;
         // Fails if the client has disconnected meanwhile; there is nothing left to shut down then.
-        _ = end_sending(stream);
+        _ = shutdown_write(stream);
         discard_input(stream).await;
     };
     _ = tokio::time::timeout_at(by.map_or(limit, |by| by.min(limit)), close).await;
--- a/crates/server/src/net/front/mod.rs
+++ b/crates/server/src/net/front/mod.rs
@@ -109,7 +109,7 @@
 ) {
     while net
         .shutdown
-        .last_answer()
+        .last_answer_at()
         .is_none_or(|last| Instant::now() < last)
     {
         match tokio::time::timeout(Duration::ZERO, listener.accept()).await {
--- a/crates/server/src/net/front/request.rs
+++ b/crates/server/src/net/front/request.rs
@@ -16,7 +16,7 @@
 use hyper::{Method, Response, StatusCode};
 
 use super::super::answers::{
-    not_allowed, plain, rejection, IDEMPOTENCY_KEY, REQ_DEADLINE, REQ_EXTRA, REQ_ID, REQ_KIND,
+    not_allowed, plain_text, rejection, IDEMPOTENCY_KEY, REQ_DEADLINE, REQ_EXTRA, REQ_ID, REQ_KIND,
     REQ_OWNER,
 };
 use super::super::forwarded_request::{ForwardedRequest, Reservation};
@@ -91,23 +91,25 @@
         if self.ends_connection() {
             client.state.close_after_response.set(true);
         }
-        let bad_request = |text| plain(StatusCode::BAD_REQUEST, text);
+        let bad_request = |text| plain_text(StatusCode::BAD_REQUEST, text);
         match self {
             RequestError::NoPath => bad_request("no path\n"),
-            RequestError::UnknownClass => plain(StatusCode::NOT_FOUND, "no such class\n"),
-            RequestError::UnknownPath => plain(StatusCode::NOT_FOUND, "no such path\n"),
+            RequestError::UnknownClass => plain_text(StatusCode::NOT_FOUND, "no such class\n"),
+            RequestError::UnknownPath => plain_text(StatusCode::NOT_FOUND, "no such path\n"),
             RequestError::NotPost => not_allowed("POST"),
             RequestError::WrongKind => bad_request("Req-Kind is not the path's class\n"),
             RequestError::InvalidId => bad_request("no usable Req-Id\n"),
             RequestError::NoIdempotencyKey => bad_request("no Idempotency-Key\n"),
             RequestError::InvalidDeadline => bad_request("Req-Deadline-Ms is not a whole number\n"),
-            RequestError::BodyTooLarge => plain(StatusCode::PAYLOAD_TOO_LARGE, "body too large\n"),
+            RequestError::BodyTooLarge => {
+                plain_text(StatusCode::PAYLOAD_TOO_LARGE, "body too large\n")
+            }
             RequestError::NoMemory => {
                 let wait = (settings.max_retry_after / 2).as_micros();
                 rejection(settings.retry_after.then_some(wait))
             }
             RequestError::BodyTimeout => {
-                plain(StatusCode::REQUEST_TIMEOUT, "the body never came\n")
+                plain_text(StatusCode::REQUEST_TIMEOUT, "the body never came\n")
             }
             RequestError::UnreadableBody => bad_request("broken body\n"),
             RequestError::NoHost => bad_request("no Host\n"),
@@ -147,7 +149,7 @@
     let deadline = if net.durable.is_some() {
         deadline
     } else {
-        net.shutdown.bounded(now, deadline)
+        net.shutdown.limit_deadline(now, deadline)
     };
     let forwarded = ForwardedRequest {
         method: head.method,
--- a/crates/server/src/net/mod.rs
+++ b/crates/server/src/net/mod.rs
@@ -53,7 +53,7 @@
 const MIN_SOCKET_SHARE: usize = 4;
 
 /// Shuts down the sending side of a connection.
-pub(crate) fn end_sending(stream: &TcpStream) -> io::Result<()> {
+pub(crate) fn shutdown_write(stream: &TcpStream) -> io::Result<()> {
     socket2::SockRef::from(stream).shutdown(std::net::Shutdown::Write)
 }
 
--- a/crates/server/src/net/reader.rs
+++ b/crates/server/src/net/reader.rs
@@ -109,8 +109,8 @@
         self.partial_request(now) == Some(true) || self.pending_response(now) == Some(true)
     }
 
-    /// Whether a request has not arrived within [`ARRIVAL_TIMEOUT`], the client has read nothing of a response for as long, or
-    /// malformed bytes have waited too long for the request before them.
+    /// Whether a request has not arrived within [`ARRIVAL_TIMEOUT`], the client has read nothing of a response for as
+    /// long, or malformed bytes have waited too long for the request before them.
     pub(super) fn overdue(&self, now: Instant) -> bool {
         let long_ago = |since: Option<Instant>| since.is_some_and(|at| now > at + ARRIVAL_TIMEOUT);
         long_ago(self.started_at.get())
@@ -390,7 +390,7 @@
         Poll::Ready(if self.state.is_rejected() {
             Ok(())
         } else {
-            super::end_sending(&self.stream.borrow())
+            super::shutdown_write(&self.stream.borrow())
         })
     }
 }
--- a/crates/server/src/net/shutdown.rs
+++ b/crates/server/src/net/shutdown.rs
@@ -35,10 +35,10 @@
 /// The deadlines of a shutdown in progress.
 #[derive(Clone, Copy)]
 struct ShutdownTimes {
-    /// Requests that arrive later have their deadline limited to `last_answer`.
+    /// Requests that arrive later have their deadline limited to `last_answer_at`.
     limits_deadlines_from: Micros,
     /// When the last answer must be written.
-    last_answer: Micros,
+    last_answer_at: Micros,
 }
 
 /// The progress of this process's shutdown.
@@ -72,26 +72,28 @@
     }
 
     /// Limits the deadline of a request that arrived late in a shutdown, so that it is answered before SIGKILL.
-    pub(crate) fn bounded(&self, arrived: Micros, deadline: Micros) -> Micros {
+    pub(crate) fn limit_deadline(&self, arrived: Micros, deadline: Micros) -> Micros {
         match self.times.get() {
-            Some(times) if arrived > times.limits_deadlines_from => deadline.min(times.last_answer),
+            Some(times) if arrived > times.limits_deadlines_from => {
+                deadline.min(times.last_answer_at)
+            }
             _ => deadline,
         }
     }
 
     /// When the last answer must be written; `None` before a shutdown is requested.
-    pub(crate) fn last_answer(&self) -> Option<tokio::time::Instant> {
+    pub(crate) fn last_answer_at(&self) -> Option<tokio::time::Instant> {
         self.times
             .get()
-            .map(|times| self.clock.instant(times.last_answer))
+            .map(|times| self.clock.instant(times.last_answer_at))
     }
 
-    /// When the process must exit, which is a quarter of the way from `last_answer` to SIGKILL; `None` before a
+    /// When the process must exit, which is a quarter of the way from `last_answer_at` to SIGKILL; `None` before a
     /// shutdown is requested.
     pub(crate) fn exit_deadline(&self) -> Option<tokio::time::Instant> {
         self.times
             .get()
-            .map(|times| self.clock.instant(times.last_answer + ANSWER_MARGIN / 4))
+            .map(|times| self.clock.instant(times.last_answer_at + ANSWER_MARGIN / 4))
     }
 }
 
@@ -104,7 +106,7 @@
     let now = net.clock.now();
     net.shutdown.times.set(Some(ShutdownTimes {
         limits_deadlines_from: now + MIN_DRAIN_TIME / 2,
-        last_answer: now + time_to_kill.saturating_sub(ANSWER_MARGIN),
+        last_answer_at: now + time_to_kill.saturating_sub(ANSWER_MARGIN),
     }));
     let ms = drain_time / 1_000;
     info!(ms, "shutdown requested: serving for {ms} ms");
@@ -120,7 +122,7 @@
         return; // durable jobs outlive the shutdown
     }
     // Answers requests whose deadline is after SIGKILL and whose workers have not responded during the shutdown.
-    if let Some(last) = net.shutdown.last_answer() {
+    if let Some(last) = net.shutdown.last_answer_at() {
         tokio::time::sleep_until(last).await;
         net.facade.borrow_mut().answer_all(net.clock.now());
     }
--- a/crates/server/src/net/workers/connection.rs
+++ b/crates/server/src/net/workers/connection.rs
@@ -22,7 +22,7 @@
 use tokio::time::{sleep, Duration};
 
 use super::super::transient::{is_transient, peek, TransientRetry};
-use super::super::{end_sending, Net};
+use super::super::{shutdown_write, Net};
 use super::client::Cancellation;
 use super::deadline::DeadlineField;
 use super::fault::is_local_fault;
@@ -142,7 +142,7 @@
     }
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        Poll::Ready(end_sending(&self.socket.stream.borrow()))
+        Poll::Ready(shutdown_write(&self.socket.stream.borrow()))
     }
 }
 
