--- a/crates/server/src/net/serve.rs
+++ b/crates/server/src/net/serve.rs
@@ -61,7 +61,7 @@
     spawn_tasks(&net, signals, resources.inherited_list);
     if let Some(admin) = admin {
         let at = retry_at_start(|| admin.local_addr())?;
-        info!(%at, "operators call {at}");
+        info!(%at, "operators' address: listening on {at}");
         tokio::task::spawn_local(admin::run(net.clone(), admin));
     }
     let listener = resources.join_hot_restart(&net);
--- a/crates/standin/src/program.rs
+++ b/crates/standin/src/program.rs
@@ -275,7 +275,7 @@
     pub fn admin(&self) -> SocketAddr {
         let mut address = None;
         until("the operators' address in the log", || {
-            address = address_after(&self.log(), "operators call ");
+            address = address_after(&self.log(), "operators' address: listening on ");
             address.is_some()
         });
         address.expect("an address")
