--- a/crates/core/src/interface/settings.rs
+++ b/crates/core/src/interface/settings.rs
@@ -97,7 +97,7 @@
     /// Workers report when a job starts.
     pub reports_start: bool,
     /// Workers start queued jobs strictly in the order of arrival.
-    pub in_order: bool,
+    pub fifo_workers: bool,
     /// How often workers report the progress of a job; 0 if never.
     pub progress_every: Span,
     /// How load reports are delivered.
@@ -117,7 +117,7 @@
     /// Time within which a connection must be established.
     pub connect_timeout: Span,
     /// Cost of an attempt in another zone, as a fraction of the value of one request; 0 if free.
-    pub cross_price: f64,
+    pub cross_zone_cost: f64,
     /// Minimum time between two batches of decisions.
     pub tick: Span,
     /// Minimum share of its capacity that a worker has right after its start.
@@ -165,7 +165,7 @@
             poll_interval: Span::from_millis(10_000),
             weights: Weights::None,
             reports_start: true,
-            in_order: false,
+            fifo_workers: false,
             progress_every: Span::ZERO,
             reports: Reports::None,
             may_probe: false,
@@ -175,7 +175,7 @@
             max_attempts: 6,
             idle_close: Span::from_millis(60_000),
             connect_timeout: Span::from_millis(120),
-            cross_price: 0.0,
+            cross_zone_cost: 0.0,
             tick: Span::from_millis(2),
             cold_share: 0.3,
             ramp: Span::from_millis(10_000),
--- a/crates/core/src/scheduler/admission.rs
+++ b/crates/core/src/scheduler/admission.rs
@@ -64,7 +64,7 @@
             return false;
         };
         let rate = share / f64::from(self.settings.schedulers);
-        self.tenant_shares.is_exceeded(tenant, rate, self.now)
+        self.tenant_shares.count_request(tenant, rate, self.now)
     }
 
     /// Sets the deadline, latency objective, dispatch deadline and size of a request.
@@ -82,7 +82,7 @@
         // is used.
         request.size = request
             .hint
-            .map_or(1.0, |hint| estimate.size(hint, LEARNING_RATE));
+            .map_or(1.0, |hint| estimate.observe_hint(hint, LEARNING_RATE));
         let work = request.hint.unwrap_or(estimate.work);
         let run = estimate.run * request.size;
         request.latency_objective = (first_try + class.latency_objective)
--- a/crates/core/src/scheduler/failure_detection.rs
+++ b/crates/core/src/scheduler/failure_detection.rs
@@ -8,7 +8,7 @@
 use super::attempts::LATE_START_SHARE;
 use crate::interface::WorkerId;
 use crate::scheduler::Scheduler;
-use crate::state::{Moves, WorkerIndex};
+use crate::state::{IndexRemap, WorkerIndex};
 use crate::time::{Instant, Span};
 
 /// Time without an observation after which a worker with unstarted jobs is unresponsive, in mean
@@ -110,7 +110,7 @@
     }
 
     /// Removes workers that are no longer known and updates the indices of the others.
-    pub(crate) fn retain(&mut self, moves: &Moves) {
+    pub(crate) fn retain(&mut self, moves: &IndexRemap) {
         self.queue
             .retain_mut(|watched| moves.apply(&mut watched.worker));
     }
@@ -156,7 +156,7 @@
     /// limit.
     pub(super) fn detect_unresponsive(&mut self) {
         while let Some(w) = self.next_due_for_check(self.mean_run / 2.0) {
-            self.lose_without_progress(w);
+            self.mark_stalled_as_lost(w);
             self.count_overdue_starts(w);
             if self.is_unresponsive(w) {
                 // Its jobs would otherwise hold slots of the limit until their deadlines.
@@ -176,7 +176,7 @@
         } else {
             RUNNING_RESPONSE_TIMEOUT_RUNS
         };
-        self.since(worker.health.unobserved_since) > timeout * self.mean_run
+        self.micros_since(worker.health.unobserved_since) > timeout * self.mean_run
     }
 
     /// Counts attempts that should have started by now as late starts. Otherwise a queue would be
@@ -191,7 +191,7 @@
             }
             let slots = request.slots;
             let record = &request.attempts[attempt.number];
-            let waited = self.since(record.sent);
+            let waited = self.micros_since(record.sent);
             let is_overdue = record.started.is_none()
                 && waited > LATE_START_SHARE * self.slack(request.class)
                 && self.mark_late(attempt);
--- a/crates/core/src/scheduler/slow_start.rs
+++ b/crates/core/src/scheduler/slow_start.rs
@@ -27,12 +27,12 @@
 impl SlowStartBudget {
     /// Restarts the accumulation of budget now. Otherwise all schedulers would save up budget while
     /// none of them may send to the worker.
-    pub(crate) fn restart(&mut self, now: Instant) {
+    pub(crate) fn restart_accrual(&mut self, now: Instant) {
         self.updated_at = now;
     }
 
     /// Sets an initial debt, in slot-microseconds.
-    pub(crate) fn begin_in_debt(&mut self, debt: f64) {
+    pub(crate) fn set_initial_debt(&mut self, debt: f64) {
         self.balance = -debt;
     }
 
@@ -64,7 +64,7 @@
     /// scaled by the slowest permitted ramp. If all do so, the sum stays below `fall_multiple`
     /// times the capacity of the worker. Throughput counts completed work only, because waiting
     /// jobs are no capacity. If the budget is below one job per span, the random initial debt set
-    /// in `enter_all` decides which scheduler sends one.
+    /// in `apply_rows` decides which scheduler sends one.
     pub(super) fn slow_start_allows(&mut self, w: WorkerIndex) -> bool {
         let capacity_share = self.warm_up_progress(w);
         if capacity_share >= 1.0 {
@@ -75,7 +75,7 @@
         // itself.
         let min_throughput = MIN_THROUGHPUT_SLOTS
             / f64::from(settings.schedulers)
-            / (1 + self.sharing_processes) as f64;
+            / (1 + self.other_processes) as f64;
         // A larger worker gets no more than one of mean capacity, because capacity estimates are
         // imprecise.
         let size = self.relative_capacity(w).min(1.0);
--- a/crates/core/src/state/mod.rs
+++ b/crates/core/src/state/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! The modules here store and update the state but make no scheduling decisions; those are in `scheduler`.
 
-use crate::interface::{Accounts, Action, RequestId};
+use crate::interface::{Action, InFlightCounts, RequestId};
 use crate::scheduler::Scheduler;
 use crate::time::Instant;
 
@@ -28,14 +28,14 @@
 pub(crate) use list::BoundGroup;
 pub(crate) use pool::WorkerPools;
 pub(crate) use queues::{QueuedRequest, Tier, TierQueues};
-pub(crate) use rates::{Rates, WorkDone};
+pub(crate) use rates::{CompletedWork, Rates};
 use request::Attempt;
 pub(crate) use request::{EndedAttempt, Request, RequestProbe};
 pub(crate) use ring::HashRing;
 pub(crate) use start_times::{StartTimes, WorkerStart};
 pub(crate) use tenant_shares::TenantShares;
 pub(crate) use worker::{AttemptId, Wait, Worker};
-pub(crate) use worker_table::{Moves, Retained, WorkerIndex, WorkerTable};
+pub(crate) use worker_table::{IndexRemap, Retained, WorkerIndex, WorkerTable};
 pub(crate) use zone::Zone;
 
 impl Scheduler {
@@ -86,19 +86,19 @@
     }
 
     /// When the timer is due, or [`Instant::MAX`] if none is set.
-    pub(crate) fn wake_wanted(&self) -> Instant {
+    pub(crate) fn timer_due_at(&self) -> Instant {
         self.wake_at
     }
 
     /// The time elapsed since `at`, in microseconds; 0 if `at` is in the future.
-    pub(crate) fn since(&self, at: Instant) -> f64 {
+    pub(crate) fn micros_since(&self, at: Instant) -> f64 {
         self.now.saturating_since(at).as_micros_f64()
     }
 
     /// Counts what is queued or in flight now. All counts but the one of workers return to 0 once every
     /// request is answered and every attempt has ended, so that callers can check for leaks.
     #[must_use]
-    pub fn accounts(&self) -> Accounts {
+    pub fn in_flight_counts(&self) -> InFlightCounts {
         let (mut attempts, mut slots) = (0, self.in_flight.slots + self.in_flight.excluded);
         for worker in self.workers.iter() {
             let at_worker = &worker.in_flight;
@@ -110,7 +110,7 @@
             .iter()
             .map(|w| w.in_flight.slots + w.in_flight.excluded_slots)
             .sum::<f64>();
-        Accounts {
+        InFlightCounts {
             requests: self.requests.len(),
             queued: self.queues.len() + self.backoffs.len(),
             attempts,
--- a/crates/core/src/state/pool.rs
+++ b/crates/core/src/state/pool.rs
@@ -135,7 +135,7 @@
     /// The mean size of the live workers.
     pub mean_size: f64,
     /// The capacity of the live workers in units of a warm worker: the sum of their warm-up progress.
-    pub warmth: f64,
+    pub warm_capacity: f64,
     /// When the sizes were last rescaled.
     rescaled_at: Instant,
 }
@@ -147,7 +147,7 @@
             own_zone: Pool::default(),
             by_kind: FxHashMap::default(),
             mean_size: 1.0,
-            warmth: 0.0,
+            warm_capacity: 0.0,
             rescaled_at: Instant::ZERO,
         }
     }
@@ -164,7 +164,7 @@
         for pool in self.all() {
             pool.clear();
         }
-        self.warmth = 0.0;
+        self.warm_capacity = 0.0;
     }
 
     /// Drops the pools and groups of machine kinds without workers.
@@ -201,35 +201,35 @@
             }
             let listing = &self.workers[w].listing;
             let kind = listing.kind;
-            let size = self.raw_size(w);
+            let size = self.capacity(w);
             pools.live.push(w, kind, size);
             pools.by_kind.entry(kind).or_default().push(w, kind, size);
             if listing.zone == self.settings.own_zone() {
                 pools.own_zone.push(w, kind, size);
             }
-            pools.warmth += self.warm_up_progress(w);
+            pools.warm_capacity += self.warm_up_progress(w);
         }
         pools.drop_empty();
-        pools.rescale(self.now, |w| self.raw_size(w));
+        pools.rescale(self.now, |w| self.capacity(w));
         self.pools = pools;
     }
 
     /// Rescales the pools once per mean running time to follow the estimates for machine kinds. Workers that
     /// warm up keep their full size: their slow-start budgets limit what they get.
-    pub(crate) fn reweigh_pools(&mut self) {
-        if self.since(self.pools.rescaled_at) > self.mean_run {
+    pub(crate) fn rescale_pools(&mut self) {
+        if self.micros_since(self.pools.rescaled_at) > self.mean_run {
             let mut pools = std::mem::take(&mut self.pools);
-            pools.rescale(self.now, |w| self.raw_size(w));
+            pools.rescale(self.now, |w| self.capacity(w));
             self.pools = pools;
         }
     }
 
     /// Recomputes the capacity of the live workers while some of them warm up.
-    pub(crate) fn update_warmth(&mut self) {
+    pub(crate) fn update_warm_capacity(&mut self) {
         let live = &self.pools.live;
-        if self.pools.warmth < live.len() as f64 {
+        if self.pools.warm_capacity < live.len() as f64 {
             let progress = live.workers.iter().map(|&w| self.warm_up_progress(w));
-            self.pools.warmth = progress.sum();
+            self.pools.warm_capacity = progress.sum();
         }
     }
 }
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -175,13 +175,14 @@
 
     /// Stores a worker's report and updates the statistics of report changes. Returns whether the
     /// report equals the worker's previous one.
-    pub(crate) fn is_repeated_report(&mut self, w: WorkerIndex, report: &Report) -> bool {
-        let gap = self.since(self.workers[w].load.reported_at);
+    pub(crate) fn record_report(&mut self, w: WorkerIndex, report: &Report) -> bool {
+        let gap = self.micros_since(self.workers[w].load.reported_at);
         let load = &mut self.workers[w].load;
         let is_same = load.report == *report;
         if load.reported_at > Instant::ZERO && gap < self.mean_run {
             let differs = f64::from(u8::from(!is_same));
-            self.reports.mean_gap += REPORT_SMOOTHING * (gap - self.reports.mean_gap);
+            self.reports.mean_report_interval +=
+                REPORT_SMOOTHING * (gap - self.reports.mean_report_interval);
             self.reports.change_share += REPORT_SMOOTHING * (differs - self.reports.change_share);
         }
         load.reported_at = self.now;
--- a/crates/core/tests/model/world.rs
+++ b/crates/core/tests/model/world.rs
@@ -6,9 +6,9 @@
 use std::task::{Poll, Waker};
 
 use oakshed_core::facade::{
-    self, Condition, Ending, Entry, Facade, Handle, Job, ListKind, Micros, Seen, Settings,
+    self, Condition, Ending, Entry, Facade, Handle, Job, ListKind, Micros, Observation, Settings,
 };
-use oakshed_core::figures::{End, Ledger};
+use oakshed_core::figures::{RequestCounts, RequestOutcome};
 use oakshed_core::interface::{Class, Effect, Scope, Span};
 
 use crate::request::{flag, Flag, Out, Waiting};
@@ -54,7 +54,7 @@
     timer: Arc<Flag>,
     next: Option<Micros>,
     pub subscriptions: u32,
-    pub ledger: Ledger,
+    pub request_counts: RequestCounts,
 }
 
 impl World {
@@ -72,12 +72,12 @@
             timer: flag(),
             next: None,
             subscriptions: 0,
-            ledger: Ledger::new(2),
+            request_counts: RequestCounts::new(2),
         };
         let all: Vec<Entry> = (0..4).map(|b| world.entry(b)).collect();
         world
             .facade
-            .report(world.now, Seen::List(ListKind::Cached, &all));
+            .report(world.now, Observation::List(ListKind::Cached, &all));
         world.settle();
         world
     }
@@ -121,7 +121,7 @@
             while !self.requests[&request].over {
                 let woken = self.requests[&request].woken.clone();
                 let was = woken.0.swap(false, Ordering::SeqCst);
-                match self.facade.pick(request, &Waker::from(woken)) {
+                match self.facade.poll_step(request, &Waker::from(woken)) {
                     Poll::Pending => break,
                     Poll::Ready(step) => {
                         self.requests[&request]
@@ -150,7 +150,7 @@
             facade::Step::Serve { attempt } => {
                 let ended = self.requests[&request].attempts[attempt].ended;
                 assert_eq!(ended, Some(Ending::Delivered), "only a result is served");
-                End::Completed
+                RequestOutcome::Completed
             }
             facade::Step::Reject { .. } => {
                 let r = &self.requests[&request];
@@ -158,9 +158,9 @@
                     r.class != 0 || !r.may_have_run(),
                     "rejected though it may have run"
                 );
-                End::Rejected
+                RequestOutcome::Rejected
             }
-            facade::Step::Fail => End::Failed,
+            facade::Step::Fail => RequestOutcome::Failed,
             facade::Step::Cancel { attempt } => {
                 panic!("attempt {attempt} is to be dropped before the answer")
             }
@@ -208,11 +208,11 @@
     fn end(&mut self, request: Handle, attempt: usize, ending: Ending) {
         self.requests.get_mut(&request).expect("known").attempts[attempt].ended = Some(ending);
         self.facade
-            .report(self.now, Seen::Ended(request, attempt, ending, None));
+            .report(self.now, Observation::Ended(request, attempt, ending, None));
         // A second word on the same attempt, as when it ends while it is dropped, changes nothing.
         self.facade.report(
             self.now,
-            Seen::Ended(request, attempt, Ending::Dropped, None),
+            Observation::Ended(request, attempt, Ending::Dropped, None),
         );
     }
 
@@ -265,7 +265,7 @@
             Step::Snapshot(mask, anew) => self.list_all(mask, anew),
             Step::Exclude(worker, is_excluded) => self.exclude(worker, is_excluded),
             Step::Failed => {
-                let failure = Seen::List(ListKind::Failed, &[]);
+                let failure = Observation::List(ListKind::Failed, &[]);
                 self.facade.report(self.now, failure);
             }
         }
@@ -297,7 +297,7 @@
         };
         let request = self.facade.take(self.now, &job);
         self.order.push(request);
-        let owed = Some(self.ledger.take(Some(class as usize)));
+        let owed = Some(self.request_counts.begin(Some(class as usize)));
         let new = Waiting {
             class,
             woken: flag(),
@@ -311,8 +311,10 @@
     fn start(&mut self, pick: usize) {
         if let Some((request, attempt)) = self.open_attempt(pick) {
             let now = self.now;
-            self.facade.report(now, Seen::Started(request, attempt));
-            self.facade.report(now, Seen::Progress(request, attempt));
+            self.facade
+                .report(now, Observation::Started(request, attempt));
+            self.facade
+                .report(now, Observation::Progress(request, attempt));
         }
     }
 
@@ -329,7 +331,7 @@
         self.ready[worker] = ready;
         let entry = self.entry(worker);
         self.facade
-            .report(self.now, Seen::List(ListKind::Delta, &[entry]));
+            .report(self.now, Observation::List(ListKind::Delta, &[entry]));
     }
 
     fn list_all(&mut self, mask: u8, anew: bool) {
@@ -342,7 +344,7 @@
             .map(|b| self.entry(b))
             .collect();
         self.facade
-            .report(self.now, Seen::List(ListKind::Snapshot, &listed));
+            .report(self.now, Observation::List(ListKind::Snapshot, &listed));
     }
 
     fn exclude(&mut self, worker: usize, is_excluded: bool) {
