--- a/crates/server/src/net/discovery/mod.rs
+++ b/crates/server/src/net/discovery/mod.rs
@@ -99,7 +99,7 @@
     net.report_list(kind, &entries);
     durable::on_list(net, &entries, kind);
     if kind != ListKind::Cached {
-        peers::listed(net);
+        peers::publish_list(net);
     }
     if !entries.is_empty() {
         let number = answer.generation;
--- a/crates/server/src/net/peers/mod.rs
+++ b/crates/server/src/net/peers/mod.rs
@@ -263,7 +263,7 @@
 }
 
 /// Passes the list of this scheduler's own discovery to the node, to be shared with the peers.
-pub(super) fn listed(net: &Net) {
+pub(super) fn publish_list(net: &Net) {
     let Some(peers) = &net.peers else { return };
     // After a reload to another discovery, the list numbers are not comparable with those of the peers.
     if net.discovery.address() != net.config.discovery {
