--- a/crates/server/src/net/admin.rs
+++ b/crates/server/src/net/admin.rs
@@ -205,7 +205,7 @@
     if net.shutdown.is_closing() {
         return Err(CallError::Stopping);
     }
-    if !net.hot_restart.replaces_predecessor() {
+    if !net.hot_restart.may_report_ready() {
         return Err(CallError::PredecessorNotNotified);
     }
     if !net.can_serve() {
--- a/crates/server/src/net/front/mod.rs
+++ b/crates/server/src/net/front/mod.rs
@@ -80,7 +80,7 @@
             // The successor accepts from the same queue, so the queue is not drained here.
             _ = &mut handed_over => {
                 drop(listener);
-                net.hot_restart.stop_donating();
+                net.hot_restart.drop_listener();
                 return clients.all_closed().await;
             }
         };
@@ -94,7 +94,7 @@
     }
     accept_queued(net, &clients, &listener, backoff).await;
     drop(listener);
-    net.hot_restart.stop_donating();
+    net.hot_restart.drop_listener();
     clients.all_closed().await;
 }
 
--- a/crates/server/src/net/hot_restart/mod.rs
+++ b/crates/server/src/net/hot_restart/mod.rs
@@ -68,12 +68,12 @@
     }
 
     /// Whether this process may report readiness: it has no predecessor, or has notified it.
-    pub(super) fn replaces_predecessor(&self) -> bool {
+    pub(super) fn may_report_ready(&self) -> bool {
         !self.predecessor_unnotified.get()
     }
 
     /// Drops the duplicate of the listening socket, so that no successor gets it once this process stops accepting.
-    pub(super) fn stop_donating(&self) {
+    pub(super) fn drop_listener(&self) {
         self.listener.take();
     }
 
