--- a/crates/server/src/net/serve.rs
+++ b/crates/server/src/net/serve.rs
@@ -91,7 +91,7 @@
     directory: Option<Rc<SharedDirectory>>,
     listener: TcpListener,
     /// A duplicate of the listener, for a successor.
-    donated: io::Result<OwnedFd>,
+    successor_listener: io::Result<OwnedFd>,
     /// The connection to the predecessor, where there is one.
     predecessor: Option<UnixStream>,
     /// The endpoint list is the predecessor's.
@@ -122,11 +122,11 @@
             }
             None => front::listen(config.listen, directory.is_some())?,
         };
-        let donated = retry_at_start(|| Ok(rustix::io::dup(&listener)?));
+        let successor_listener = retry_at_start(|| Ok(rustix::io::dup(&listener)?));
         Ok(Start {
             directory,
             listener,
-            donated,
+            successor_listener,
             predecessor,
             inherited_list,
         })
@@ -135,8 +135,8 @@
     /// Replaces the predecessor and awaits a successor, where there is a place for that; returns the listener.
     fn join_hot_restart(self, net: &Rc<Net>) -> TcpListener {
         if let Some(directory) = self.directory {
-            match self.donated {
-                Ok(donated) => hot_restart::start(net, directory, donated, self.predecessor),
+            match self.successor_listener {
+                Ok(listener) => hot_restart::start(net, directory, listener, self.predecessor),
                 Err(e) => {
                     warn!(error = %e, "hot restart: {e}; no successor can take over from this process");
                 }
