--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -59,7 +59,7 @@
     /// The memory limit, in bytes.
     pub memory: usize,
     /// The cached endpoint list, in discovery's form.
-    pub known: Option<Answer>,
+    pub cached_list: Option<Answer>,
     /// The settings of the scheduling decisions.
     pub settings: Settings,
     /// The names of classes, tenants, zones and machine types.
@@ -195,7 +195,7 @@
         )?;
         let seed =
             u64::from_str_radix(&seed, 16).map_err(|_| in_file(ConfigFault::UnusableSeed))?;
-        let known = file
+        let cached_list = file
             .known
             .map(|list| Answer::parse(list.get().as_bytes()))
             .transpose()
@@ -212,7 +212,7 @@
             seed,
             sockets,
             memory,
-            known,
+            cached_list,
             settings,
             names: Rc::new(names),
             operator,
--- a/crates/server/src/net/discovery/mod.rs
+++ b/crates/server/src/net/discovery/mod.rs
@@ -45,10 +45,10 @@
     if inherited && net.config.settings.list_on_request {
         return apply_cached_list(net);
     }
-    let Some(known) = &net.config.known else {
+    let Some(cached) = &net.config.cached_list else {
         return;
     };
-    let mut entries: Vec<Entry> = known
+    let mut entries: Vec<Entry> = cached
         .instances
         .iter()
         .map(|i| i.entry(&net.config.names))
@@ -60,11 +60,11 @@
         UpdateKind::Snapshot,
         entries
             .iter()
-            .zip(known.instances.iter().map(|i| i.host_port)),
+            .zip(cached.instances.iter().map(|i| i.host_port)),
     );
     net.report_list(ListKind::Cached, &entries);
     durable::on_list(net, &entries, ListKind::Cached);
-    let number = known.generation;
+    let number = cached.generation;
     info!(
         number,
         "endpoint list {number}: {} entries cached, to be confirmed",
@@ -74,8 +74,8 @@
 
 /// Serves from the cached list, where there is one.
 fn apply_cached_list(net: &Rc<Net>) {
-    if let Some(known) = &net.config.known {
-        apply(net, known, ListKind::Cached);
+    if let Some(cached) = &net.config.cached_list {
+        apply(net, cached, ListKind::Cached);
     }
 }
 
@@ -133,10 +133,10 @@
     let pushed = !settings.list_on_request;
     let mut generation = net
         .config
-        .known
+        .cached_list
         .as_ref()
         .filter(|_| !pushed)
-        .map(|known| known.generation);
+        .map(|cached| cached.generation);
     let mut at_once = pushed;
     let failures_left = Cell::new(failures_until_fallback(pushed, inherited));
     let mut address_updates = net.discovery.address.subscribe();
@@ -250,7 +250,7 @@
     }
 
     fn has_list(&self) -> bool {
-        self.net.config.known.is_some() || self.net.facade.borrow().members().listed > 0
+        self.net.config.cached_list.is_some() || self.net.facade.borrow().members().listed > 0
     }
 
     fn on_answer(&self, answer: &Answer) {
@@ -259,8 +259,8 @@
             // A delta confirms the other entries of the cached list. Both are applied as one list: in two steps,
             // requests could be sent to workers that the delta removes.
             let mut list = EndpointList::default();
-            if let Some(known) = &self.net.config.known {
-                list.apply(known, UpdateKind::Snapshot);
+            if let Some(cached) = &self.net.config.cached_list {
+                list.apply(cached, UpdateKind::Snapshot);
             }
             list.apply(answer, UpdateKind::Delta);
             return apply(self.net, &list.to_answer(), ListKind::Snapshot);
--- a/crates/server/src/net/serve.rs
+++ b/crates/server/src/net/serve.rs
@@ -114,7 +114,7 @@
         let listener = match inherited {
             Some(inherited) => {
                 inherited_list = inherited.list.is_some();
-                config.known = inherited.list.or(config.known.take());
+                config.cached_list = inherited.list.or(config.cached_list.take());
                 facade.resume_handover_state(clock.now(), &inherited.state);
                 facade.resume_warming(clock.now(), &inherited.warming);
                 predecessor = Some(inherited.link);
