--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -19,7 +19,7 @@
 use oakshed_wire::Names;
 
 use crate::list::Answer;
-use crate::operator::Operator;
+use crate::operator::OperatorConfig;
 
 /// The minimum limit on descriptors; with fewer, nothing can be served.
 const MIN_SOCKETS: usize = 64;
@@ -65,7 +65,7 @@
     /// The names of classes, tenants, zones and machine types.
     pub names: Rc<Names>,
     /// The content of the operator's file.
-    pub operator: Operator,
+    pub operator: OperatorConfig,
 }
 
 /// The file that `ROUTER_CONFIG` names.
@@ -179,7 +179,7 @@
             .ok_or_else(|| in_file(ConfigFault::NoSettings))?;
         let (settings, names) =
             oakshed_wire::settings_and_names(settings.get()).map_err(|e| in_file(e.into()))?;
-        let operator = operator.map_or(Ok(Operator::default()), Operator::read)?;
+        let operator = operator.map_or(Ok(OperatorConfig::default()), OperatorConfig::read)?;
         check_class_names(&names, operator.jobs.is_some()).map_err(in_file)?;
         let listen = address(
             var("ROUTER_LISTEN"),
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -10,7 +10,7 @@
 use oakshed::config::{Config, ConfigError};
 use oakshed::logging::{self, Format};
 use oakshed::net::ServeError;
-use oakshed::operator::{self, Operator, OperatorFileError};
+use oakshed::operator::{self, OperatorConfig, OperatorFileError};
 use thiserror::Error;
 
 mod demo;
@@ -144,7 +144,7 @@
 
 fn check(operator: Option<&str>) -> Result<(), CommandError> {
     if let Some(path) = operator {
-        let settings = Operator::read(path)?;
+        let settings = OperatorConfig::read(path)?;
         println!(
             "operator file {path}: durable jobs {}",
             if settings.jobs.is_some() { "on" } else { "off" }
--- a/crates/server/src/net/durable/mod.rs
+++ b/crates/server/src/net/durable/mod.rs
@@ -38,7 +38,7 @@
 use super::workers::{self, Attempt, AttemptDeadlines};
 use super::Net;
 use crate::config::Config;
-use crate::operator::Jobs as JobSettings;
+use crate::operator::JobsConfig;
 use fence::fence;
 use observer::JobAttempt;
 
@@ -150,7 +150,7 @@
 
 /// Opens the log in the configured directory. Transient faults are retried for up to [`OPEN_LIMIT`]; the first one is
 /// logged.
-fn open_log(settings: &JobSettings) -> Result<(Log<Disk>, Recovered), StoreError> {
+fn open_log(settings: &JobsConfig) -> Result<(Log<Disk>, Recovered), StoreError> {
     let mut faults = 0;
     let note_fault = |fault: &LogError| {
         faults += 1;
@@ -181,7 +181,7 @@
 }
 
 /// Returns the limits of the state machine by the operators' settings.
-fn limits(config: &Config, settings: &JobSettings) -> Limits {
+fn limits(config: &Config, settings: &JobsConfig) -> Limits {
     // Answers are retained at least for the longest deduplication window, while a keyed job could still be sent again.
     let windows = config.settings.classes.iter().map(|class| class.window);
     let window = windows.max().unwrap_or_default().as_micros();
--- a/crates/server/src/net/peers/mod.rs
+++ b/crates/server/src/net/peers/mod.rs
@@ -21,7 +21,7 @@
 use super::{wall_clock, Clock, Net};
 use crate::config::Config;
 use crate::list::UpdateKind;
-use crate::operator::Peers as PeerSettings;
+use crate::operator::PeersConfig;
 pub use error::PeersError;
 use oakshed_core::facade::{Condition, Entry, ListKind, Micros};
 use oakshed_peers::datagram::MAX_DATAGRAM_LENGTH;
@@ -77,7 +77,7 @@
 }
 
 /// Creates the state machine, and restores the snapshot, if there is one.
-fn new_node(config: &Config, settings: &PeerSettings, key: Option<Vec<u8>>, now: Micros) -> Node {
+fn new_node(config: &Config, settings: &PeersConfig, key: Option<Vec<u8>>, now: Micros) -> Node {
     let own = Owner::new(&config.name, now / 1_000);
     let mut node_config = node::Config::new(
         own,
--- a/crates/server/src/net/peers/snapshot_file.rs
+++ b/crates/server/src/net/peers/snapshot_file.rs
@@ -14,7 +14,7 @@
 use tracing::{info, warn};
 
 use super::Net;
-use crate::operator::Peers as PeerSettings;
+use crate::operator::PeersConfig;
 use oakshed_core::facade::Micros;
 use oakshed_peers::snapshot::Snapshot;
 
@@ -40,14 +40,14 @@
     Thread(#[from] JoinError),
 }
 
-fn path(dir: &Path, settings: &PeerSettings) -> PathBuf {
+fn path(dir: &Path, settings: &PeersConfig) -> PathBuf {
     dir.join(format!("peers-{}.kept", settings.listen))
 }
 
 /// Reads the snapshot; `None` if there is no file. A file that cannot be used is logged and also gives `None`.
 pub(super) fn read(
     dir: &Path,
-    settings: &PeerSettings,
+    settings: &PeersConfig,
     now: Micros,
     skew: Micros,
 ) -> Option<Snapshot> {
@@ -129,7 +129,7 @@
 
 /// Writes snapshots periodically, on a blocking thread, as the disk may be slow. Logs one line when writes begin to
 /// fail, and one when they succeed again.
-pub(super) async fn write_periodically(net: Rc<Net>, dir: PathBuf, settings: PeerSettings) {
+pub(super) async fn write_periodically(net: Rc<Net>, dir: PathBuf, settings: PeersConfig) {
     let path = path(&dir, &settings);
     let mut failing = false;
     while !net.shutdown.has_handed_over() && !net.shutdown.is_closing() {
--- a/crates/server/src/operator/jobs.rs
+++ b/crates/server/src/operator/jobs.rs
@@ -8,7 +8,8 @@
 /// Durable jobs: a job is on disk before it is sent to a worker, and its answer is on disk before the client gets it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Jobs {
+#[schemars(rename = "Jobs")]
+pub struct JobsConfig {
     /// The directory of the store, on persistent storage. Only one process can use it at a time.
     #[schemars(length(min = 1))]
     pub dir: PathBuf,
--- a/crates/server/src/operator/mod.rs
+++ b/crates/server/src/operator/mod.rs
@@ -7,8 +7,8 @@
 mod jobs;
 mod peers;
 
-pub use jobs::Jobs;
-pub use peers::{KeyFault, KeyFileError, Peers};
+pub use jobs::JobsConfig;
+pub use peers::{KeyFault, KeyFileError, PeersConfig};
 
 use std::net::SocketAddr;
 use std::{fmt, io};
@@ -21,15 +21,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields, default)]
 #[schemars(title = "oakshed: the operator's file")]
-pub struct Operator {
+pub struct OperatorConfig {
     /// Durable jobs with leases; off if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
-    #[schemars(with = "Jobs")]
-    pub jobs: Option<Jobs>,
+    #[schemars(with = "JobsConfig")]
+    pub jobs: Option<JobsConfig>,
     /// The exchange of state with other schedulers; off if absent.
     #[serde(skip_serializing_if = "Option::is_none")]
-    #[schemars(with = "Peers")]
-    pub peers: Option<Peers>,
+    #[schemars(with = "PeersConfig")]
+    pub peers: Option<PeersConfig>,
 }
 
 /// An operator's file that cannot be used. Its text is a single line with all faults.
@@ -111,17 +111,17 @@
 }
 
 fn schema_value() -> serde_json::Value {
-    schemars::schema_for!(Operator).into()
+    schemars::schema_for!(OperatorConfig).into()
 }
 
-impl Operator {
+impl OperatorConfig {
     /// Parses and validates the content of an operator's file.
     ///
     /// # Errors
     ///
     /// All invalid values, each with its JSON pointer and what was expected there, or line and column if the text is not
     /// JSON.
-    pub fn parse(text: &str) -> Result<Operator, OperatorTextError> {
+    pub fn parse(text: &str) -> Result<OperatorConfig, OperatorTextError> {
         let value: serde_json::Value = serde_json::from_str(text)?;
         let schema = schema_value();
         let validator = jsonschema::validator_for(&schema)
@@ -131,11 +131,11 @@
             return Err(OperatorTextError::Values(faults));
         }
         // Parsed from the text again, because a `Value` no longer shows duplicate keys.
-        let operator: Operator = serde_json::from_str(text)?;
+        let operator: OperatorConfig = serde_json::from_str(text)?;
         let faults = operator
             .peers
             .as_ref()
-            .map(Peers::faults)
+            .map(PeersConfig::faults)
             .unwrap_or_default();
         if !faults.is_empty() {
             return Err(OperatorTextError::Values(faults));
@@ -148,16 +148,16 @@
     /// # Errors
     ///
     /// All faults of the file, or why it or the key file cannot be read.
-    pub fn read(path: &str) -> Result<Operator, OperatorFileError> {
-        Operator::read_file(path).map_err(|cause| OperatorFileError {
+    pub fn read(path: &str) -> Result<OperatorConfig, OperatorFileError> {
+        OperatorConfig::read_file(path).map_err(|cause| OperatorFileError {
             path: path.to_owned(),
             cause,
         })
     }
 
-    fn read_file(path: &str) -> Result<Operator, OperatorFileFault> {
+    fn read_file(path: &str) -> Result<OperatorConfig, OperatorFileFault> {
         let text = std::fs::read_to_string(path)?;
-        let operator = Operator::parse(&text)?;
+        let operator = OperatorConfig::parse(&text)?;
         if let Some(peers) = &operator.peers {
             peers.key()?;
         }
--- a/crates/server/src/operator/peers.rs
+++ b/crates/server/src/operator/peers.rs
@@ -22,7 +22,8 @@
 /// Membership and shared state among the schedulers of one installation, over UDP.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize, JsonSchema)]
 #[serde(deny_unknown_fields)]
-pub struct Peers {
+#[schemars(rename = "Peers")]
+pub struct PeersConfig {
     /// The address and port at which other schedulers reach this one.
     #[schemars(with = "String", length(min = 1))]
     pub listen: SocketAddr,
@@ -57,7 +58,7 @@
     4_096
 }
 
-impl Peers {
+impl PeersConfig {
     /// The faults that the schema does not cover.
     pub(super) fn faults(&self) -> Vec<ValueFault> {
         let mut faults = Vec::new();
--- a/crates/server/src/operator/peers/tests.rs
+++ b/crates/server/src/operator/peers/tests.rs
@@ -7,7 +7,7 @@
 fn unusable_key_file_is_rejected_with_its_location() {
     let path = std::env::temp_dir().join(format!("oakshed-key-{}", std::process::id()));
     let text = r#"{"listen":"127.0.0.1:7000"}"#;
-    let mut peers: Peers = serde_json::from_str(text).expect("defaults for the rest");
+    let mut peers: PeersConfig = serde_json::from_str(text).expect("defaults for the rest");
     assert_eq!(peers.key().expect("usable"), None);
     peers.key_file = Some(path.clone());
     let rejects = |reason: &str| {
--- a/crates/server/src/operator/tests.rs
+++ b/crates/server/src/operator/tests.rs
@@ -14,13 +14,13 @@
 #[test]
 fn committed_file_is_valid_and_enables_nothing() {
     let text = include_str!("../../../../deploy/oakshed.json");
-    let operator = Operator::parse(text).expect("a valid file");
-    assert_eq!(operator, Operator::default());
+    let operator = OperatorConfig::parse(text).expect("a valid file");
+    assert_eq!(operator, OperatorConfig::default());
 }
 
 #[test]
 fn each_fault_is_reported_with_its_location() {
-    let faults = |text: &str| match Operator::parse(text).expect_err(text) {
+    let faults = |text: &str| match OperatorConfig::parse(text).expect_err(text) {
         OperatorTextError::Values(faults) => faults.iter().map(ValueFault::to_string).collect(),
         error => vec![error.to_string()],
     };
@@ -66,7 +66,8 @@
             faults(text)
         );
     }
-    let operator = Operator::parse(r#"{"jobs":{"dir":"/x"}}"#).expect("defaults for the rest");
+    let operator =
+        OperatorConfig::parse(r#"{"jobs":{"dir":"/x"}}"#).expect("defaults for the rest");
     assert_eq!(operator.jobs.expect("enabled").lease_ms, 2_000);
 }
 
@@ -76,7 +77,7 @@
     let name = path.to_str().expect("a UTF-8 path");
     let line = |text: &str| {
         std::fs::write(&path, text).expect("written");
-        Operator::read(name).expect_err(text).to_string()
+        OperatorConfig::read(name).expect_err(text).to_string()
     };
     for (text, expected) in [
         (
@@ -97,7 +98,7 @@
         assert_eq!(line(text), format!("operator file {name}: {expected}"));
     }
     std::fs::remove_file(&path).expect("removed");
-    let error = Operator::read(name)
+    let error = OperatorConfig::read(name)
         .expect_err("a missing file")
         .to_string();
     assert_eq!(
