--- a/crates/server/src/config.rs
+++ b/crates/server/src/config.rs
@@ -19,7 +19,7 @@
 use oakshed_wire::Names;
 
 use crate::list::Answer;
-use crate::operator::Operator;
+use crate::operator::OperatorConfig;
 
 /// The minimum limit on descriptors; with fewer, nothing can be served.
 const MIN_SOCKETS: usize = 64;
@@ -59,13 +59,13 @@
     /// The memory limit, in bytes.
     pub memory: usize,
     /// The cached endpoint list, in discovery's form.
-    pub known: Option<Answer>,
+    pub cached_list: Option<Answer>,
     /// The settings of the scheduling decisions.
     pub settings: Settings,
     /// The names of classes, tenants, zones and machine types.
     pub names: Rc<Names>,
     /// The content of the operator's file.
-    pub operator: Operator,
+    pub operator: OperatorConfig,
 }
 
 /// The file that `ROUTER_CONFIG` names.
@@ -179,7 +179,7 @@
             .ok_or_else(|| in_file(ConfigFault::NoSettings))?;
         let (settings, names) =
             oakshed_wire::settings_and_names(settings.get()).map_err(|e| in_file(e.into()))?;
-        let operator = operator.map_or(Ok(Operator::default()), Operator::read)?;
+        let operator = operator.map_or(Ok(OperatorConfig::default()), OperatorConfig::read)?;
         check_class_names(&names, operator.jobs.is_some()).map_err(in_file)?;
         let listen = address(
             var("ROUTER_LISTEN"),
@@ -195,7 +195,7 @@
         )?;
         let seed =
             u64::from_str_radix(&seed, 16).map_err(|_| in_file(ConfigFault::UnusableSeed))?;
-        let known = file
+        let cached_list = file
             .known
             .map(|list| Answer::parse(list.get().as_bytes()))
             .transpose()
@@ -212,7 +212,7 @@
             seed,
             sockets,
             memory,
-            known,
+            cached_list,
             settings,
             names: Rc::new(names),
             operator,
--- a/crates/server/src/net/admin.rs
+++ b/crates/server/src/net/admin.rs
@@ -207,7 +207,7 @@
     if net.shutdown.is_closing() {
         return Err(CommandError::ShuttingDown);
     }
-    if !net.hot_restart.replaces_predecessor() {
+    if !net.hot_restart.may_report_ready() {
         return Err(CommandError::PredecessorNotNotified);
     }
     if !net.can_serve() {
