--- a/crates/jobs/src/machine/clients.rs
+++ b/crates/jobs/src/machine/clients.rs
@@ -64,7 +64,7 @@
             // A rejected job may be submitted again.
             Stage::Finished(Answer::Rejected(_), number) if *number <= self.last_synced => None,
             Stage::Finished(answer, number) if *number <= self.last_synced => {
-                Some(Submitted::Over(answer.clone()))
+                Some(Submitted::Finished(answer.clone()))
             }
             _ => Some(Submitted::Open),
         }
--- a/crates/jobs/src/machine/types.rs
+++ b/crates/jobs/src/machine/types.rs
@@ -38,7 +38,7 @@
     /// The job is open, from this submission or an earlier one. The answer follows as [`Effect::Answer`].
     Open,
     /// The job is finished, with this answer.
-    Over(Answer),
+    Finished(Answer),
     /// The key belongs to a job with a different payload.
     Conflict,
     /// A capacity limit is reached, the disk is full, or too many bytes of records are not durable yet.
--- a/crates/jobs/tests/settled.rs
+++ b/crates/jobs/tests/settled.rs
@@ -54,12 +54,12 @@
     };
     assert_eq!(
         submit(&mut jobs, &mut facade),
-        Submitted::Over(Answer::Failed)
+        Submitted::Finished(Answer::Failed)
     );
     assert!(jobs.settle(NOW, id, Outcome::Ran));
     assert!(!jobs.is_durable(id), "the settling has a record of its own");
     assert_eq!(
         submit(&mut jobs, &mut facade),
-        Submitted::Over(Answer::Failed)
+        Submitted::Finished(Answer::Failed)
     );
 }
--- a/crates/jobs/tests/world/clients.rs
+++ b/crates/jobs/tests/world/clients.rs
@@ -106,7 +106,7 @@
                     scheduler.waiting.entry(id).or_default().push(n);
                 }
             }
-            Some(Submitted::Over(answer)) => {
+            Some(Submitted::Finished(answer)) => {
                 self.coverage.note("submitted again");
                 self.on_answer(n, answer);
             }
--- a/crates/server/src/net/durable/clients.rs
+++ b/crates/server/src/net/durable/clients.rs
@@ -138,7 +138,7 @@
 fn immediate_response(net: &Net, submitted: Submitted) -> Option<Response<Full<Bytes>>> {
     let settings = &net.config.settings;
     match submitted {
-        Submitted::Over(answer) => Some(answer_response(settings, answer)),
+        Submitted::Finished(answer) => Some(answer_response(settings, answer)),
         Submitted::Conflict => {
             net.counters.clients.bad_requests.increment();
             Some(plain(
