--- a/crates/jobs/src/machine/mod.rs
+++ b/crates/jobs/src/machine/mod.rs
@@ -7,9 +7,9 @@
 //!
 //! # Usage
 //!
-//! The caller reports events (`submit`, `on_alive`, `on_ended`, `on_fenced`, `on_list`, `tick`), appends
-//! [`records`](Jobs::records) to the log, performs the [`effects`](Jobs::effect), and reports each sync with
-//! `on_synced`.
+//! The caller reports events (`submit`, `on_heartbeat`, `on_ended`, `on_fence_reply`, `on_endpoint_list`,
+//! `tick`), appends [`records`](Jobs::records) to the log, performs the [`effects`](Jobs::effect), and reports
+//! each sync with `on_synced`.
 //!
 //! # Time
 //!
--- a/crates/jobs/src/machine/network.rs
+++ b/crates/jobs/src/machine/network.rs
@@ -25,7 +25,7 @@
     /// Reports a new endpoint list. `starts` yields the start time of each worker in it, in Unix milliseconds.
     /// A list that is not `confirmed` was cached before this process started: its workers may have restarted
     /// since, and its addresses may belong to other workers by now.
-    pub fn on_list<'a>(
+    pub fn on_endpoint_list<'a>(
         &mut self,
         now: Micros,
         starts: impl Iterator<Item = (&'a Rc<str>, u64)>,
@@ -75,7 +75,7 @@
     }
 
     /// Reports a heartbeat of an attempt's worker: the job has `started`, or is still running.
-    pub fn on_alive(
+    pub fn on_heartbeat(
         &mut self,
         now: Micros,
         id: JobId,
@@ -161,7 +161,7 @@
 
     /// Reports a worker's reply to a fence, or `None` if there was no reply. `confirmed` is the value from
     /// [`Effect::Fence`].
-    pub fn on_fenced(
+    pub fn on_fence_reply(
         &mut self,
         now: Micros,
         id: JobId,
--- a/crates/jobs/src/machine/types.rs
+++ b/crates/jobs/src/machine/types.rs
@@ -73,7 +73,7 @@
         token: u64,
     },
     /// Fence an attempt: tell the worker not to start the job with a token up to this one, and ask for the
-    /// job's status. The reply is reported with `on_fenced`.
+    /// job's status. The reply is reported with `on_fence_reply`.
     Fence {
         /// The job.
         id: JobId,
@@ -81,7 +81,7 @@
         token: u64,
         /// Name of the worker.
         worker: Rc<str>,
-        /// Whether the worker's address is from a confirmed endpoint list. To be passed to `on_fenced`.
+        /// Whether the worker's address is from a confirmed endpoint list. To be passed to `on_fence_reply`.
         confirmed: bool,
     },
     /// Notify a worker that the scheduler has stored its result durably. The notification may be lost.
--- a/crates/jobs/tests/world/faults.rs
+++ b/crates/jobs/tests/world/faults.rs
@@ -57,7 +57,7 @@
             let facade = &mut scheduler.facade;
             facade.report(now, SchedulerEvent::List(ListKind::Cached, &entries));
             let starts = names.iter().map(|name| (name, start_ms));
-            scheduler.jobs.on_list(now, starts, false, facade);
+            scheduler.jobs.on_endpoint_list(now, starts, false, facade);
         });
     }
 
--- a/crates/jobs/tests/world/mod.rs
+++ b/crates/jobs/tests/world/mod.rs
@@ -315,7 +315,7 @@
                 let facade = &mut scheduler.facade;
                 scheduler
                     .jobs
-                    .on_fenced(now, id, token, reply, confirmed, facade);
+                    .on_fence_reply(now, id, token, reply, confirmed, facade);
             }
         });
     }
--- a/crates/jobs/tests/world/scheduler.rs
+++ b/crates/jobs/tests/world/scheduler.rs
@@ -189,7 +189,7 @@
             let confirmed = kind != ListKind::Cached;
             scheduler
                 .jobs
-                .on_list(now, names.zip(starts), confirmed, facade);
+                .on_endpoint_list(now, names.zip(starts), confirmed, facade);
         });
     }
 
--- a/crates/jobs/tests/world/workers.rs
+++ b/crates/jobs/tests/world/workers.rs
@@ -246,8 +246,8 @@
         let jobs = &mut scheduler.jobs;
         let facade = &mut scheduler.facade;
         match message {
-            WorkerMessage::Started => jobs.on_alive(now, id, token, true, facade),
-            WorkerMessage::Progress => jobs.on_alive(now, id, token, false, facade),
+            WorkerMessage::Started => jobs.on_heartbeat(now, id, token, true, facade),
+            WorkerMessage::Progress => jobs.on_heartbeat(now, id, token, false, facade),
             WorkerMessage::End(end) => {
                 connection_state.open = false;
                 scheduler.connections.remove(&(id, token));
--- a/crates/server/src/net/durable/mod.rs
+++ b/crates/server/src/net/durable/mod.rs
@@ -307,7 +307,7 @@
                 .set(durable.fences_in_progress.get() - calls);
             let facade = &mut net.facade.borrow_mut();
             let mut jobs = durable.jobs.borrow_mut();
-            jobs.on_fenced(net.clock.now(), id, token, reply, confirmed, facade);
+            jobs.on_fence_reply(net.clock.now(), id, token, reply, confirmed, facade);
             durable.changed.notify_one();
         });
     }
--- a/crates/server/src/net/durable/observer.rs
+++ b/crates/server/src/net/durable/observer.rs
@@ -21,10 +21,13 @@
         let JobAttempt(id, token) = self;
         let Some(durable) = &net.durable else { return };
         let now = net.clock.now();
-        durable
-            .jobs
-            .borrow_mut()
-            .on_alive(now, id, token, started, &mut net.facade.borrow_mut());
+        durable.jobs.borrow_mut().on_heartbeat(
+            now,
+            id,
+            token,
+            started,
+            &mut net.facade.borrow_mut(),
+        );
         durable.changed.notify_one();
     }
 
@@ -49,9 +52,11 @@
     let confirmed = matches!(kind, ListKind::Snapshot | ListKind::Delta);
     let starts = entries.iter().map(|e| (&e.worker, e.online_since / 1_000));
     let now = net.clock.now();
-    durable
-        .jobs
-        .borrow_mut()
-        .on_list(now, starts, confirmed, &mut net.facade.borrow_mut());
+    durable.jobs.borrow_mut().on_endpoint_list(
+        now,
+        starts,
+        confirmed,
+        &mut net.facade.borrow_mut(),
+    );
     durable.process_output(net);
 }
