--- a/crates/jobs/src/machine/mod.rs
+++ b/crates/jobs/src/machine/mod.rs
@@ -41,7 +41,8 @@
 
 use job::Job;
 pub use types::{
-    Boot, Counts, Effect, End, FenceReply, FenceStatus, Limits, Names, Sizes, Submitted, View,
+    AttemptEnd, Boot, Counts, Effect, FenceReply, FenceStatus, Limits, Names, Sizes, Submitted,
+    View,
 };
 
 /// Maximum number of finished jobs removed by one call of [`Jobs::tick`], which bounds its duration.
--- a/crates/jobs/src/machine/network.rs
+++ b/crates/jobs/src/machine/network.rs
@@ -8,7 +8,7 @@
 use oakshed_core::facade::{Ending, Facade, Micros, Observation, Report};
 
 use super::job::{Attempt, AttemptState, Stage, INITIAL_FENCE_INTERVAL};
-use super::{Effect, End, FenceReply, FenceStatus, Jobs, Pending};
+use super::{AttemptEnd, Effect, FenceReply, FenceStatus, Jobs, Pending};
 use crate::record::{Answer, JobId, Lease, Outcome, UNCONFIRMED_START};
 
 /// Maximum interval between two fences of an attempt: 60 s.
@@ -114,7 +114,7 @@
         now: Micros,
         id: JobId,
         token: u64,
-        end: End,
+        end: AttemptEnd,
         load: Option<Report>,
         facade: &mut Facade,
     ) {
@@ -130,23 +130,23 @@
             return;
         }
         match end {
-            End::Result(result) => self.accept_result(id, token, result, load, facade),
-            End::Other(
+            AttemptEnd::Result(result) => self.accept_result(id, token, result, load, facade),
+            AttemptEnd::NoResult(
                 ending @ (Ending::Declined
                 | Ending::DialFailed
                 | Ending::Unused
                 | Ending::LocalFault),
             ) => self.record_never_ran(id, token, ending, load, facade),
-            End::Other(Ending::Error) => {
+            AttemptEnd::NoResult(Ending::Error) => {
                 self.end_attempt(id, token, AttemptState::Ended, Ending::Error, load, facade);
             }
             // The worker may know the outcome, and is fenced until the client's deadline.
-            End::Other(_) if self.limits.leases && client_waits => {
+            AttemptEnd::NoResult(_) if self.limits.leases && client_waits => {
                 attempt.state = AttemptState::Fencing;
                 attempt.fence_at = now;
                 self.process_due(id, facade);
             }
-            End::Other(ending) => {
+            AttemptEnd::NoResult(ending) => {
                 let ending = if ending == Ending::Delivered {
                     Ending::Dropped
                 } else {
--- a/crates/jobs/src/machine/types.rs
+++ b/crates/jobs/src/machine/types.rs
@@ -123,11 +123,11 @@
 
 /// The end of an attempt, as observed on its connection.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
+pub enum AttemptEnd {
     /// The worker returned a result.
     Result(Vec<u8>),
     /// The attempt ended without a result; never [`Ending::Delivered`].
-    Other(Ending),
+    NoResult(Ending),
 }
 
 /// The status of a job, for clients and operators.
--- a/crates/jobs/tests/world/workers.rs
+++ b/crates/jobs/tests/world/workers.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use oakshed_core::facade::{Condition, Ending, Micros};
-use oakshed_jobs::machine::{End, FenceReply, FenceStatus};
+use oakshed_jobs::machine::{AttemptEnd, FenceReply, FenceStatus};
 use oakshed_jobs::record::JobId;
 
 use super::{AttemptRef, Event, FenceRef, World, EPOCH, HOUR, KEYED_WINDOW, MS, S};
@@ -64,12 +64,12 @@
 pub(super) enum WorkerMessage {
     Started,
     Progress,
-    End(End),
+    End(AttemptEnd),
 }
 
 impl WorkerMessage {
     pub(super) fn ended(ending: Ending) -> WorkerMessage {
-        WorkerMessage::End(End::Other(ending))
+        WorkerMessage::End(AttemptEnd::NoResult(ending))
     }
 }
 
@@ -223,7 +223,7 @@
         }
         let result = result_of(attempt.id);
         known.result = Some(result.clone());
-        self.reply(attempt, WorkerMessage::End(End::Result(result)));
+        self.reply(attempt, WorkerMessage::End(AttemptEnd::Result(result)));
     }
 
     pub(super) fn on_worker_message(&mut self, attempt: AttemptRef, message: WorkerMessage) {
@@ -237,7 +237,7 @@
         };
         let connection_state = &mut self.connections[connection as usize];
         let is_current = scheduler.connections.get(&(id, token)) == Some(&connection);
-        let is_local = matches!(message, WorkerMessage::End(End::Other(_)));
+        let is_local = matches!(message, WorkerMessage::End(AttemptEnd::NoResult(_)));
         let is_lost = connection_state.drops_messages && !is_local;
         if !is_current || !connection_state.open || is_lost {
             return;
--- a/crates/server/src/net/durable/observer.rs
+++ b/crates/server/src/net/durable/observer.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use oakshed_core::facade::{Ending, Entry, ListKind, Report};
-use oakshed_jobs::machine::End;
+use oakshed_jobs::machine::AttemptEnd;
 use oakshed_jobs::record::JobId;
 
 use super::super::workers::AttemptObserver;
@@ -36,7 +36,9 @@
         let Some(durable) = &net.durable else { return };
         // Removed without being stopped: its task still reads the rest of the response from the connection.
         durable.attempts.borrow_mut().remove(&(id, token));
-        let end = result.map_or(End::Other(ending), |result| End::Result(result.to_vec()));
+        let end = result.map_or(AttemptEnd::NoResult(ending), |result| {
+            AttemptEnd::Result(result.to_vec())
+        });
         let now = net.clock.now();
         durable
             .jobs
