--- a/crates/jobs/src/fault.rs
+++ b/crates/jobs/src/fault.rs
@@ -110,9 +110,9 @@
 
 /// An in-memory directory with injected faults. Clones share its files, as successive processes would.
 #[derive(Clone, Default)]
-pub struct Faulty(Rc<RefCell<State>>);
+pub struct FaultyDirectory(Rc<RefCell<State>>);
 
-impl Faulty {
+impl FaultyDirectory {
     /// Simulates a crash and restart of the machine. Each unsynced sector survives with probability one half;
     /// with the same probability the directory reverts to its state before the failed changes.
     pub fn crash(&self, rng: &mut Rng) {
@@ -157,7 +157,7 @@
     }
 
     /// Stops the machine after the given number of modifying operations. All later ones fail until
-    /// [`Faulty::crash`].
+    /// [`FaultyDirectory::crash`].
     pub fn stop_after(&self, operations: u32) {
         self.0.borrow_mut().operations_left = Some(operations);
     }
@@ -186,7 +186,7 @@
     }
 
     /// Corrupts one byte.
-    pub fn rot(&self, name: &str, at: usize) {
+    pub fn corrupt_byte(&self, name: &str, at: usize) {
         if let Some(file) = self.0.borrow().files.get(name) {
             let file = &mut *file.borrow_mut();
             file.durable[at] ^= 0x55;
@@ -241,7 +241,7 @@
     io::Error::from(io::ErrorKind::NotFound)
 }
 
-impl Files for Faulty {
+impl Files for FaultyDirectory {
     type File = FileHandle;
 
     fn list(&self) -> io::Result<Vec<String>> {
@@ -352,5 +352,5 @@
     }
 }
 
-/// An open file of [`Faulty`].
+/// An open file of [`FaultyDirectory`].
 pub struct FileHandle(Rc<RefCell<FileContents>>);
--- a/crates/jobs/tests/log.rs
+++ b/crates/jobs/tests/log.rs
@@ -1,6 +1,6 @@
 //! The log on a directory that fails: a torn tail is cut, and damage is reported by file and offset.
 
-use oakshed_jobs::fault::Faulty;
+use oakshed_jobs::fault::FaultyDirectory;
 use oakshed_jobs::log::{encode, read_all, Files, Log, LogError};
 use oakshed_jobs::record::{JobId, Record};
 
@@ -14,7 +14,7 @@
 }
 
 /// Appends so many records, a group each.
-fn fill(log: &mut Log<Faulty>, records: u64) -> Result<(), LogError> {
+fn fill(log: &mut Log<FaultyDirectory>, records: u64) -> Result<(), LogError> {
     for _ in 0..records {
         let (mut frames, next) = (Vec::new(), log.next());
         encode(&mut frames, next, next - 1, &record(next));
@@ -24,7 +24,7 @@
     Ok(())
 }
 
-fn files(disk: &Faulty) -> Vec<String> {
+fn files(disk: &FaultyDirectory) -> Vec<String> {
     let mut names = disk.list().expect("names");
     names.retain(|n| n.len() == 24);
     names
@@ -44,12 +44,12 @@
         (1, 40, 16),
         (2, 2, 0),
     ] {
-        let disk = Faulty::default();
+        let disk = FaultyDirectory::default();
         let (mut log, _) = Log::open(disk.clone(), SIZE).expect("a log");
         fill(&mut log, 300).expect("capacity");
         assert_eq!(files(&disk).len(), 3);
         let name = files(&disk)[file].clone();
-        disk.rot(&name, at);
+        disk.corrupt_byte(&name, at);
         match Log::open(disk.clone(), SIZE).map(|_| ()) {
             Err(LogError::Damage {
                 file,
@@ -69,7 +69,7 @@
 
 #[test]
 fn a_torn_tail_is_cut_and_a_newer_version_is_rejected() {
-    let disk = Faulty::default();
+    let disk = FaultyDirectory::default();
     let (mut log, _) = Log::open(disk.clone(), SIZE).expect("a log");
     fill(&mut log, 5).expect("capacity");
     let name = files(&disk)[0].clone();
@@ -81,7 +81,7 @@
         .iter()
         .rposition(|b| *b != 0)
         .expect("something");
-    disk.rot(&name, end);
+    disk.corrupt_byte(&name, end);
     let (_, recovered) = Log::open(disk.clone(), SIZE).expect("cut");
     assert_eq!(recovered.records, complete[..4]);
     assert!(recovered.torn_tail.is_some_and(|tail| tail.file == name));
@@ -91,7 +91,7 @@
         "cut for good"
     );
     // 0x01 with the bits of 0x55 inverted.
-    disk.rot(&name, 7);
+    disk.corrupt_byte(&name, 7);
     assert!(matches!(
         read_all(&disk),
         Err(LogError::UnsupportedVersion { version: 0x54, .. })
@@ -100,7 +100,7 @@
 
 #[test]
 fn a_failed_sync_ends_a_segment() {
-    let disk = Faulty::default();
+    let disk = FaultyDirectory::default();
     let (mut log, _) = Log::open(disk.clone(), SIZE).expect("a log");
     fill(&mut log, 3).expect("capacity");
     let failed = files(&disk);
@@ -126,7 +126,7 @@
 
 #[test]
 fn a_full_disk_allows_the_preallocated_segment() {
-    let disk = Faulty::default();
+    let disk = FaultyDirectory::default();
     let (mut log, _) = Log::open(disk.clone(), SIZE).expect("a log");
     fill(&mut log, 4).expect("capacity");
     // No further file: the one that is ready still takes all that fits.
--- a/crates/jobs/tests/log_model/mod.rs
+++ b/crates/jobs/tests/log_model/mod.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use fastrand::Rng;
-use oakshed_jobs::fault::{Faulty, Operation, Outage};
+use oakshed_jobs::fault::{FaultyDirectory, Operation, Outage};
 use oakshed_jobs::log::{encode_all, read_all, Backlog, Files, Log, LogError, Recovered};
 use oakshed_jobs::record::{JobId, Record};
 
@@ -34,7 +34,7 @@
     backlog.push(frames, lengths, first + records.len() as u64 - 1);
 }
 
-pub fn segments(disk: &Faulty) -> Vec<String> {
+pub fn segments(disk: &FaultyDirectory) -> Vec<String> {
     let mut names = disk.list().expect("names");
     names.retain(|name| name.len() == 24);
     names
@@ -43,7 +43,7 @@
 /// What was confirmed over all processes.
 pub struct Model {
     rng: Rng,
-    disk: Faulty,
+    disk: FaultyDirectory,
     process: u64,
     confirmed: BTreeMap<u64, Record>,
     trimmed: u64,
@@ -55,7 +55,7 @@
     pub fn run(seed: u64) -> Result<Model, String> {
         let mut model = Model {
             rng: Rng::with_seed(seed),
-            disk: Faulty::default(),
+            disk: FaultyDirectory::default(),
             process: 0,
             confirmed: BTreeMap::new(),
             trimmed: 0,
@@ -85,7 +85,7 @@
     }
 
     /// Opens the log, again and again where the system fails; nothing where it goes on failing.
-    fn open(&mut self) -> Result<Option<Log<Faulty>>, String> {
+    fn open(&mut self) -> Result<Option<Log<FaultyDirectory>>, String> {
         for _ in 0..20 {
             match Log::open(self.disk.clone(), SIZE) {
                 Ok((log, recovered)) => {
@@ -102,7 +102,7 @@
         Ok(None)
     }
 
-    fn check(&mut self, log: &Log<Faulty>, recovered: &Recovered) -> Result<(), String> {
+    fn check(&mut self, log: &Log<FaultyDirectory>, recovered: &Recovered) -> Result<(), String> {
         let read: BTreeMap<u64, &Record> = recovered.records.iter().map(|(n, r)| (*n, r)).collect();
         if read.len() != recovered.records.len() {
             return Err(format!("process {}: a record was read twice", self.process));
@@ -186,7 +186,7 @@
 }
 
 /// Whether two segments contain the same record, or one of them the rest of a failed write.
-fn overlaps(disk: &Faulty) -> bool {
+fn overlaps(disk: &FaultyDirectory) -> bool {
     let outage = disk.set_outage(None);
     let names = segments(disk);
     let firsts: Vec<u64> = names
@@ -194,7 +194,7 @@
         .filter_map(|name| name[..20].parse().ok())
         .collect();
     let next = |first: u64, name: &String| {
-        let copy = Faulty::default();
+        let copy = FaultyDirectory::default();
         let bytes = disk.read(name).expect("there");
         copy.create(name, bytes.len()).expect("made");
         let file = copy.open(name).expect("there");
--- a/crates/jobs/tests/log_outages.rs
+++ b/crates/jobs/tests/log_outages.rs
@@ -7,7 +7,7 @@
 use std::ops::RangeInclusive;
 
 use fastrand::Rng;
-use oakshed_jobs::fault::{Faulty, Operation};
+use oakshed_jobs::fault::{FaultyDirectory, Operation};
 use oakshed_jobs::log::{encode_all, read_all, Backlog, Files, Log, LogError};
 use oakshed_jobs::record::Record;
 
@@ -41,7 +41,7 @@
 
 #[test]
 fn unsynced_records_go_to_a_new_segment_after_a_failed_sync() {
-    let disk = Faulty::default();
+    let disk = FaultyDirectory::default();
     let (mut log, _) = Log::open(disk.clone(), 4 << 10).expect("a log");
     let mut backlog = Backlog::default();
     enqueue(&mut backlog, 1, 0, &[record(1, 1), record(2, 1)]);
@@ -73,7 +73,7 @@
 
 #[test]
 fn a_segment_without_a_durable_record_is_replaced_by_its_successor() {
-    let disk = Faulty::default();
+    let disk = FaultyDirectory::default();
     let (mut log, _) = Log::open(disk.clone(), 4 << 10).expect("a log");
     let mut backlog = Backlog::default();
     enqueue(&mut backlog, 1, 0, &[record(1, 1)]);
@@ -96,7 +96,7 @@
 
 /// Writes a file of the log by hand.
 fn write_segment(
-    disk: &Faulty,
+    disk: &FaultyDirectory,
     first: u64,
     synced: u64,
     records: &[Record],
@@ -127,7 +127,7 @@
     let garbage: Vec<u8> = (0..200u32).map(|n| (n * 37 + 11) as u8).collect();
     for rest in [&[][..], &half[..half.len() / 2], &garbage[..]] {
         for last in 3..=5 {
-            let disk = Faulty::default();
+            let disk = FaultyDirectory::default();
             write_segment(&disk, 1, 0, &numbered(1..=last, 1), rest);
             write_segment(&disk, 4, 3, &numbered(4..=7, 2), &[]);
             let (log, recovered) = Log::open(disk, SIZE).expect("not damaged");
@@ -139,7 +139,7 @@
     }
     // The successor was begun, and nothing of it is there yet; or half of its first frame is.
     for rest in [&[][..], &half[..30]] {
-        let disk = Faulty::default();
+        let disk = FaultyDirectory::default();
         write_segment(&disk, 1, 0, &numbered(1..=5, 1), &[]);
         write_segment(&disk, 4, 3, &[], rest);
         let (log, recovered) = Log::open(disk.clone(), SIZE).expect("not damaged");
@@ -151,7 +151,7 @@
 
 #[test]
 fn a_partly_written_header_is_replaced() {
-    let disk = Faulty::default();
+    let disk = FaultyDirectory::default();
     write_segment(&disk, 1, 0, &numbered(1..=3, 1), &[]);
     disk.create("spare.log", 7).expect("made");
     let file = disk.open("spare.log").expect("there");
@@ -164,12 +164,12 @@
 #[test]
 fn an_unreadable_confirmed_record_is_damage_beside_any_suspect_tail() {
     let segments_with_rot = |at: u64| {
-        let disk = Faulty::default();
+        let disk = FaultyDirectory::default();
         let (first, _) = write_segment(&disk, 1, 0, &numbered(1..=5, 1), &[1, 2, 3]);
         write_segment(&disk, 4, 3, &numbered(4..=7, 2), &[]);
         let (frames, lengths) = encode_all(1, 0, &numbered(1..=at, 1));
         let offset = 16 + frames.len() - lengths[lengths.len() - 1];
-        disk.rot(&first, offset + 9);
+        disk.corrupt_byte(&first, offset + 9);
         (disk, first, offset)
     };
     for at in 1..=3 {
@@ -193,14 +193,14 @@
         );
     }
     // The successor is missing with what it had confirmed, or lacks what it begins with.
-    let disk = Faulty::default();
+    let disk = FaultyDirectory::default();
     write_segment(&disk, 1, 0, &numbered(1..=3, 1), &[]);
     write_segment(&disk, 5, 4, &numbered(5..=6, 2), &[]);
     assert!(matches!(
         Log::open(disk, SIZE),
         Err(LogError::Damage { .. })
     ));
-    let disk = Faulty::default();
+    let disk = FaultyDirectory::default();
     write_segment(&disk, 1, 0, &numbered(1..=2, 1), &[]);
     let (claims, _) = encode_all(5, 4, &numbered(5..=5, 2));
     write_segment(&disk, 3, 2, &[], &[&[9; 30][..], &claims].concat());
--- a/crates/jobs/tests/world/mod.rs
+++ b/crates/jobs/tests/world/mod.rs
@@ -7,7 +7,7 @@
 
 use fastrand::Rng;
 use oakshed_core::facade::{ListKind, Micros};
-use oakshed_jobs::fault::Faulty;
+use oakshed_jobs::fault::FaultyDirectory;
 use oakshed_jobs::machine::{FenceReply, FenceStatus};
 use oakshed_jobs::record::{JobId, Key};
 
@@ -117,7 +117,7 @@
     count: u64,
     queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
     events: Vec<Option<Event>>,
-    disk: Faulty,
+    disk: FaultyDirectory,
     scheduler: Option<Scheduler>,
     /// The number of scheduler processes so far.
     processes: u64,
@@ -163,7 +163,7 @@
             count: 0,
             queue: BinaryHeap::new(),
             events: Vec::new(),
-            disk: Faulty::default(),
+            disk: FaultyDirectory::default(),
             scheduler: None,
             processes: 0,
             boot: MachineBoot {
--- a/crates/jobs/tests/world/scheduler.rs
+++ b/crates/jobs/tests/world/scheduler.rs
@@ -10,7 +10,7 @@
     Entry, Facade, ListKind, Micros, Observation as SchedulerEvent, Settings,
 };
 use oakshed_core::interface::{Class, Effect as Kind, Scope, Span};
-use oakshed_jobs::fault::Faulty;
+use oakshed_jobs::fault::FaultyDirectory;
 use oakshed_jobs::log::{encode_all, Backlog, Log, LogError, Recovered};
 use oakshed_jobs::machine::{Boot, Jobs, Limits, Names};
 use oakshed_jobs::record::JobId;
@@ -25,7 +25,7 @@
     pub(super) process: u64,
     pub(super) facade: Facade,
     pub(super) jobs: Jobs,
-    pub(super) log: Log<Faulty>,
+    pub(super) log: Log<FaultyDirectory>,
     /// How far its wall clock is off.
     pub(super) skew: i64,
     pub(super) syncing: Option<Backlog>,
@@ -114,7 +114,7 @@
     }
 
     /// Opens the log; where the disk fails, the start is repeated later.
-    fn open_log(&mut self) -> Option<(Log<Faulty>, Recovered)> {
+    fn open_log(&mut self) -> Option<(Log<FaultyDirectory>, Recovered)> {
         match Log::open(self.disk.clone(), SEGMENT) {
             Ok(opened) => return Some(opened),
             Err(LogError::Io { .. }) => {
@@ -129,7 +129,7 @@
         None
     }
 
-    fn restore(&mut self, log: Log<Faulty>, recovered: Recovered, skew: i64) {
+    fn restore(&mut self, log: Log<FaultyDirectory>, recovered: Recovered, skew: i64) {
         let now = self.now.wrapping_add_signed(skew);
         let boot = Boot {
             id: self.boot.id,
