--- a/crates/jobs/src/machine/ends.rs
+++ b/crates/jobs/src/machine/ends.rs
@@ -129,7 +129,7 @@
                 }
                 AttemptState::Ended if served && self.limits.leases => {
                     let worker = attempt.worker.clone();
-                    notifications.push(Effect::Safe { id, token, worker });
+                    notifications.push(Effect::NotifyResultStored { id, token, worker });
                 }
                 _ => {}
             }
--- a/crates/jobs/src/machine/network.rs
+++ b/crates/jobs/src/machine/network.rs
@@ -253,7 +253,11 @@
         if matches!(stage, Some(Stage::Finished(Answer::Rejected(_), _))) {
             self.retain_finished(id, Answer::Served(result));
         }
-        self.after_sync(Pending::Effect(Effect::Safe { id, token, worker }));
+        self.after_sync(Pending::Effect(Effect::NotifyResultStored {
+            id,
+            token,
+            worker,
+        }));
     }
 
     /// Schedules the next fence after one that yielded no outcome.
--- a/crates/jobs/src/machine/types.rs
+++ b/crates/jobs/src/machine/types.rs
@@ -85,7 +85,7 @@
         confirmed: bool,
     },
     /// Notify a worker that the scheduler has stored its result durably. The notification may be lost.
-    Safe {
+    NotifyResultStored {
         /// The job.
         id: JobId,
         /// The fencing token.
--- a/crates/jobs/tests/world/effects.rs
+++ b/crates/jobs/tests/world/effects.rs
@@ -42,7 +42,7 @@
                 };
                 self.fence(fence, &worker);
             }
-            Effect::Safe { id, worker, .. } => {
+            Effect::NotifyResultStored { id, worker, .. } => {
                 let listener = self.listener(&worker);
                 if let Some(listener) = listener.filter(|_| !self.chance(100)) {
                     let known = self.workers[listener].known.entry(id).or_default();
--- a/crates/server/src/net/durable/mod.rs
+++ b/crates/server/src/net/durable/mod.rs
@@ -283,7 +283,9 @@
                 worker,
                 confirmed,
             } => self.start_fence(net, id, token, worker, confirmed),
-            Effect::Safe { id, token, worker } => self.record_safe_result(id, token, worker),
+            Effect::NotifyResultStored { id, token, worker } => {
+                self.record_safe_result(id, token, worker);
+            }
         }
     }
 
