--- a/crates/jobs/src/machine/clients.rs
+++ b/crates/jobs/src/machine/clients.rs
@@ -7,7 +7,7 @@
 use oakshed_core::facade::{Facade, Micros};
 
 use super::job::{Attempt, AttemptState, Job, Stage};
-use super::{Effect, Jobs, Pending, Submitted, View};
+use super::{Effect, JobStatus, Jobs, Pending, Submitted};
 use crate::record::{Answer, JobId, JobPayload, Outcome};
 
 impl Jobs {
@@ -109,7 +109,7 @@
 
     /// Returns the status of a job, or `None` if the job is unknown.
     #[must_use]
-    pub fn view(&self, id: JobId) -> Option<View> {
+    pub fn status(&self, id: JobId) -> Option<JobStatus> {
         let job = self.jobs.get(&id)?;
         let answer = match &job.stage {
             Stage::Finished(answer, number) if *number <= self.last_synced => Some(answer.clone()),
@@ -120,7 +120,7 @@
         } else {
             Vec::new()
         };
-        Some(View {
+        Some(JobStatus {
             answer,
             attempts: job.attempts.len(),
             indeterminate,
--- a/crates/jobs/src/machine/mod.rs
+++ b/crates/jobs/src/machine/mod.rs
@@ -41,8 +41,8 @@
 
 use job::Job;
 pub use types::{
-    AttemptEnd, Boot, Counts, Effect, FenceReply, FenceStatus, Limits, Names, Sizes, Submitted,
-    View,
+    AttemptEnd, Boot, Counts, Effect, FenceReply, FenceStatus, JobStatus, Limits, Names, Sizes,
+    Submitted,
 };
 
 /// Maximum number of finished jobs removed by one call of [`Jobs::tick`], which bounds its duration.
--- a/crates/jobs/src/machine/types.rs
+++ b/crates/jobs/src/machine/types.rs
@@ -132,7 +132,7 @@
 
 /// The status of a job, for clients and operators.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
+pub struct JobStatus {
     /// The final answer, once it is durable.
     pub answer: Option<Answer>,
     /// Number of the attempts that are still recorded.
--- a/crates/jobs/tests/world/clients.rs
+++ b/crates/jobs/tests/world/clients.rs
@@ -72,7 +72,7 @@
     fn poll_answer(&mut self, n: usize, again: Micros) {
         let id = self.clients[n].id;
         let view = self
-            .with_scheduler(|scheduler, _| scheduler.jobs.view(id))
+            .with_scheduler(|scheduler, _| scheduler.jobs.status(id))
             .flatten();
         // The job must be known as long as answers are retained.
         let Some(view) = view else {
--- a/crates/jobs/tests/world/invariants.rs
+++ b/crates/jobs/tests/world/invariants.rs
@@ -91,7 +91,7 @@
         {
             return Err("an invariant of the state machine was violated".into());
         }
-        let is_unknown = |id: &&JobId| scheduler.jobs.view(**id).is_none();
+        let is_unknown = |id: &&JobId| scheduler.jobs.status(**id).is_none();
         if let Some(id) = self.were_indeterminate.iter().find(is_unknown) {
             return Err(format!("{id} was indeterminate, and is not known any more"));
         }
@@ -110,7 +110,7 @@
         }
         // And where it was sent by a cached list: to whom that was, nobody knows.
         let is_provable = |id: &JobId| {
-            let view = scheduler.jobs.view(*id);
+            let view = scheduler.jobs.status(*id);
             let mut leases = view.into_iter().flat_map(|view| view.indeterminate);
             leases.any(|lease| lease.start_ms != UNCONFIRMED_START)
         };
--- a/crates/server/src/jobs_cli.rs
+++ b/crates/server/src/jobs_cli.rs
@@ -11,7 +11,7 @@
 use argh::FromArgs;
 use oakshed_jobs::disk::{self, Disk};
 use oakshed_jobs::log::{encode_all, read_all, Log, LogError, Recovered, TornTail};
-use oakshed_jobs::machine::{Jobs, Limits, Names, View};
+use oakshed_jobs::machine::{JobStatus, Jobs, Limits, Names};
 use oakshed_jobs::record::{Answer, JobId, Outcome, Record};
 use serde_json::{json, Value};
 
@@ -159,12 +159,12 @@
     let jobs = restore(recovered, next);
     let open = if in_doubt { Vec::new() } else { jobs.open() };
     for id in open.into_iter().chain(jobs.indeterminate()) {
-        let Some(View {
+        let Some(JobStatus {
             answer,
             attempts,
             indeterminate,
             ..
-        }) = jobs.view(id)
+        }) = jobs.status(id)
         else {
             continue;
         };
--- a/crates/server/src/net/durable/clients.rs
+++ b/crates/server/src/net/durable/clients.rs
@@ -289,7 +289,7 @@
     let end = net.shutdown.bounded(now, now + wait * 1_000_000);
     let limit = net.clock.instant(end);
     loop {
-        let view = durable.jobs.borrow().view(id);
+        let view = durable.jobs.borrow().status(id);
         let Some(view) = view else {
             return not_found();
         };
@@ -318,7 +318,7 @@
 fn status_response(
     settings: &Settings,
     id: JobId,
-    view: &oakshed_jobs::machine::View,
+    view: &oakshed_jobs::machine::JobStatus,
 ) -> Response<Full<Bytes>> {
     let (state, result) = match &view.answer {
         None => ("open", None),
--- a/crates/server/src/net/durable/run.rs
+++ b/crates/server/src/net/durable/run.rs
@@ -118,7 +118,7 @@
             {
                 info!(job = %id, ?outcome, "store: job {id} settled by an operator: {outcome:?}");
             } else if durable.jobs.borrow().is_durable(id)
-                || durable.jobs.borrow().view(id).is_none()
+                || durable.jobs.borrow().status(id).is_none()
             {
                 _ = std::fs::remove_file(path);
             }
--- a/crates/server/tests/compatibility/store.rs
+++ b/crates/server/tests/compatibility/store.rs
@@ -135,7 +135,7 @@
         ("k-withdrawn", Some(Answer::Cancelled), 0, 0, None),
         ("k-waits", None, 0, 0, None),
     ] {
-        let view = jobs.view(job_id(key).parse().expect("an id")).expect(key);
+        let view = jobs.status(job_id(key).parse().expect("an id")).expect(key);
         assert_eq!(view.answer, answer, "{key}");
         assert_eq!(view.attempts, attempts, "{key}");
         assert_eq!(view.indeterminate.len(), in_doubt, "{key}");
