--- a/crates/jobs/src/disk.rs
+++ b/crates/jobs/src/disk.rs
@@ -11,7 +11,7 @@
 use rustix::fs::{fallocate, flock, FallocateFlags, FlockOperation};
 use rustix::io::Errno;
 
-use crate::log::Files;
+use crate::log::LogDirectory;
 use crate::record::{JobId, Outcome};
 
 /// A log directory, either locked by this process or opened read-only.
@@ -70,7 +70,7 @@
     }
 }
 
-impl Files for Disk {
+impl LogDirectory for Disk {
     type File = File;
 
     fn list(&self) -> io::Result<Vec<String>> {
--- a/crates/jobs/src/fault.rs
+++ b/crates/jobs/src/fault.rs
@@ -11,7 +11,7 @@
 
 use fastrand::Rng;
 
-use crate::log::Files;
+use crate::log::LogDirectory;
 
 /// Size in bytes of the unit that the disk writes as a whole.
 const SECTOR: usize = 512;
@@ -50,21 +50,21 @@
 /// An operation that an outage can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Operation {
-    /// [`Files::list`].
+    /// [`LogDirectory::list`].
     List,
-    /// [`Files::open`].
+    /// [`LogDirectory::open`].
     Open,
-    /// [`Files::read`].
+    /// [`LogDirectory::read`].
     Read,
-    /// [`Files::create`].
+    /// [`LogDirectory::create`].
     Create,
-    /// [`Files::write`].
+    /// [`LogDirectory::write`].
     Write,
-    /// [`Files::sync`].
+    /// [`LogDirectory::sync`].
     Sync,
-    /// [`Files::rename`].
+    /// [`LogDirectory::rename`].
     Rename,
-    /// [`Files::remove`].
+    /// [`LogDirectory::remove`].
     Remove,
 }
 
@@ -241,7 +241,7 @@
     io::Error::from(io::ErrorKind::NotFound)
 }
 
-impl Files for FaultyDirectory {
+impl LogDirectory for FaultyDirectory {
     type File = FileHandle;
 
     fn list(&self) -> io::Result<Vec<String>> {
--- a/crates/jobs/src/group_commit.rs
+++ b/crates/jobs/src/group_commit.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use crate::backoff::Backoff;
-use crate::log::{Backlog, Files, Log, LogError};
+use crate::log::{Backlog, Log, LogDirectory, LogError};
 
 /// Time that a shutdown waits for the last records. Records that are not durable by then were not confirmed
 /// to any client.
@@ -71,7 +71,7 @@
         notify: impl Fn(StoreEvent) + Send + 'static,
     ) -> io::Result<GroupCommit>
     where
-        F: Files + Send + 'static,
+        F: LogDirectory + Send + 'static,
         F::File: Send,
     {
         let (commands, receiver) = channel();
@@ -156,7 +156,7 @@
 }
 
 /// The state of the group commit thread.
-struct Writer<F: Files, T: Fn(StoreEvent)> {
+struct Writer<F: LogDirectory, T: Fn(StoreEvent)> {
     log: Log<F>,
     notify: T,
     backlog: Backlog,
@@ -172,7 +172,7 @@
     has_capacity: bool,
 }
 
-impl<F: Files, T: Fn(StoreEvent)> Writer<F, T> {
+impl<F: LogDirectory, T: Fn(StoreEvent)> Writer<F, T> {
     fn new(log: Log<F>, notify: T) -> Self {
         let has_capacity = log.has_capacity();
         notify(StoreEvent::Capacity(has_capacity));
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -6,9 +6,9 @@
 //! - [`machine`]: the state machine. It takes commands, events and the time, and returns records to write
 //!   and effects to perform once those records are durable.
 //! - [`record`]: the log's record types and job identifiers.
-//! - [`log`]: the write-ahead log's file format and recovery, on top of the trait [`log::Files`].
-//! - [`disk`]: [`log::Files`] for a directory on disk.
-//! - [`fault`]: [`log::Files`] in memory, with injected disk faults, for tests.
+//! - [`log`]: the write-ahead log's file format and recovery, on top of the trait [`log::LogDirectory`].
+//! - [`disk`]: [`log::LogDirectory`] for a directory on disk.
+//! - [`fault`]: [`log::LogDirectory`] in memory, with injected disk faults, for tests.
 //! - [`startup`]: opening a log, with retries of transient I/O errors.
 //! - [`group_commit`]: the thread that writes and syncs records in groups.
 //! - [`backoff`]: retry delays for failed disk operations.
--- a/crates/jobs/src/log/backlog.rs
+++ b/crates/jobs/src/log/backlog.rs
@@ -3,7 +3,7 @@
 //! Frames stay queued until the log has synced them, so a failed write or sync can be retried. The state
 //! machine bounds the queue: it accepts no new jobs while too many bytes are unsynced.
 
-use super::{Files, Log, LogError};
+use super::{Log, LogDirectory, LogError};
 
 /// Frames of the records that are not durable yet, oldest first.
 #[derive(Debug, Default)]
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     /// Returns the error of [`Log::append`]. Records that are not durable stay in the backlog.
-    pub fn flush<F: Files>(&mut self, log: &mut Log<F>) -> Result<(), LogError> {
+    pub fn flush<F: LogDirectory>(&mut self, log: &mut Log<F>) -> Result<(), LogError> {
         let result = log.append(&self.frames, &self.lengths);
         let unsynced = (self.last + 1).saturating_sub(log.next()) as usize;
         let durable = self.len().saturating_sub(unsynced);
--- a/crates/jobs/src/log/mod.rs
+++ b/crates/jobs/src/log/mod.rs
@@ -53,7 +53,7 @@
 
 /// The operations on a directory and its files that the log needs. A write is durable after the next `sync`
 /// of its file; `create`, `rename` and `remove` are durable when they return.
-pub trait Files {
+pub trait LogDirectory {
     /// An open file.
     type File;
     /// Lists the names of the files in the directory.
@@ -100,8 +100,8 @@
 }
 
 /// The log, open for writing.
-pub struct Log<F: Files> {
-    files: F,
+pub struct Log<F: LogDirectory> {
+    directory: F,
     /// Size of a segment file in bytes.
     segment_size: usize,
     /// Number of each segment's first record, oldest first.
@@ -123,19 +123,21 @@
     format!("{first:020}.log")
 }
 
-impl<F: Files> Log<F> {
+impl<F: LogDirectory> Log<F> {
     /// Opens the log in a directory, or creates one, and starts a new segment. A torn tail is cut off. The
     /// call may be repeated after an I/O error, which leaves all confirmed records intact.
     ///
     /// # Errors
     /// Fails when a file or the directory cannot be read or written, when a segment has an unsupported
     /// version, and when a record is damaged.
-    pub fn open(files: F, segment_size: usize) -> Result<(Log<F>, Recovered), LogError> {
-        let (recovered, damage) = read_all(&files)?;
+    pub fn open(directory: F, segment_size: usize) -> Result<(Log<F>, Recovered), LogError> {
+        let (recovered, damage) = read_all(&directory)?;
         if let Some(error) = damage.into_iter().next() {
             return Err(error);
         }
-        let names = files.list().map_err(io_error("listing the directory"))?;
+        let names = directory
+            .list()
+            .map_err(io_error("listing the directory"))?;
         let mut segments = segment_numbers(&names);
         let last = segments.last().copied().unwrap_or(1);
         let next = recovered
@@ -147,21 +149,21 @@
         if segments.last() == Some(&next) {
             segments.pop();
         } else if !segments.is_empty() {
-            rewrite_last_segment(&files, last, recovered.torn_tail.as_ref())?;
+            rewrite_last_segment(&directory, last, recovered.torn_tail.as_ref())?;
         }
         if names.iter().any(|name| name == PREALLOCATED) {
-            files
+            directory
                 .remove(PREALLOCATED)
                 .map_err(io_error("removing an old preallocated segment"))?;
         }
-        files
+        directory
             .create(PREALLOCATED, segment_size)
             .map_err(io_error("creating a segment"))?;
         let current =
-            activate_preallocated(&files, next).map_err(io_error("creating a segment"))?;
+            activate_preallocated(&directory, next).map_err(io_error("creating a segment"))?;
         segments.push(next);
         let mut log = Log {
-            files,
+            directory,
             segment_size,
             segments,
             current,
@@ -205,11 +207,11 @@
         if self.has_preallocated {
             return Ok(());
         }
-        let created = self.files.create(PREALLOCATED, self.segment_size);
+        let created = self.directory.create(PREALLOCATED, self.segment_size);
         self.disk_full = created.as_ref().is_err_and(is_disk_full);
         if created.is_err() {
             // A partial file only takes up disk space; the next attempt creates it again.
-            _ = self.files.remove(PREALLOCATED);
+            _ = self.directory.remove(PREALLOCATED);
         }
         self.has_preallocated = created.is_ok();
         created
@@ -256,10 +258,10 @@
         if bytes.is_empty() {
             return Ok(());
         }
-        self.files
+        self.directory
             .write(&self.current, self.offset, bytes)
             .map_err(io_error("writing records"))?;
-        self.files
+        self.directory
             .sync(&self.current)
             .map_err(io_error("syncing records"))?;
         self.offset += bytes.len();
@@ -273,10 +275,10 @@
             .map_err(io_error("preallocating a segment"))?;
         // Cleared first: after an error the file may have been written in part, or renamed already.
         self.has_preallocated = false;
-        match activate_preallocated(&self.files, self.next) {
+        match activate_preallocated(&self.directory, self.next) {
             Ok(file) => self.current = file,
             Err(error) => {
-                _ = self.files.remove(PREALLOCATED);
+                _ = self.directory.remove(PREALLOCATED);
                 return Err(io_error("starting a segment")(error));
             }
         }
@@ -297,7 +299,7 @@
         let mut removed = 0;
         while self.segments.len() > 1 && self.segments[1] <= oldest_needed {
             let file = segment_name(self.segments[0]);
-            self.files
+            self.directory
                 .remove(&file)
                 .map_err(io_error(format!("removing {file}")))?;
             self.segments.remove(0);
@@ -315,35 +317,35 @@
 }
 
 /// Turns the preallocated file into a segment. The header is synced before the file gets its name.
-fn activate_preallocated<F: Files>(files: &F, first: u64) -> io::Result<F::File> {
-    let file = files.open(PREALLOCATED)?;
+fn activate_preallocated<F: LogDirectory>(directory: &F, first: u64) -> io::Result<F::File> {
+    let file = directory.open(PREALLOCATED)?;
     let mut header = MAGIC.to_vec();
     header.extend_from_slice(&first.to_le_bytes());
-    files.write(&file, 0, &header)?;
-    files.sync(&file)?;
-    files.rename(PREALLOCATED, &segment_name(first))?;
+    directory.write(&file, 0, &header)?;
+    directory.sync(&file)?;
+    directory.rename(PREALLOCATED, &segment_name(first))?;
     Ok(file)
 }
 
 /// Writes the last segment of an earlier process again. After a failed sync, the data that was read from it
 /// may be in the page cache only, and another sync would report success without writing it. A torn tail is
 /// overwritten with zeros, because it would count as damage once another segment follows.
-fn rewrite_last_segment<F: Files>(
-    files: &F,
+fn rewrite_last_segment<F: LogDirectory>(
+    directory: &F,
     first: u64,
     torn_tail: Option<&TornTail>,
 ) -> Result<(), LogError> {
     let name = segment_name(first);
-    let mut bytes = files
+    let mut bytes = directory
         .read(&name)
         .map_err(io_error("reading the last segment"))?;
     let end = torn_tail.map_or(bytes.len(), |tail| tail.offset);
     bytes[end..].fill(0);
-    let file = files
+    let file = directory
         .open(&name)
         .map_err(io_error("opening the last segment"))?;
-    files
+    directory
         .write(&file, 0, &bytes)
-        .and_then(|()| files.sync(&file))
+        .and_then(|()| directory.sync(&file))
         .map_err(io_error("rewriting the last segment"))
 }
--- a/crates/jobs/src/log/recovery.rs
+++ b/crates/jobs/src/log/recovery.rs
@@ -4,7 +4,7 @@
 //! taken from that segment only.
 
 use super::frames::{Segment, HEADER_LENGTH};
-use super::{io_error, segment_name, Defect, Files, LogError};
+use super::{io_error, segment_name, Defect, LogDirectory, LogError};
 use crate::record::Record;
 
 /// The contents of a log.
@@ -30,8 +30,10 @@
 ///
 /// # Errors
 /// Fails when the directory or a file cannot be read, and when a segment has an unsupported version.
-pub fn read_all(files: &impl Files) -> Result<(Recovered, Vec<LogError>), LogError> {
-    let names = files.list().map_err(io_error("listing the directory"))?;
+pub fn read_all(directory: &impl LogDirectory) -> Result<(Recovered, Vec<LogError>), LogError> {
+    let names = directory
+        .list()
+        .map_err(io_error("listing the directory"))?;
     let firsts = segment_numbers(&names);
     let mut recovered = Recovered::default();
     let mut damage = Vec::new();
@@ -39,7 +41,7 @@
     let mut synced = 0;
     for (index, &first) in firsts.iter().enumerate() {
         let file = segment_name(first);
-        let bytes = files
+        let bytes = directory
             .read(&file)
             .map_err(io_error(format!("reading {file}")))?;
         let mut segment = Segment::decode(&file, &bytes, first)?;
--- a/crates/jobs/src/startup.rs
+++ b/crates/jobs/src/startup.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 use crate::backoff::Backoff;
-use crate::log::{Files, Log, LogError, Recovered};
+use crate::log::{Log, LogDirectory, LogError, Recovered};
 
 /// Opens a log in the directory that `open_directory` returns. Transient errors are retried for up to
 /// `timeout`; `on_retry` is called with each of them before the next attempt.
@@ -14,7 +14,7 @@
 /// # Errors
 /// Returns the last error if the next retry would start after `timeout`. An error that is not transient is
 /// returned immediately.
-pub fn open_within<F: Files>(
+pub fn open_within<F: LogDirectory>(
     timeout: Duration,
     segment_size: usize,
     mut open_directory: impl FnMut() -> io::Result<F>,
@@ -27,7 +27,7 @@
             action: "opening the directory".into(),
             source,
         });
-        let error = match directory.and_then(|files| Log::open(files, segment_size)) {
+        let error = match directory.and_then(|directory| Log::open(directory, segment_size)) {
             Err(error) if is_transient(&error) => error,
             result => return result,
         };
--- a/crates/jobs/tests/group_outages.rs
+++ b/crates/jobs/tests/group_outages.rs
@@ -12,7 +12,7 @@
 
 use oakshed_jobs::disk::Disk;
 use oakshed_jobs::group_commit::{GroupCommit, StoreEvent};
-use oakshed_jobs::log::{encode_all, Files, Log, LogError};
+use oakshed_jobs::log::{encode_all, Log, LogDirectory, LogError};
 use oakshed_jobs::record::{JobId, Record};
 use oakshed_jobs::startup::open_within;
 
@@ -49,7 +49,7 @@
     faults: Arc<Faults>,
 }
 
-impl Files for Failing {
+impl LogDirectory for Failing {
     type File = File;
 
     fn list(&self) -> io::Result<Vec<String>> {
--- a/crates/jobs/tests/log.rs
+++ b/crates/jobs/tests/log.rs
@@ -1,7 +1,7 @@
 //! The log on a directory that fails: a torn tail is cut, and damage is reported by file and offset.
 
 use oakshed_jobs::fault::FaultyDirectory;
-use oakshed_jobs::log::{encode, read_all, Files, Log, LogError};
+use oakshed_jobs::log::{encode, read_all, Log, LogDirectory, LogError};
 use oakshed_jobs::record::{JobId, Record};
 
 const SIZE: usize = 4 << 10;
--- a/crates/jobs/tests/log_model/mod.rs
+++ b/crates/jobs/tests/log_model/mod.rs
@@ -6,7 +6,7 @@
 
 use fastrand::Rng;
 use oakshed_jobs::fault::{FaultyDirectory, Operation, Outage};
-use oakshed_jobs::log::{encode_all, read_all, Backlog, Files, Log, LogError, Recovered};
+use oakshed_jobs::log::{encode_all, read_all, Backlog, Log, LogDirectory, LogError, Recovered};
 use oakshed_jobs::record::{JobId, Record};
 
 /// The size of a segment: small, so that there are many.
--- a/crates/jobs/tests/log_outages.rs
+++ b/crates/jobs/tests/log_outages.rs
@@ -8,7 +8,7 @@
 
 use fastrand::Rng;
 use oakshed_jobs::fault::{FaultyDirectory, Operation};
-use oakshed_jobs::log::{encode_all, read_all, Backlog, Files, Log, LogError};
+use oakshed_jobs::log::{encode_all, read_all, Backlog, Log, LogDirectory, LogError};
 use oakshed_jobs::record::Record;
 
 use log_model::{enqueue, outage, record, segments, Model, SIZE};
