--- a/crates/jobs/src/group_commit.rs
+++ b/crates/jobs/src/group_commit.rs
@@ -271,7 +271,7 @@
         let now = Instant::now();
         let records = before - self.backlog.len();
         if records > 0 {
-            let number = self.log.next() - 1;
+            let number = self.log.next_record() - 1;
             (self.notify)(StoreEvent::Synced {
                 number,
                 took: now - start,
--- a/crates/jobs/src/log/backlog.rs
+++ b/crates/jobs/src/log/backlog.rs
@@ -46,7 +46,7 @@
     /// Returns the error of [`Log::append`]. Records that are not durable stay in the backlog.
     pub fn flush<F: LogDirectory>(&mut self, log: &mut Log<F>) -> Result<(), LogError> {
         let result = log.append(&self.frames, &self.lengths);
-        let unsynced = (self.last + 1).saturating_sub(log.next()) as usize;
+        let unsynced = (self.last + 1).saturating_sub(log.next_record()) as usize;
         let durable = self.len().saturating_sub(unsynced);
         let bytes: usize = self.lengths.drain(..durable).sum();
         if self.lengths.is_empty() {
--- a/crates/jobs/src/log/mod.rs
+++ b/crates/jobs/src/log/mod.rs
@@ -111,7 +111,7 @@
     /// Offset of the next frame in the current segment.
     offset: usize,
     /// Number of the next record.
-    next: u64,
+    next_record: u64,
     has_preallocated: bool,
     /// Whether the last attempt to preallocate a segment failed because the disk was full.
     disk_full: bool,
@@ -168,7 +168,7 @@
             segments,
             current,
             offset: HEADER_LENGTH,
-            next,
+            next_record: next,
             has_preallocated: false,
             disk_full: false,
             suspect: false,
@@ -178,8 +178,8 @@
     }
 
     /// Returns the number of the next record to be appended.
-    pub fn next(&self) -> u64 {
-        self.next
+    pub fn next_record(&self) -> u64 {
+        self.next_record
     }
 
     /// Returns whether the disk has space for another segment: false only if the last preallocation found the
@@ -218,8 +218,8 @@
     }
 
     /// Appends frames with the given lengths and makes them durable. The number of the first record must be
-    /// [`Log::next`]. After an error all records before [`Log::next`] are durable; the caller passes the
-    /// others again, and they are written to a new segment.
+    /// [`Log::next_record`]. After an error all records before [`Log::next_record`] are durable; the caller
+    /// passes the others again, and they are written to a new segment.
     ///
     /// # Errors
     /// Fails when a segment cannot be written, synced or created.
@@ -265,7 +265,7 @@
             .sync(&self.current)
             .map_err(io_error("syncing records"))?;
         self.offset += bytes.len();
-        self.next += records;
+        self.next_record += records;
         Ok(())
     }
 
@@ -275,15 +275,15 @@
             .map_err(io_error("preallocating a segment"))?;
         // Cleared first: after an error the file may have been written in part, or renamed already.
         self.has_preallocated = false;
-        match activate_preallocated(&self.directory, self.next) {
+        match activate_preallocated(&self.directory, self.next_record) {
             Ok(file) => self.current = file,
             Err(error) => {
                 _ = self.directory.remove(PREALLOCATED);
                 return Err(io_error("starting a segment")(error));
             }
         }
-        if self.segments.last() != Some(&self.next) {
-            self.segments.push(self.next);
+        if self.segments.last() != Some(&self.next_record) {
+            self.segments.push(self.next_record);
         }
         self.offset = HEADER_LENGTH;
         self.preallocate();
--- a/crates/jobs/src/machine/clients.rs
+++ b/crates/jobs/src/machine/clients.rs
@@ -50,8 +50,8 @@
         Submitted::Open
     }
 
-    /// Returns the outcome of a submission of a known job, or `None` if the job is to be accepted, because it is
-    /// unknown or was durably rejected.
+    /// Returns the outcome of a submission of a known job, or `None` if the job is to be accepted, because it
+    /// is unknown or was durably rejected.
     fn resubmit(&mut self, id: JobId, fingerprint: u128, detached: bool) -> Option<Submitted> {
         let job = self.jobs.get_mut(&id)?;
         if job.fingerprint != fingerprint {
--- a/crates/jobs/tests/group_outages.rs
+++ b/crates/jobs/tests/group_outages.rs
@@ -103,7 +103,7 @@
         SIZE,
     )
     .expect("a log");
-    assert_eq!(log.next(), 1);
+    assert_eq!(log.next_record(), 1);
     let (tx, rx) = channel();
     (
         GroupCommit::start(log, move |event| _ = tx.send(event)).expect("a thread"),
@@ -303,7 +303,10 @@
     };
     let (log, recovered) =
         open_within(PATIENCE, SIZE, failing, on_fault).expect("the disk works again");
-    assert_eq!((recovered.records.len(), log.next(), tries), (3, 4, 3));
+    assert_eq!(
+        (recovered.records.len(), log.next_record(), tries),
+        (3, 4, 3)
+    );
     // What no retry can change is reported at once.
     let begin = Instant::now();
     let outcome = open_within(PATIENCE, SIZE, || Disk::lock(folder.path()), |_| {});
--- a/crates/jobs/tests/log.rs
+++ b/crates/jobs/tests/log.rs
@@ -16,7 +16,7 @@
 /// Appends so many records, a group each.
 fn fill(log: &mut Log<FaultyDirectory>, records: u64) -> Result<(), LogError> {
     for _ in 0..records {
-        let (mut frames, next) = (Vec::new(), log.next());
+        let (mut frames, next) = (Vec::new(), log.next_record());
         encode(&mut frames, next, next - 1, &record(next));
         let length = frames.len();
         log.append(&frames, &[length])?;
@@ -108,7 +108,7 @@
     assert!(fill(&mut log, 1).is_err());
     let bytes = disk.read(&failed[0]).expect("there");
     assert_eq!(
-        log.next(),
+        log.next_record(),
         4,
         "what a failed sync should have confirmed is not durable"
     );
@@ -138,7 +138,7 @@
         fill(&mut log, 100).is_err(),
         "and then it fails, and says so"
     );
-    let next = log.next();
+    let next = log.next_record();
     assert!(
         fill(&mut log, 1).is_err(),
         "as long as there is no capacity"
--- a/crates/jobs/tests/log_model/mod.rs
+++ b/crates/jobs/tests/log_model/mod.rs
@@ -120,11 +120,14 @@
         if numbers.windows(2).any(|two| two[0] + 1 != two[1]) {
             return Err(format!("process {}: a hole in {numbers:?}", self.process));
         }
-        if numbers.last().is_some_and(|last| last + 1 != log.next()) {
+        if numbers
+            .last()
+            .is_some_and(|last| last + 1 != log.next_record())
+        {
             return Err(format!(
                 "process {}: {numbers:?}, and then {}",
                 self.process,
-                log.next()
+                log.next_record()
             ));
         }
         // The machine acts on what was read back: from here on it is confirmed.
@@ -144,7 +147,7 @@
                 2 | 3 => _ = self.disk.set_outage(None),
                 4 if self.rng.u32(0..3) == 0 => self.disk.stop_after(self.rng.u32(0..10)),
                 5 => {
-                    let low = log.next() - self.rng.u64(0..log.next().min(60));
+                    let low = log.next_record() - self.rng.u64(0..log.next_record().min(60));
                     // The end of the log goes only once all before it is durable.
                     if waiting.is_empty() {
                         self.trimmed = self.trimmed.max(low);
@@ -156,17 +159,17 @@
             if self.disk.has_stopped() {
                 return Ok(());
             }
-            let synced = log.next() - 1;
+            let synced = log.next_record() - 1;
             let first = waiting
                 .last_key_value()
-                .map_or(log.next(), |(number, _)| number + 1);
+                .map_or(log.next_record(), |(number, _)| number + 1);
             let records: Vec<Record> = (first..first + self.rng.u64(1..12))
                 .map(|number| record(number, self.process))
                 .collect();
             waiting.extend((first..).zip(records.iter().cloned()));
             enqueue(&mut backlog, first, synced, &records);
             let outcome = backlog.flush(&mut log);
-            let rest = waiting.split_off(&log.next());
+            let rest = waiting.split_off(&log.next_record());
             self.confirmed.append(&mut waiting);
             waiting = rest;
             if outcome.is_ok() != waiting.is_empty() || backlog.len() != waiting.len() {
--- a/crates/jobs/tests/log_outages.rs
+++ b/crates/jobs/tests/log_outages.rs
@@ -50,7 +50,7 @@
     disk.fail_next_sync();
     assert!(backlog.flush(&mut log).is_err());
     assert_eq!(
-        (log.next(), backlog.len()),
+        (log.next_record(), backlog.len()),
         (3, 1),
         "what waits still waits"
     );
@@ -134,7 +134,7 @@
             let expected: Vec<(u64, Record)> = (1..=7)
                 .map(|n| (n, record(n, if n < 4 { 1 } else { 2 })))
                 .collect();
-            assert_eq!((recovered.records, log.next()), (expected, 8));
+            assert_eq!((recovered.records, log.next_record()), (expected, 8));
         }
     }
     // The successor was begun, and nothing of it is there yet; or half of its first frame is.
@@ -143,7 +143,7 @@
         write_segment(&disk, 1, 0, &numbered(1..=5, 1), &[]);
         write_segment(&disk, 4, 3, &[], rest);
         let (log, recovered) = Log::open(disk.clone(), SIZE).expect("not damaged");
-        assert_eq!((recovered.records.len(), log.next()), (3, 4));
+        assert_eq!((recovered.records.len(), log.next_record()), (3, 4));
         drop(log);
         assert_eq!(Log::open(disk, SIZE).expect("again").1.records.len(), 3);
     }
@@ -157,7 +157,7 @@
     let file = disk.open("spare.log").expect("there");
     disk.write(&file, 0, b"oakj").expect("written");
     let (log, recovered) = Log::open(disk, SIZE).expect("not damaged");
-    assert_eq!((recovered.records.len(), log.next()), (3, 4));
+    assert_eq!((recovered.records.len(), log.next_record()), (3, 4));
 }
 
 /// What a later segment follows, or a frame says was synced, is damage where it cannot be read.
--- a/crates/jobs/tests/world/scheduler.rs
+++ b/crates/jobs/tests/world/scheduler.rs
@@ -136,7 +136,14 @@
             uptime: self.now - self.boot.at,
         };
         let limits = limits(self.setup.leases);
-        let jobs = Jobs::restore(limits, names(), recovered.records, log.next(), now, boot);
+        let jobs = Jobs::restore(
+            limits,
+            names(),
+            recovered.records,
+            log.next_record(),
+            now,
+            boot,
+        );
         let facade = Facade::new(settings(), self.rng.u64(..)).expect("usable settings");
         self.scheduler = Some(Scheduler {
             process: self.processes,
@@ -278,9 +285,9 @@
             return;
         };
         let now = self.now.wrapping_add_signed(scheduler.skew);
-        let before = scheduler.log.next();
+        let before = scheduler.log.next_record();
         let outcome = backlog.flush(&mut scheduler.log);
-        let durable = scheduler.log.next();
+        let durable = scheduler.log.next_record();
         if durable > before {
             let facade = &mut scheduler.facade;
             scheduler.jobs.on_synced(now, durable - 1, facade);
--- a/crates/server/src/jobs_cli.rs
+++ b/crates/server/src/jobs_cli.rs
@@ -204,7 +204,7 @@
     };
     // No process uses the store: the settlement is appended to its log directly.
     let (mut log, recovered) = Log::open(disk, 1 << 20).map_err(store_error(dir))?;
-    let next = log.next();
+    let next = log.next_record();
     let mut jobs = restore(recovered, next);
     if !jobs.settle(now(), id, outcome) {
         return Err(JobsCommandError::NotInDoubt(id));
--- a/crates/server/src/net/durable/mod.rs
+++ b/crates/server/src/net/durable/mod.rs
@@ -111,7 +111,7 @@
     };
     let start = Instant::now();
     let (log, recovered) = open_log(settings)?;
-    let next = log.next();
+    let next = log.next_record();
     let records = recovered.records.len();
     let names = Names {
         classes: config.names.classes.clone(),
--- a/crates/server/tests/compatibility/store.rs
+++ b/crates/server/tests/compatibility/store.rs
@@ -111,7 +111,7 @@
         limits,
         names,
         recovered.records,
-        log.next(),
+        log.next_record(),
         wall + SECOND,
         boot,
     )
