--- a/crates/jobs/src/machine/types.rs
+++ b/crates/jobs/src/machine/types.rs
@@ -38,7 +38,7 @@
     /// The job is open, from this submission or an earlier one. The answer follows as [`Effect::Answer`].
     Open,
     /// The job is finished, with this answer.
-    Over(Answer),
+    Finished(Answer),
     /// The key belongs to a job with a different payload.
     Conflict,
     /// A capacity limit is reached, the disk is full, or too many bytes of records are not durable yet.
@@ -73,7 +73,7 @@
         token: u64,
     },
     /// Fence an attempt: tell the worker not to start the job with a token up to this one, and ask for the
-    /// job's status. The reply is reported with `on_fenced`.
+    /// job's status. The reply is reported with `on_fence_reply`.
     Fence {
         /// The job.
         id: JobId,
@@ -81,11 +81,11 @@
         token: u64,
         /// Name of the worker.
         worker: Rc<str>,
-        /// Whether the worker's address is from a confirmed endpoint list. To be passed to `on_fenced`.
+        /// Whether the worker's address is from a confirmed endpoint list. To be passed to `on_fence_reply`.
         confirmed: bool,
     },
     /// Notify a worker that the scheduler has stored its result durably. The notification may be lost.
-    Safe {
+    NotifyResultStored {
         /// The job.
         id: JobId,
         /// The fencing token.
@@ -123,16 +123,16 @@
 
 /// The end of an attempt, as observed on its connection.
 #[derive(Clone, Debug, PartialEq)]
-pub enum End {
+pub enum AttemptEnd {
     /// The worker returned a result.
     Result(Vec<u8>),
     /// The attempt ended without a result; never [`Ending::Delivered`].
-    Other(Ending),
+    NoResult(Ending),
 }
 
 /// The status of a job, for clients and operators.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
+pub struct JobStatus {
     /// The final answer, once it is durable.
     pub answer: Option<Answer>,
     /// Number of the attempts that are still recorded.
--- a/crates/jobs/tests/world/scheduler.rs
+++ b/crates/jobs/tests/world/scheduler.rs
@@ -10,7 +10,7 @@
     Entry, Facade, ListKind, Micros, Observation as SchedulerEvent, Settings,
 };
 use oakshed_core::interface::{Class, Effect as Kind, Scope, Span};
-use oakshed_jobs::fault::Faulty;
+use oakshed_jobs::fault::FaultyDirectory;
 use oakshed_jobs::log::{encode_all, Backlog, Log, LogError, Recovered};
 use oakshed_jobs::machine::{Boot, Jobs, Limits, Names};
 use oakshed_jobs::record::JobId;
@@ -25,7 +25,7 @@
     pub(super) process: u64,
     pub(super) facade: Facade,
     pub(super) jobs: Jobs,
-    pub(super) log: Log<Faulty>,
+    pub(super) log: Log<FaultyDirectory>,
     /// How far its wall clock is off.
     pub(super) skew: i64,
     pub(super) syncing: Option<Backlog>,
@@ -114,7 +114,7 @@
     }
 
     /// Opens the log; where the disk fails, the start is repeated later.
-    fn open_log(&mut self) -> Option<(Log<Faulty>, Recovered)> {
+    fn open_log(&mut self) -> Option<(Log<FaultyDirectory>, Recovered)> {
         match Log::open(self.disk.clone(), SEGMENT) {
             Ok(opened) => return Some(opened),
             Err(LogError::Io { .. }) => {
@@ -129,14 +129,21 @@
         None
     }
 
-    fn restore(&mut self, log: Log<Faulty>, recovered: Recovered, skew: i64) {
+    fn restore(&mut self, log: Log<FaultyDirectory>, recovered: Recovered, skew: i64) {
         let now = self.now.wrapping_add_signed(skew);
         let boot = Boot {
             id: self.boot.id,
             uptime: self.now - self.boot.at,
         };
         let limits = limits(self.setup.leases);
-        let jobs = Jobs::restore(limits, names(), recovered.records, log.next(), now, boot);
+        let jobs = Jobs::restore(
+            limits,
+            names(),
+            recovered.records,
+            log.next_record(),
+            now,
+            boot,
+        );
         let facade = Facade::new(settings(), self.rng.u64(..)).expect("usable settings");
         self.scheduler = Some(Scheduler {
             process: self.processes,
@@ -189,7 +196,7 @@
             let confirmed = kind != ListKind::Cached;
             scheduler
                 .jobs
-                .on_list(now, names.zip(starts), confirmed, facade);
+                .on_endpoint_list(now, names.zip(starts), confirmed, facade);
         });
     }
 
@@ -278,9 +285,9 @@
             return;
         };
         let now = self.now.wrapping_add_signed(scheduler.skew);
-        let before = scheduler.log.next();
+        let before = scheduler.log.next_record();
         let outcome = backlog.flush(&mut scheduler.log);
-        let durable = scheduler.log.next();
+        let durable = scheduler.log.next_record();
         if durable > before {
             let facade = &mut scheduler.facade;
             scheduler.jobs.on_synced(now, durable - 1, facade);
--- a/crates/server/src/net/durable/mod.rs
+++ b/crates/server/src/net/durable/mod.rs
@@ -111,7 +111,7 @@
     };
     let start = Instant::now();
     let (log, recovered) = open_log(settings)?;
-    let next = log.next();
+    let next = log.next_record();
     let records = recovered.records.len();
     let names = Names {
         classes: config.names.classes.clone(),
@@ -283,7 +283,9 @@
                 worker,
                 confirmed,
             } => self.start_fence(net, id, token, worker, confirmed),
-            Effect::Safe { id, token, worker } => self.record_safe_result(id, token, worker),
+            Effect::NotifyResultStored { id, token, worker } => {
+                self.record_safe_result(id, token, worker);
+            }
         }
     }
 
@@ -307,7 +309,7 @@
                 .set(durable.fences_in_progress.get() - calls);
             let facade = &mut net.facade.borrow_mut();
             let mut jobs = durable.jobs.borrow_mut();
-            jobs.on_fenced(net.clock.now(), id, token, reply, confirmed, facade);
+            jobs.on_fence_reply(net.clock.now(), id, token, reply, confirmed, facade);
             durable.changed.notify_one();
         });
     }
