--- a/crates/prewarm/src/arrival_model.rs
+++ b/crates/prewarm/src/arrival_model.rs
@@ -1,317 +1,339 @@
-//! The model of one kind: its jobs split by how many ran at once, and when each split comes again.
+//! The arrival model of one kind, with one histogram of gaps per concurrency level.
 //!
-//! A job that came while `n` others of its kind ran is of level `n`: the jobs of a level are those for which a
-//! further warm worker would have been of use, so each level is decided alone.
+//! A job that arrives while `n` others of its kind run belongs to level `n`. The jobs of level `n` are those that
+//! would use one more warm worker beside `n` busy ones, so each level is planned from its own gaps alone.
 
 use serde::{Deserialize, Serialize};
 
 use crate::config::Rule;
-use crate::gaps::{self, Gaps, Stretch};
+use crate::gaps::{self, AgeRange, GapHistogram};
 use crate::{Config, Micros, SECOND};
 
-/// The most workers kept warm for one kind.
+/// The maximum number of workers kept warm for one kind.
 pub const MAX_LEVELS: usize = 8;
-/// The weight of the earlier mean of running times against one new time, in times.
-const RUNNING_TIME_MEMORY: u64 = 15;
-/// The steps in which the trust in reported arrivals is used.
-const TRUST_STEPS: f64 = 20.0;
-/// The normal quantile of the interval of a likelihood: about 95%.
-const QUANTILE: f64 = 1.96;
-/// How many of the last gaps the tempo is of.
-const TEMPO_MEMORY: f64 = 15.0;
-/// What the whole histogram counts against the tempo, in gaps.
-const TEMPO_PRIOR: f64 = 8.0;
-/// The step in which the tempo's logarithm is used.
-const TEMPO_STEP: f64 = 0.1;
-/// The most jobs that are expected in one gap.
-const MAX_EXPECTED: f64 = 4.0;
-/// The longest running time, and how far ahead of its snapshot a level may be busy: one day.
-const MAX_AHEAD: Micros = 86_400 * SECOND;
+/// The weight of the previous mean running time, relative to a new sample.
+const MEAN_RUNNING_TIME_WEIGHT: u64 = 15;
+/// The on-time share is rounded to this many steps, so that small changes cause no recomputation.
+const ON_TIME_STEPS: f64 = 20.0;
+/// The standard normal quantile of a two-sided 95% interval.
+const NORMAL_QUANTILE: f64 = 1.96;
+/// The memory of the short-term rate correction, in gaps.
+const CORRECTION_MEMORY: f64 = 15.0;
+/// The weight of the uncorrected hazard rate in the short-term correction, in gaps.
+const CORRECTION_PRIOR: f64 = 8.0;
+/// The step to which the logarithm of the correction is rounded.
+const CORRECTION_STEP: f64 = 0.1;
+/// The maximum number of expected arrivals that one gap contributes to the correction.
+const MAX_EXPECTED_PER_GAP: f64 = 4.0;
+/// The longest running time of a valid snapshot, and the furthest `busy_until` past its creation: one day.
+const MAX_DURATION: Micros = 86_400 * SECOND;
 
-/// One level: gaps between its jobs.
+/// The arrivals of one concurrency level.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Level {
-    gaps: Gaps,
-    /// When the last job came.
-    pub last: Option<Micros>,
-    /// Until when its last job runs.
-    busy: Micros,
-    /// The last gaps, decaying fast: how many, and how many of them the rate expected.
-    tempo: (f64, f64),
-    /// The rate of the next job by age.
+    gaps: GapHistogram,
+    /// The time of the last arrival.
+    pub last_arrival: Option<Micros>,
+    /// The expected end of its last job.
+    busy_until: Micros,
+    /// Decaying counts of recent gaps: observed, and expected by the hazard rate.
+    recent_gaps: (f64, f64),
+    /// The rate of the next arrival for each bucket of age.
     #[serde(skip)]
-    rate: Vec<f32>,
-    /// The ages at which a worker is to be warm.
+    hazard: Vec<f32>,
+    /// The ages at which a worker should be warm.
     #[serde(skip)]
-    warm: Vec<Stretch>,
-    /// How many gaps were known when `rate` was computed, and with how much trust.
+    warm_ranges: Vec<AgeRange>,
+    /// The number of gaps and the on-time share, in steps, from which `hazard` was computed.
     #[serde(skip)]
-    made: Option<(u64, u8)>,
-    /// The tempo by which `warm` was computed, in steps.
+    hazard_inputs: Option<(u64, u8)>,
+    /// The rate correction, in steps, from which `warm_ranges` was computed.
     #[serde(skip)]
-    warm_at: i32,
+    warm_correction: i32,
 }
 
-/// What may come next of a kind.
+/// A forecast of the arrivals of one kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Likelihood {
-    /// The horizon, in microseconds from now.
-    pub within: Micros,
-    /// The probability that a job comes within it.
-    pub comes: f64,
-    /// The probability that the next job comes within it and finds no warm worker under the present plan.
-    pub cold: f64,
-    /// Lower and upper end of `comes` at about 95% (Wilson's interval over the gaps that got this far).
-    pub range: (f64, f64),
-    /// The weight of the gaps that got as far as the present age.
-    pub seen: f64,
+pub struct Forecast {
+    /// The horizon: microseconds from now.
+    pub horizon: Micros,
+    /// The probability of an arrival within the horizon.
+    pub arrival_probability: f64,
+    /// The probability that the next job arrives within the horizon and finds no warm worker under the current
+    /// plan.
+    pub cold_start_probability: f64,
+    /// The 95% Wilson score interval of `arrival_probability`, with `supporting_gaps` as its sample size.
+    pub confidence_interval: (f64, f64),
+    /// The weight of the gaps that were longer than the current age.
+    pub supporting_gaps: f64,
 }
 
-/// One kind.
+/// The model of one kind.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct ArrivalModel {
     levels: Vec<Level>,
-    /// The mean running time, in microseconds.
-    ran: Micros,
+    /// The moving mean of running times, in microseconds; 0 if none is known.
+    mean_running_time: Micros,
 }
 
 impl ArrivalModel {
-    /// A job ended that ran that long.
-    pub fn ran(&mut self, ran: Micros) {
-        self.ran = if self.ran == 0 {
-            ran
+    /// Updates the mean running time with that of a job that has ended.
+    pub fn record_running_time(&mut self, running_time: Micros) {
+        self.mean_running_time = if self.mean_running_time == 0 {
+            running_time
         } else {
-            (self.ran * RUNNING_TIME_MEMORY + ran) / (RUNNING_TIME_MEMORY + 1)
+            (self.mean_running_time * MEAN_RUNNING_TIME_WEIGHT + running_time)
+                / (MEAN_RUNNING_TIME_WEIGHT + 1)
         };
     }
 
-    /// So many jobs came in the slot from `at` on of this length; slots come in order.
-    pub fn came(&mut self, at: Micros, length: Micros, count: u32, config: &Config) {
-        let ran = if self.ran == 0 { SECOND } else { self.ran };
-        // Jobs of one slot count as at once unless they are short beside it.
-        let apart = if 2 * ran >= length {
+    /// Records `count` arrivals in the slot of the given length that starts at `at`. Slots must be given in
+    /// order.
+    pub fn record_arrivals(&mut self, at: Micros, length: Micros, count: u32, config: &Config) {
+        let running_time = if self.mean_running_time == 0 {
+            SECOND
+        } else {
+            self.mean_running_time
+        };
+        // Arrivals of one slot count as simultaneous, unless the running time is less than half a slot.
+        let spacing = if 2 * running_time >= length {
             0
         } else {
             length / u64::from(count.max(1))
         };
         for n in 0..u64::from(count).min(4 * MAX_LEVELS as u64) {
-            self.add_job(at + n * apart, ran, config);
+            self.add_job(at + n * spacing, running_time, config);
         }
     }
 
-    fn add_job(&mut self, at: Micros, ran: Micros, config: &Config) {
-        let free = self.levels.iter().position(|l| l.busy <= at);
-        let place = match free {
-            Some(place) => place,
+    fn add_job(&mut self, at: Micros, running_time: Micros, config: &Config) {
+        let free_level = self.levels.iter().position(|l| l.busy_until <= at);
+        let index = match free_level {
+            Some(index) => index,
             None if self.levels.len() < MAX_LEVELS => {
                 self.levels.push(Level::default());
                 self.levels.len() - 1
             }
             None => return,
         };
-        let level = &mut self.levels[place];
-        if let Some(last) = level.last {
-            level.counted(at.saturating_sub(last) as f64 / SECOND as f64, config);
+        let level = &mut self.levels[index];
+        if let Some(last) = level.last_arrival {
+            level.record_gap(at.saturating_sub(last) as f64 / SECOND as f64, config);
         }
-        level.last = Some(level.last.map_or(at, |last| last.max(at)));
-        level.busy = at + ran;
+        level.last_arrival = Some(level.last_arrival.map_or(at, |last| last.max(at)));
+        level.busy_until = at + running_time;
     }
 
-    /// A job was reported so late that its slot was closed: it counts as the last, and its gap as unknown.
-    pub fn came_late(&mut self, at: Micros) {
+    /// Records an arrival that was reported after its slot was closed. It updates the last arrival, but its gap
+    /// is unknown and not recorded.
+    pub fn record_late_arrival(&mut self, at: Micros) {
         if self.levels.is_empty() {
             self.levels.push(Level::default());
         }
         let level = &mut self.levels[0];
-        level.last = Some(level.last.map_or(at, |last| last.max(at)));
+        level.last_arrival = Some(level.last_arrival.map_or(at, |last| last.max(at)));
     }
 
-    /// Adds the levels up to this one, as a worker beyond them took a job.
+    /// Adds levels up to the given one, because a worker of that rank received a job.
     pub fn ensure_level(&mut self, level: usize) {
         let levels = (level + 1).min(MAX_LEVELS).max(self.levels.len());
         self.levels.resize_with(levels, Level::default);
     }
 
-    /// Whether a stored model can have been made until then: nothing of it lies in the future, where sums of
-    /// times would overflow.
+    /// Checks that a decoded model can have been stored at that time. Times far in the future would overflow in
+    /// later sums.
     #[must_use]
     pub fn is_plausible(&self, at: Micros) -> bool {
         self.levels.len() <= MAX_LEVELS
-            && self.ran <= MAX_AHEAD
+            && self.mean_running_time <= MAX_DURATION
             && self.levels.iter().all(|level| level.is_plausible(at))
     }
 
-    /// How many levels have had a job.
+    /// The number of levels, including those added by [`ArrivalModel::ensure_level`].
     #[must_use]
     pub fn levels(&self) -> usize {
         self.levels.len()
     }
 
-    /// When the last job of a level came.
+    /// The time of a level's last arrival.
     #[must_use]
-    pub fn last(&self, level: usize) -> Option<Micros> {
-        self.levels.get(level).and_then(|level| level.last)
+    pub fn last_arrival(&self, level: usize) -> Option<Micros> {
+        self.levels.get(level).and_then(|level| level.last_arrival)
     }
 
-    /// When a level is to be warm, by age since its last job. `trust` is the part of arrivals that were reported
-    /// in time: the rest of the rate is the plain keep-alive's.
-    pub fn warm(&mut self, level: usize, trust: f64, config: &Config) -> &[Stretch] {
-        let strength = Level::plain_strength(level, config);
+    /// The ages since a level's last arrival at which a worker should be warm. The hazard rate is weighted by
+    /// `on_time_share`, the share of arrivals reported in time, and the default hazard rate by the remainder.
+    pub fn warm_ranges(
+        &mut self,
+        level: usize,
+        on_time_share: f64,
+        config: &Config,
+    ) -> &[AgeRange] {
+        let strength = Level::prior_strength(level, config);
         let Some(level) = self.levels.get_mut(level) else {
             return &[];
         };
-        level.update(trust, strength, config);
-        &level.warm
+        level.update(on_time_share, strength, config);
+        &level.warm_ranges
     }
 
-    /// What may come within a horizon, and how certain that is.
-    pub fn likelihood(
+    /// Forecasts the arrivals within a horizon, given in microseconds.
+    pub fn forecast(
         &mut self,
         now: Micros,
-        within: Micros,
-        trust: f64,
+        horizon: Micros,
+        on_time_share: f64,
         config: &Config,
-    ) -> Likelihood {
-        self.warm(0, trust, config);
+    ) -> Forecast {
+        self.warm_ranges(0, on_time_share, config);
         let Some(level) = self.levels.first() else {
-            return Likelihood {
-                within,
-                comes: 0.0,
-                cold: 0.0,
-                range: (0.0, 1.0),
-                seen: 0.0,
+            return Forecast {
+                horizon,
+                arrival_probability: 0.0,
+                cold_start_probability: 0.0,
+                confidence_interval: (0.0, 1.0),
+                supporting_gaps: 0.0,
             };
         };
-        let age = now.saturating_sub(level.last.unwrap_or(now)) as f64 / SECOND as f64;
-        let until = age + within as f64 / SECOND as f64;
-        let (comes, cold) = level.probabilities(age, until);
-        let seen = level.gaps.beyond(age);
-        Likelihood {
-            within,
-            comes,
-            cold,
-            range: wilson(comes, seen),
-            seen,
+        let age = now.saturating_sub(level.last_arrival.unwrap_or(now)) as f64 / SECOND as f64;
+        let until = age + horizon as f64 / SECOND as f64;
+        let (arrival_probability, cold_start_probability) = level.probabilities(age, until);
+        let supporting_gaps = level.gaps.weight_beyond(age);
+        Forecast {
+            horizon,
+            arrival_probability,
+            cold_start_probability,
+            confidence_interval: wilson_interval(arrival_probability, supporting_gaps),
+            supporting_gaps,
         }
     }
 }
 
-/// Wilson's interval of a probability that so many events support.
-fn wilson(probability: f64, events: f64) -> (f64, f64) {
+/// The 95% Wilson score interval of a probability estimated from that many events.
+fn wilson_interval(probability: f64, events: f64) -> (f64, f64) {
     if events < 1e-6 {
         return (0.0, 1.0);
     }
     let events = events.max(1e-9);
-    let square = QUANTILE * QUANTILE;
-    let middle = probability + square / (2.0 * events);
+    let quantile_squared = NORMAL_QUANTILE * NORMAL_QUANTILE;
+    let center = probability + quantile_squared / (2.0 * events);
     let variance = probability * (1.0 - probability) / events;
-    let side = QUANTILE * (variance + (QUANTILE / (2.0 * events)).powi(2)).sqrt();
-    let scale = 1.0 + square / events;
-    ((middle - side) / scale, (middle + side) / scale)
+    let margin = NORMAL_QUANTILE * (variance + (NORMAL_QUANTILE / (2.0 * events)).powi(2)).sqrt();
+    let scale = 1.0 + quantile_squared / events;
+    ((center - margin) / scale, (center + margin) / scale)
 }
 
 impl Level {
-    /// A gap ended: it counts for the histogram, and for the tempo by how many jobs were expected in it.
-    fn counted(&mut self, gap: f64, config: &Config) {
-        if !self.rate.is_empty() {
-            let retained = 1.0 - 1.0 / TEMPO_MEMORY;
-            let expected = gaps::expected(&self.rate, gap).min(MAX_EXPECTED);
-            let (gaps, expected_gaps) = self.tempo;
-            self.tempo = (gaps * retained + 1.0, expected_gaps * retained + expected);
+    /// Records a gap in the histogram and in the short-term rate correction.
+    fn record_gap(&mut self, gap: f64, config: &Config) {
+        if !self.hazard.is_empty() {
+            let retained = 1.0 - 1.0 / CORRECTION_MEMORY;
+            let expected_in_gap =
+                gaps::expected_arrivals(&self.hazard, gap).min(MAX_EXPECTED_PER_GAP);
+            let (observed, expected) = self.recent_gaps;
+            self.recent_gaps = (
+                observed * retained + 1.0,
+                expected * retained + expected_in_gap,
+            );
         }
-        self.gaps.count(gap, config.memory);
+        self.gaps.record(gap, config.gap_memory);
     }
 
-    /// How much faster the last jobs came than by the histogram: the daily wave, and recent changes.
-    fn tempo(&self) -> f64 {
-        (self.tempo.0 + TEMPO_PRIOR) / (self.tempo.1 + TEMPO_PRIOR)
+    /// The ratio of recent arrivals to those the hazard rate predicted. It follows daily cycles and recent
+    /// changes faster than the histogram does.
+    fn rate_correction(&self) -> f64 {
+        (self.recent_gaps.0 + CORRECTION_PRIOR) / (self.recent_gaps.1 + CORRECTION_PRIOR)
     }
 
-    /// The strength of the plain keep-alive of a level: the higher the level, the less it is.
-    fn plain_strength(level: usize, config: &Config) -> f64 {
-        config.plain / (1 + level) as f64
+    /// The strength of the default hazard rate, which declines with the level.
+    fn prior_strength(level: usize, config: &Config) -> f64 {
+        config.default_keep_alive_ratio / (1 + level) as f64
     }
 
     fn is_plausible(&self, at: Micros) -> bool {
         let is_count = |count: f64| count.is_finite() && count >= 0.0;
         self.gaps.is_plausible()
-            && self.last.is_none_or(|last| last <= at)
-            && self.busy <= at.saturating_add(MAX_AHEAD)
-            && is_count(self.tempo.0)
-            && is_count(self.tempo.1)
+            && self.last_arrival.is_none_or(|last| last <= at)
+            && self.busy_until <= at.saturating_add(MAX_DURATION)
+            && is_count(self.recent_gaps.0)
+            && is_count(self.recent_gaps.1)
     }
 
-    /// Updates the rate and the warm stretches, where enough has changed since.
-    fn update(&mut self, trust: f64, strength: f64, config: &Config) {
-        let trust = (trust.clamp(0.0, 1.0) * TRUST_STEPS).round() as u8;
+    /// Recomputes the hazard rate and the warm ranges if their inputs have changed enough.
+    fn update(&mut self, on_time_share: f64, strength: f64, config: &Config) {
+        let on_time = (on_time_share.clamp(0.0, 1.0) * ON_TIME_STEPS).round() as u8;
         let is_current = self
-            .made
-            .is_some_and(|(n, t)| t == trust && self.gaps.seen <= n + n / 32);
+            .hazard_inputs
+            .is_some_and(|(n, steps)| steps == on_time && self.gaps.recorded <= n + n / 32);
         if !is_current {
-            self.update_rate(trust, strength);
+            self.update_hazard(on_time, strength);
         }
-        let tempo = (self.tempo().ln() / TEMPO_STEP).round() as i32;
-        if !is_current || self.warm_at != tempo {
-            self.update_warm(tempo, strength, config);
+        let correction = (self.rate_correction().ln() / CORRECTION_STEP).round() as i32;
+        if !is_current || self.warm_correction != correction {
+            self.update_warm_ranges(correction, strength, config);
         }
     }
 
-    /// `trust` is in steps.
-    fn update_rate(&mut self, trust: u8, strength: f64) {
-        let trust_share = f32::from(trust) / TRUST_STEPS as f32;
-        let plain = Gaps::default().hazard(strength);
-        self.rate = self.gaps.hazard(strength);
-        for (rate, plain) in self.rate.iter_mut().zip(plain) {
-            *rate = trust_share * *rate + (1.0 - trust_share) * plain;
+    /// `on_time` is the on-time share in steps.
+    fn update_hazard(&mut self, on_time: u8, strength: f64) {
+        let on_time_share = f32::from(on_time) / ON_TIME_STEPS as f32;
+        let default_hazard = GapHistogram::default().hazard(strength);
+        self.hazard = self.gaps.hazard(strength);
+        for (rate, default) in self.hazard.iter_mut().zip(default_hazard) {
+            *rate = on_time_share * *rate + (1.0 - on_time_share) * default;
         }
-        self.made = Some((self.gaps.seen, trust));
+        self.hazard_inputs = Some((self.gaps.recorded, on_time));
     }
 
-    /// `tempo` is in steps.
-    fn update_warm(&mut self, tempo: i32, strength: f64, config: &Config) {
-        let bridge = 2.0 * config.load as f64 / SECOND as f64;
-        self.warm_at = tempo;
-        self.warm = match config.rule {
-            Rule::Price => {
-                let price = 1.0 / config.cold_start_cost.max(1e-3);
-                let price = price / (f64::from(tempo) * TEMPO_STEP).exp();
-                gaps::stretches(&self.rate, price, bridge)
+    /// `correction` is the logarithm of the rate correction in steps.
+    fn update_warm_ranges(&mut self, correction: i32, strength: f64, config: &Config) {
+        let max_pause = 2.0 * config.load_time as f64 / SECOND as f64;
+        self.warm_correction = correction;
+        self.warm_ranges = match config.rule {
+            Rule::BreakEven => {
+                let break_even_rate = 1.0 / config.cold_start_cost.max(1e-3);
+                let min_rate = break_even_rate / (f64::from(correction) * CORRECTION_STEP).exp();
+                gaps::ranges_above(&self.hazard, min_rate, max_pause)
             }
             Rule::Percentiles(early, late) => {
-                let plain = Stretch {
+                let default_range = AgeRange {
                     from: 0.0,
                     to: strength * config.cold_start_cost,
                 };
-                let mut window = self.gaps.window(early, late).unwrap_or(plain);
-                if window.from <= bridge {
-                    window.from = 0.0;
+                let mut range = self
+                    .gaps
+                    .percentile_range(early, late)
+                    .unwrap_or(default_range);
+                if range.from <= max_pause {
+                    range.from = 0.0;
                 }
-                vec![window]
+                vec![range]
             }
         };
     }
 
-    /// The probabilities that a job comes from one age to another, in seconds, and that it finds no warm worker.
+    /// The probability of an arrival between two ages, in seconds, and the probability that the first one finds
+    /// no warm worker.
     fn probabilities(&self, age: f64, until: f64) -> (f64, f64) {
-        let mut none_came = 1.0_f64;
+        let mut no_arrival = 1.0_f64;
         let mut cold = 0.0;
-        for b in gaps::bucket(age)..gaps::BUCKETS {
-            let from = gaps::edges()[b].max(age);
-            let to = gaps::edges()[b + 1].min(until);
+        for b in gaps::bucket_of(age)..gaps::BUCKETS {
+            let from = gaps::bucket_edges()[b].max(age);
+            let to = gaps::bucket_edges()[b + 1].min(until);
             if from >= to {
                 break;
             }
-            let expected = f64::from(self.rate[b]) * self.tempo() * (to - from);
-            let left = none_came * (-expected).exp();
+            let expected = f64::from(self.hazard[b]) * self.rate_correction() * (to - from);
+            let no_arrival_after = no_arrival * (-expected).exp();
             let is_warm = self
-                .warm
+                .warm_ranges
                 .iter()
-                .any(|stretch| stretch.from <= from && to <= stretch.to);
+                .any(|range| range.from <= from && to <= range.to);
             if !is_warm {
-                cold += none_came - left;
+                cold += no_arrival - no_arrival_after;
             }
-            none_came = left;
+            no_arrival = no_arrival_after;
         }
-        (1.0 - none_came, cold)
+        (1.0 - no_arrival, cold)
     }
 }
--- a/crates/prewarm/src/bin/oakshed-prewarm-trial.rs
+++ b/crates/prewarm/src/bin/oakshed-prewarm-trial.rs
@@ -144,8 +144,8 @@
             min_keep_alive: args
                 .min_keep_alive_s
                 .map_or(defaults.min_keep_alive, |seconds| seconds * SECOND),
-            memory: args.memory.unwrap_or(defaults.memory),
-            plain: args.plain.unwrap_or(defaults.plain),
+            gap_memory: args.memory.unwrap_or(defaults.gap_memory),
+            default_keep_alive_ratio: args.plain.unwrap_or(defaults.default_keep_alive_ratio),
             ..defaults
         };
         Setup {
--- a/crates/prewarm/src/config.rs
+++ b/crates/prewarm/src/config.rs
@@ -1,47 +1,47 @@
-//! The settings of prewarming.
+//! Settings of the state machine.
 
 use std::sync::Arc;
 
 use crate::{Micros, SECOND};
 
-/// When a worker is warm, by the age since the last job of a kind.
+/// How the ages at which a worker is kept warm are chosen. The age is the time since the last job of a kind.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Rule {
-    /// Wherever the rate of the next job is at least the price, `1 / cold_start_cost`.
-    Price,
-    /// From the early to the late percentile of the gaps, given as shares, and the plain keep-alive with few
-    /// gaps: the window of Shahrad et al., 'Serverless in the Wild' (USENIX ATC 2020, section 4.2), kept to be
-    /// measured against.
+    /// Warm wherever the hazard rate is at least the break-even rate, `1 / cold_start_cost`.
+    BreakEven,
+    /// Warm from the early to the late percentile of the gaps, both given as shares of 1, or for the default
+    /// keep-alive while there are few gaps. This is the window of Shahrad et al., 'Serverless in the Wild'
+    /// (USENIX ATC 2020, section 4.2), implemented for comparison.
     Percentiles(f64, f64),
 }
 
-/// Settings of one member. All members of an installation have the same, but for `name`.
+/// Settings of one member. All members of an installation must agree on everything but `name`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
-    /// This member's name, as the list of members has it.
+    /// This member's name in the member list.
     pub name: Arc<str>,
-    /// How many seconds of an idle warm worker a cold start costs: the one price from which all that is loaded or
-    /// kept warm follows.
+    /// The cost of a cold start, in seconds of an idle warm worker. All decisions to load a class or keep it
+    /// loaded weigh this cost against idle time.
     pub cold_start_cost: f64,
-    /// When a worker is warm.
+    /// How warm ages are chosen.
     pub rule: Rule,
-    /// Where the histogram says nothing a worker is kept warm for this part of `cold_start_cost` after a job (the
-    /// plain keep-alive).
-    pub plain: f64,
-    /// How long a worker takes to load a kind, in microseconds.
-    pub load: Micros,
-    /// The shortest keep-alive of one call, in microseconds: longer than it takes to detect a member's death.
+    /// The default keep-alive, as a share of `cold_start_cost`: how long a worker stays warm after a job while
+    /// the histogram is empty.
+    pub default_keep_alive_ratio: f64,
+    /// How long a worker takes to load a class, in microseconds.
+    pub load_time: Micros,
+    /// The shortest keep-alive of one call, in microseconds. It must exceed the time to detect a member's death.
     pub min_keep_alive: Micros,
     /// The longest keep-alive of one call, in microseconds.
     pub max_keep_alive: Micros,
-    /// The most of the fleet's capacity (classes, summed over workers) that may be kept warm at once.
-    pub share: f64,
-    /// How many gaps count: older ones weigh less by one part in so many with each new one.
-    pub memory: f64,
-    /// The most kinds that are modelled; others have the plain keep-alive.
-    pub kinds: usize,
-    /// The most arrivals of a kind in a second and in the fleet that rows report one by one: above it they report a
-    /// sample.
+    /// The largest share of the fleet's capacity (classes, summed over workers) that may be kept warm at once.
+    pub max_warm_share: f64,
+    /// The memory of the histogram, in gaps: each new gap reduces the weight of earlier ones by `1 / gap_memory`.
+    pub gap_memory: f64,
+    /// The maximum number of kinds that are modelled. Kinds beyond it are not prewarmed.
+    pub max_kinds: usize,
+    /// Up to this rate of arrivals per second in the fleet, rows report each arrival of a kind; above it they
+    /// report a sample.
     pub max_exact_rate: f64,
 }
 
@@ -50,14 +50,14 @@
         Config {
             name: "".into(),
             cold_start_cost: 300.0,
-            rule: Rule::Price,
-            plain: 0.5,
-            load: 2 * SECOND,
+            rule: Rule::BreakEven,
+            default_keep_alive_ratio: 0.5,
+            load_time: 2 * SECOND,
             min_keep_alive: 10 * SECOND,
             max_keep_alive: 3_600 * SECOND,
-            share: 0.5,
-            memory: 200.0,
-            kinds: 1_024,
+            max_warm_share: 0.5,
+            gap_memory: 200.0,
+            max_kinds: 1_024,
             max_exact_rate: 1.0,
         }
     }
--- a/crates/prewarm/src/keep_alive.rs
+++ b/crates/prewarm/src/keep_alive.rs
@@ -1,6 +1,7 @@
-//! Keep-alives: which class is kept warm on which worker and until when, within all bounds.
+//! Keep-alives: which classes are kept warm on which workers, and until when.
 //!
-//! No call goes to an unavailable worker, beyond a worker's budget or capacity, or beyond the fleet's share.
+//! Keep-alives exist only on available workers, and are limited by each worker's budget and capacity and by the
+//! share of the fleet's capacity.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -14,62 +15,63 @@
 #[derive(Clone, Copy, Debug)]
 struct KeepAlive {
     until: Micros,
-    /// This member called the worker; else another one is taken to have.
-    own: bool,
+    /// Whether this member called the worker. If not, the responsible member is assumed to have called it.
+    is_own: bool,
 }
 
-/// The demand to keep a kind's class warm on the worker at that index.
+/// A demand to keep the class of a kind warm on a worker.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Demand<'a> {
-    /// The kind's number.
-    pub number: usize,
+    /// The index of the kind.
+    pub kind_index: usize,
     pub class: &'a Arc<str>,
-    /// The worker's index.
-    pub place: usize,
+    /// The index of the worker.
+    pub worker_index: usize,
     pub until: Micros,
-    /// Whether this member calls the worker; else another one does, and it is only noted.
-    pub calls: bool,
-    /// Whether the worker has loaded the class, or is about to for a job: nothing of its budget is used.
-    pub loaded: bool,
+    /// Whether this member is to call the worker. If not, another member is assumed to, and the keep-alive only
+    /// counts towards the limits.
+    pub calls_worker: bool,
+    /// Whether the worker has loaded the class or is about to load it for a job, so that no budget is needed.
+    pub is_loaded: bool,
 }
 
 /// Why a demand was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(crate) enum Rejection {
-    #[error("the fleet's share is used up")]
+    #[error("the share of the fleet's capacity is used up")]
     OverShare,
     #[error("the worker's budget or capacity is used up")]
     OverBudget,
-    #[error("too many calls wait to be fetched")]
-    Full,
+    #[error("too many effects are pending")]
+    QueueFull,
 }
 
-/// All keep-alives.
+/// The active keep-alives and the limits on them.
 #[derive(Debug, Default)]
 pub(crate) struct KeepAlives {
     pub workers: Vec<Worker>,
-    /// The indices of the available workers by zone: no search through all workers for each kind.
+    /// The indices of the available workers by zone, to avoid a search through all workers for each kind.
     by_zone: BTreeMap<Arc<str>, Vec<usize>>,
-    /// The most keep-alives at once.
-    max: usize,
-    share: f64,
-    /// By the worker's index, then the kind's number.
+    /// The maximum number of keep-alives.
+    max_keep_alives: usize,
+    max_warm_share: f64,
+    /// Keep-alives by worker index and kind index.
     active: BTreeMap<(usize, usize), KeepAlive>,
     pub effects: VecDeque<Effect>,
 }
 
-/// The most calls that wait to be fetched.
-const MAX_WAITING_CALLS: usize = 4_096;
+/// The maximum number of pending effects.
+const MAX_PENDING_EFFECTS: usize = 4_096;
 
 impl KeepAlives {
-    pub fn new(share: f64) -> KeepAlives {
+    pub fn new(max_warm_share: f64) -> KeepAlives {
         KeepAlives {
-            share: share.clamp(0.0, 1.0),
+            max_warm_share: max_warm_share.clamp(0.0, 1.0),
             ..KeepAlives::default()
         }
     }
 
-    /// Sets the workers. The keep-alives on unavailable ones are dropped.
+    /// Replaces the workers, and drops the keep-alives on those that are no longer available.
     pub fn set_workers(&mut self, workers: &[Worker]) {
         let old = std::mem::replace(&mut self.workers, workers.to_vec());
         let mut index_of: BTreeMap<&str, usize> = BTreeMap::new();
@@ -81,35 +83,35 @@
             }
             index_of.insert(&worker.name, index);
             capacity += u64::from(worker.max_classes);
-            let of_zone = self.by_zone.entry(worker.zone.clone()).or_default();
-            of_zone.push(index);
+            let in_zone = self.by_zone.entry(worker.zone.clone()).or_default();
+            in_zone.push(index);
         }
-        self.max = (capacity as f64 * self.share) as usize;
-        for ((index, number), keep_alive) in std::mem::take(&mut self.active) {
+        self.max_keep_alives = (capacity as f64 * self.max_warm_share) as usize;
+        for ((index, kind_index), keep_alive) in std::mem::take(&mut self.active) {
             if let Some(index) = index_of.get(&*old[index].name) {
-                self.active.insert((*index, number), keep_alive);
+                self.active.insert((*index, kind_index), keep_alive);
             }
         }
-        // A call that was not fetched yet must not go to a worker that is unavailable now.
+        // A pending call must not reach a worker that is no longer available.
         self.effects
             .retain(|Effect::Prepare { worker, .. }| index_of.contains_key(&**worker));
     }
 
-    /// The indices of the workers that a kind may be kept warm on, in order.
-    pub fn order(&self, kind: &Kind) -> Vec<usize> {
+    /// The indices of the available workers for a kind, in the order in which they are kept warm.
+    pub fn worker_order(&self, kind: &Kind) -> Vec<usize> {
         let mut order = self.by_zone.get(&kind.zone).cloned().unwrap_or_default();
-        order.sort_by_cached_key(|index| kind.rank(&self.workers[*index]));
+        order.sort_by_cached_key(|index| kind.sort_key(&self.workers[*index]));
         order
     }
 
-    /// The most keep-alives at once, over all workers and classes.
-    pub fn max(&self) -> usize {
-        self.max
+    /// The maximum number of keep-alives over all workers and classes.
+    pub fn max_keep_alives(&self) -> usize {
+        self.max_keep_alives
     }
 
-    /// Until when a kind is kept warm on a worker; 0 if it is not.
-    pub fn until(&self, place: usize, number: usize) -> Micros {
-        let keep_alive = self.active.get(&(place, number));
+    /// When the keep-alive of a kind on a worker ends; 0 if there is none.
+    pub fn ends_at(&self, worker_index: usize, kind_index: usize) -> Micros {
+        let keep_alive = self.active.get(&(worker_index, kind_index));
         keep_alive.map_or(0, |keep_alive| keep_alive.until)
     }
 
@@ -118,40 +120,45 @@
         self.active.retain(|_, keep_alive| keep_alive.until > now);
     }
 
-    /// Drops the keep-alives of a kind that other members are taken to have called for.
-    pub fn retain_own(&mut self, number: usize) {
+    /// Drops the keep-alives of a kind for which other members were assumed to have called.
+    pub fn retain_own(&mut self, kind_index: usize) {
         self.active
-            .retain(|key, keep_alive| key.1 != number || keep_alive.own);
+            .retain(|key, keep_alive| key.1 != kind_index || keep_alive.is_own);
     }
 
-    /// Keeps a class warm, within all bounds.
+    /// Adds or extends a keep-alive within the limits. Nothing changes if the current one already lasts long
+    /// enough.
     pub fn demand(&mut self, now: Micros, demand: Demand<'_>) -> Result<(), Rejection> {
         self.expire(now);
-        let key = (demand.place, demand.number);
-        let known = self.active.get(&key).copied();
-        let calls = demand.calls;
-        let is_met = |known: KeepAlive| known.until >= demand.until && (known.own || !calls);
-        if demand.until <= now || known.is_some_and(is_met) {
+        let key = (demand.worker_index, demand.kind_index);
+        let current = self.active.get(&key).copied();
+        let calls_worker = demand.calls_worker;
+        let is_met =
+            |current: KeepAlive| current.until >= demand.until && (current.is_own || !calls_worker);
+        if demand.until <= now || current.is_some_and(is_met) {
             return Ok(());
         }
-        if calls && self.effects.len() >= MAX_WAITING_CALLS {
-            return Err(Rejection::Full);
+        if calls_worker && self.effects.len() >= MAX_PENDING_EFFECTS {
+            return Err(Rejection::QueueFull);
         }
-        // Also what another member is taken to have called for: the share may have shrunk since.
-        if known.is_none_or(|known| calls && !known.own) {
-            self.check_capacity(demand.place, known.is_some())?;
+        // A keep-alive assumed of another member is checked again, because the limits may have been lowered.
+        if current.is_none_or(|current| calls_worker && !current.is_own) {
+            self.check_capacity(demand.worker_index, current.is_some())?;
         }
-        let worker = &mut self.workers[demand.place];
-        debug_assert!(worker.is_available(), "an unavailable worker: {worker:?}");
-        if known.is_none() && calls && !demand.loaded {
+        let worker = &mut self.workers[demand.worker_index];
+        debug_assert!(
+            worker.is_available(),
+            "demand for an unavailable worker: {worker:?}"
+        );
+        if current.is_none() && calls_worker && !demand.is_loaded {
             worker.budget = worker.budget.checked_sub(1).ok_or(Rejection::OverBudget)?;
         }
         let keep_alive = KeepAlive {
-            until: known.map_or(demand.until, |known| known.until.max(demand.until)),
-            own: calls || known.is_some_and(|known| known.own),
+            until: current.map_or(demand.until, |current| current.until.max(demand.until)),
+            is_own: calls_worker || current.is_some_and(|current| current.is_own),
         };
         self.active.insert(key, keep_alive);
-        if calls {
+        if calls_worker {
             self.effects.push_back(Effect::Prepare {
                 worker: worker.name.clone(),
                 class: demand.class.clone(),
@@ -161,14 +168,19 @@
         Ok(())
     }
 
-    /// Checks that a worker and the fleet have capacity for one keep-alive more, or for one that is known.
-    fn check_capacity(&self, place: usize, is_known: bool) -> Result<(), Rejection> {
-        let itself = usize::from(is_known);
-        if self.active.len() - itself >= self.max {
+    /// Checks that a worker and the fleet have capacity for one keep-alive. With `is_counted`, it is already among
+    /// the active ones.
+    fn check_capacity(&self, worker_index: usize, is_counted: bool) -> Result<(), Rejection> {
+        let counted = usize::from(is_counted);
+        if self.active.len() - counted >= self.max_keep_alives {
             return Err(Rejection::OverShare);
         }
-        let here = self.active.range((place, 0)..(place + 1, 0)).count() - itself;
-        if here >= self.workers[place].max_classes as usize {
+        let on_worker = self
+            .active
+            .range((worker_index, 0)..(worker_index + 1, 0))
+            .count()
+            - counted;
+        if on_worker >= self.workers[worker_index].max_classes as usize {
             return Err(Rejection::OverBudget);
         }
         Ok(())
--- a/crates/prewarm/src/machine.rs
+++ b/crates/prewarm/src/machine.rs
@@ -1,8 +1,9 @@
-//! The state machine of prewarming: arrivals, rows, members, workers and time go in; calls come out.
+//! The prewarming state machine of one member. Its inputs are arrivals, shared rows, the member and worker lists,
+//! and the time; its outputs are calls to workers and raises of shared rows.
 //!
-//! It plans each kind: which levels should be warm until when. Every member plans all kinds from the same rows, so
-//! that whoever becomes responsible for one has its model, and the bounds hold for all of them together; only the
-//! responsible member calls.
+//! Every member plans all kinds from the same rows. A member that becomes responsible for a kind therefore has
+//! its model, and the limits on keep-alives apply to all kinds together. Only the responsible member calls
+//! workers ahead of a job.
 
 mod planning;
 mod snapshot;
@@ -12,104 +13,106 @@
 
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::arrival_model::{ArrivalModel, Likelihood};
+use crate::arrival_model::{ArrivalModel, Forecast};
 use crate::keep_alive::KeepAlives;
 use crate::place::{Kind, Worker};
 use crate::slots::{
-    Row, Slots, MAX_RUNNING_TIME, RUNNING_TIME_JOBS, RUNNING_TIME_SUM, RUNNING_TIME_UNIT, SLOT,
+    RowKey, Slots, MAX_RUNNING_TIME, RUNNING_TIME_JOBS, RUNNING_TIME_SUM, RUNNING_TIME_UNIT, SLOT,
     WINDOW,
 };
 use crate::{Config, Micros, SECOND};
 
 pub use snapshot::RestoreError;
 
-/// The most raises that wait to be fetched.
-const MAX_WAITING_RAISES: usize = 4_096;
-/// The thinnest sample of arrivals that rows report: one in two to the power of this.
-pub(crate) const MAX_THINNING: u8 = 16;
-/// Of a frequent kind one running time in so many seconds is reported over the fleet.
+/// The maximum number of pending raises.
+const MAX_PENDING_RAISES: usize = 4_096;
+/// The largest sampling exponent: rows report at least one in 2^16 arrivals.
+pub(crate) const MAX_SAMPLING_EXPONENT: u8 = 16;
+/// For frequent kinds, the fleet reports one running time per this many seconds.
 const RUNNING_TIME_INTERVAL_S: f64 = 20.0;
 
 /// An effect for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Call a worker to load a class if it has not, and to keep it warm for that long from now, or longer if an
-    /// earlier call says so. A repeated call changes nothing.
+    /// Call a worker to load a class if it is not loaded, and to keep it warm for `keep_ms` from now unless an
+    /// earlier call lasts longer. The call is idempotent.
     Prepare {
         /// The worker's name.
         worker: Arc<str>,
         /// The class.
         class: Arc<str>,
-        /// How long, in milliseconds.
+        /// The duration of the keep-alive, in milliseconds.
         keep_ms: u64,
     },
 }
 
-/// A raise of an own shared row.
+/// An increment of a count in one of this member's shared rows.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Raise {
     /// The window of the row.
     pub window: u32,
-    /// The subject.
+    /// The subject of the row.
     pub subject: Vec<u8>,
     /// The index of the count.
     pub index: usize,
-    /// What is added.
+    /// The increment.
     pub add: u32,
 }
 
-/// Counters since the start.
+/// Counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Calls to keep a class warm after a job, by the member that sent the job.
-    pub kept: u64,
-    /// Calls ahead of a job, by the responsible member.
-    pub ahead: u64,
-    /// Demands rejected as the share was used up.
+    pub keep_alive_calls: u64,
+    /// Calls ahead of an expected job, by the responsible member.
+    pub prewarm_calls: u64,
+    /// Demands rejected because the fleet's share was used up.
     pub over_share: u64,
-    /// Demands rejected as the worker's budget or capacity was used up.
+    /// Demands rejected because a worker's budget or capacity was used up.
     pub over_budget: u64,
-    /// Demands rejected as too many calls waited to be fetched.
-    pub full: u64,
-    /// Kinds that are not modelled, as there were too many.
-    pub unknown: u64,
-    /// Rows whose subject was malformed.
-    pub bad_rows: u64,
+    /// Demands rejected because too many effects were pending.
+    pub queue_full: u64,
+    /// Lookups of kinds that are not modelled because [`Config::max_kinds`] was reached.
+    pub unmodelled: u64,
+    /// Rows with a malformed subject.
+    pub malformed_rows: u64,
 }
 
 /// A kind, its model and its plan.
-struct Entry {
+struct KindState {
     kind: Kind,
     model: ArrivalModel,
-    /// The workers that may be called, in order: indices.
-    order: Vec<usize>,
-    /// The responsible member.
+    /// The indices of the available workers, in the order in which they are kept warm.
+    worker_order: Vec<usize>,
+    /// The member responsible for the kind.
     responsible: Option<Arc<str>>,
     is_responsible: bool,
-    /// The window and thinning of the last arrival that was reported, until a running time is reported with it.
-    reported: Option<(u32, u8)>,
-    due: Micros,
-    /// Arrivals in the fleet per second, a moving mean over about a minute.
+    /// The window and sampling exponent of the last reported arrival, until a running time is reported in its
+    /// row.
+    last_report: Option<(u32, u8)>,
+    next_plan: Micros,
+    /// The moving mean, over about a minute, of arrivals per second in the fleet.
     rate: f64,
-    /// When the rate was updated last.
-    rated: Micros,
+    /// The time of the last arrivals included in `rate`.
+    rate_updated: Micros,
 }
 
-/// A kind's number and the index of a worker in its order.
+/// A kind and the worker on which it is to be kept warm, both as indices.
 #[derive(Clone, Copy)]
-struct Level {
-    number: usize,
-    place: usize,
+struct Target {
+    kind_index: usize,
+    worker_index: usize,
 }
 
-/// The state machine of one member.
+/// The prewarming state machine of one member.
 pub struct Prewarm {
     config: Config,
     rng: fastrand::Rng,
+    /// The index of each kind in `kinds`.
     index: BTreeMap<Kind, usize>,
-    kinds: Vec<Entry>,
+    kinds: Vec<KindState>,
     slots: Slots,
-    /// What is to be added, by window, subject and index.
+    /// Pending increments by window, subject and index.
     raises: BTreeMap<(u32, Vec<u8>, usize), u32>,
     members: Vec<Arc<str>>,
     keep_alives: KeepAlives,
@@ -117,12 +120,12 @@
 }
 
 impl Prewarm {
-    /// The machine of one member, which at first is alone and knows no worker. The seed is for sampling.
+    /// Creates a state machine that knows no other members and no workers. `seed` determines the sampling.
     #[must_use]
     pub fn new(config: Config, seed: u64) -> Prewarm {
         let members = vec![config.name.clone()];
         Prewarm {
-            keep_alives: KeepAlives::new(config.share),
+            keep_alives: KeepAlives::new(config.max_warm_share),
             config,
             rng: fastrand::Rng::with_seed(seed),
             index: BTreeMap::new(),
@@ -134,151 +137,161 @@
         }
     }
 
-    /// Sets the living members, with or without this one; who is responsible for what follows from it.
-    pub fn members(&mut self, living: &[Arc<str>]) {
-        let before = std::mem::replace(&mut self.members, living.to_vec());
+    /// Sets the live members and updates the responsibilities. This member is added if it is missing.
+    pub fn set_members(&mut self, live: &[Arc<str>]) {
+        let previous = std::mem::replace(&mut self.members, live.to_vec());
         if !self.members.contains(&self.config.name) {
             self.members.push(self.config.name.clone());
         }
-        let before: BTreeSet<&Arc<str>> = before.iter().collect();
-        let now: BTreeSet<&Arc<str>> = self.members.iter().collect();
-        let joined: Vec<&Arc<str>> = now.difference(&before).copied().collect();
-        for (number, entry) in self.kinds.iter_mut().enumerate() {
-            // A member that joins can only take a kind over, and one that dies gives up only those that it was
-            // responsible for: no search through all members for each kind.
-            let previous = entry.responsible.as_ref().filter(|m| now.contains(m));
-            let responsible = match previous {
-                Some(previous) => {
-                    let candidates = joined.iter().copied().chain([previous]);
-                    entry.kind.first_of(candidates)
+        let previous: BTreeSet<&Arc<str>> = previous.iter().collect();
+        let current: BTreeSet<&Arc<str>> = self.members.iter().collect();
+        let joined: Vec<&Arc<str>> = current.difference(&previous).copied().collect();
+        for (kind_index, entry) in self.kinds.iter_mut().enumerate() {
+            // Responsibility moves only to members that joined or away from members that left, so that most kinds
+            // need no search through all members.
+            let remaining = entry.responsible.as_ref().filter(|m| current.contains(m));
+            let responsible = match remaining {
+                Some(remaining) => {
+                    let candidates = joined.iter().copied().chain([remaining]);
+                    entry.kind.highest_scoring(candidates)
                 }
                 None => entry.kind.responsible(&self.members),
             };
             entry.responsible = responsible.cloned();
             let is_responsible = entry.responsible.as_ref() == Some(&self.config.name);
             if is_responsible && !entry.is_responsible {
-                // The previous one may have died before it called: its calls are made again.
-                self.keep_alives.retain_own(number);
-                entry.due = 0;
+                // The previous member may have died before it called the workers, so its calls are repeated.
+                self.keep_alives.retain_own(kind_index);
+                entry.next_plan = 0;
             }
             entry.is_responsible = is_responsible;
         }
     }
 
-    /// Sets the workers and their budgets. Keep-alives on unavailable ones are dropped.
-    pub fn workers(&mut self, workers: &[Worker]) {
+    /// Sets the workers and their budgets, and drops the keep-alives on unavailable workers.
+    pub fn set_workers(&mut self, workers: &[Worker]) {
         self.keep_alives.set_workers(workers);
         for entry in &mut self.kinds {
-            entry.order = self.keep_alives.order(&entry.kind);
-            entry.due = 0;
+            entry.worker_order = self.keep_alives.worker_order(&entry.kind);
+            entry.next_plan = 0;
         }
     }
 
-    fn number(&mut self, kind: &Kind) -> Option<usize> {
-        if let Some(number) = self.index.get(kind) {
-            return Some(*number);
+    fn kind_index(&mut self, kind: &Kind) -> Option<usize> {
+        if let Some(kind_index) = self.index.get(kind) {
+            return Some(*kind_index);
         }
-        if self.kinds.len() >= self.config.kinds {
-            self.counts.unknown += 1;
+        if self.kinds.len() >= self.config.max_kinds {
+            self.counts.unmodelled += 1;
             return None;
         }
         let responsible = kind.responsible(&self.members).cloned();
-        self.kinds.push(Entry {
+        self.kinds.push(KindState {
             kind: kind.clone(),
             model: ArrivalModel::default(),
-            order: self.keep_alives.order(kind),
+            worker_order: self.keep_alives.worker_order(kind),
             is_responsible: responsible.as_ref() == Some(&self.config.name),
             responsible,
-            reported: None,
-            due: Micros::MAX,
+            last_report: None,
+            next_plan: Micros::MAX,
             rate: 0.0,
-            rated: 0,
+            rate_updated: 0,
         });
         self.index.insert(kind.clone(), self.kinds.len() - 1);
         Some(self.kinds.len() - 1)
     }
 
-    /// This member sends a job of a kind to a worker: it is counted and reported to the others, and the worker is
-    /// called to keep the class warm as long as another job is likely enough to follow.
-    pub fn arrival(&mut self, now: Micros, kind: &Kind, worker: Option<&str>) {
-        let Some(number) = self.number(kind) else {
+    /// Records that this member sends a job to a worker. The arrival is reported to the other members, and the
+    /// worker is called to keep the class warm as long as another job is likely enough.
+    pub fn record_arrival(&mut self, now: Micros, kind: &Kind, worker: Option<&str>) {
+        let Some(kind_index) = self.kind_index(kind) else {
             return;
         };
-        self.slots.own(now, number);
-        self.report_arrival(now, number);
+        self.slots.record_own(now, kind_index);
+        self.report_arrival(now, kind_index);
         if let Some(worker) = worker {
-            self.keep(now, kind, worker);
+            self.keep_warm(now, kind, worker);
         }
     }
 
-    /// A worker takes a job of a kind: it is called to keep the class warm as long as another is likely enough to
-    /// follow. This is the part of [`Prewarm::arrival`] that counts nothing.
-    pub fn keep(&mut self, now: Micros, kind: &Kind, worker: &str) {
-        let Some(number) = self.number(kind) else {
+    /// Calls a worker that takes a job to keep its class warm as long as another job is likely enough. Unlike
+    /// [`Prewarm::record_arrival`], it records no arrival.
+    pub fn keep_warm(&mut self, now: Micros, kind: &Kind, worker: &str) {
+        let Some(kind_index) = self.kind_index(kind) else {
             return;
         };
-        let trust = self.slots.trust();
-        let entry = &mut self.kinds[number];
+        let on_time_share = self.slots.on_time_share();
+        let entry = &mut self.kinds[kind_index];
         let workers = &self.keep_alives.workers;
         let is_worker = |index: &usize| &*workers[*index].name == worker;
-        let Some(rank) = entry.order.iter().position(is_worker) else {
+        let Some(rank) = entry.worker_order.iter().position(is_worker) else {
             return;
         };
-        let place = entry.order[rank];
-        // Of a kind or level without jobs so far, the plain keep-alive is known.
+        let worker_index = entry.worker_order[rank];
+        // A level without jobs uses the default keep-alive.
         if entry.model.levels() <= rank {
             entry.model.ensure_level(rank);
         }
-        let bridge = 2.0 * self.config.load as f64 / SECOND as f64;
-        let first = entry.model.warm(rank, trust, &self.config).first();
-        let Some(first) = first.filter(|stretch| stretch.from <= bridge) else {
+        let max_pause = 2.0 * self.config.load_time as f64 / SECOND as f64;
+        let first_range = entry
+            .model
+            .warm_ranges(rank, on_time_share, &self.config)
+            .first();
+        let Some(first_range) = first_range.filter(|range| range.from <= max_pause) else {
             return;
         };
-        let length = (first.to * SECOND as f64) as Micros;
+        let length = (first_range.to * SECOND as f64) as Micros;
         let until = now + length.min(self.config.max_keep_alive);
-        let at = Level { number, place };
-        if self.demand(now, at, until, true, true) {
-            self.counts.kept += 1;
+        let target = Target {
+            kind_index,
+            worker_index,
+        };
+        if self.demand(now, target, until, true, true) {
+            self.counts.keep_alive_calls += 1;
         }
     }
 
-    /// A job of a kind ended that ran that long; it is reported to the others in the row of the last arrival.
-    pub fn ended(&mut self, kind: &Kind, ran: Micros) {
-        let Some(number) = self.number(kind) else {
+    /// Records the running time of a job, and reports it in the row of the kind's last reported arrival.
+    pub fn record_running_time(&mut self, kind: &Kind, running_time: Micros) {
+        let Some(kind_index) = self.kind_index(kind) else {
             return;
         };
-        let ran = ran.min(MAX_RUNNING_TIME);
-        let entry = &mut self.kinds[number];
-        entry.model.ran(ran);
-        if let Some((window, thinning)) = entry.reported.take() {
-            let units = ran.div_ceil(RUNNING_TIME_UNIT).max(1) as u32;
+        let running_time = running_time.min(MAX_RUNNING_TIME);
+        let entry = &mut self.kinds[kind_index];
+        entry.model.record_running_time(running_time);
+        if let Some((window, sampling_exponent)) = entry.last_report.take() {
+            let units = running_time.div_ceil(RUNNING_TIME_UNIT).max(1) as u32;
             for (index, add) in [(RUNNING_TIME_SUM, units), (RUNNING_TIME_JOBS, 1)] {
-                let key = (window, kind.subject(thinning), index);
+                let key = (window, kind.subject(sampling_exponent), index);
                 *self.raises.entry(key).or_default() += add;
             }
         }
     }
 
-    /// Reports an arrival to the others, or leaves it to a sample where there are many.
-    fn report_arrival(&mut self, now: Micros, number: usize) {
-        let entry = &self.kinds[number];
+    /// Reports an arrival to the other members. Arrivals of frequent kinds are sampled.
+    fn report_arrival(&mut self, now: Micros, kind_index: usize) {
+        let entry = &self.kinds[kind_index];
         let excess = entry.rate / self.config.max_exact_rate.max(1e-9);
-        let thinning = excess.log2().ceil().clamp(0.0, f64::from(MAX_THINNING)) as u8;
-        let is_drawn = self.rng.u32(..1 << thinning) == 0;
-        if !is_drawn || self.raises.len() >= MAX_WAITING_RAISES {
+        let sampling_exponent = excess
+            .log2()
+            .ceil()
+            .clamp(0.0, f64::from(MAX_SAMPLING_EXPONENT)) as u8;
+        let is_drawn = self.rng.u32(..1 << sampling_exponent) == 0;
+        if !is_drawn || self.raises.len() >= MAX_PENDING_RAISES {
             return;
         }
         let window = Slots::window(now);
         let index = (now % WINDOW / SLOT) as usize;
-        let key = (window, entry.kind.subject(thinning), index);
+        let key = (window, entry.kind.subject(sampling_exponent), index);
         *self.raises.entry(key).or_default() += 1;
-        let reported_rate = entry.rate * f64::from(1_u32 << thinning).recip();
+        let reported_rate = entry.rate * f64::from(1_u32 << sampling_exponent).recip();
         let reports_running_time = self.rng.f64() * RUNNING_TIME_INTERVAL_S * reported_rate < 1.0;
-        self.kinds[number].reported = reports_running_time.then_some((window, thinning));
+        self.kinds[kind_index].last_report =
+            reports_running_time.then_some((window, sampling_exponent));
     }
 
-    /// What to add to the own shared rows since the last call.
-    pub fn rows(&mut self) -> Vec<Raise> {
+    /// Takes the pending increments of this member's shared rows.
+    pub fn take_raises(&mut self) -> Vec<Raise> {
         std::mem::take(&mut self.raises)
             .into_iter()
             .map(|((window, subject, index), add)| Raise {
@@ -290,83 +303,92 @@
             .collect()
     }
 
-    /// Merges a row of another member as it is now, in any order, any number of times.
-    pub fn merge(&mut self, now: Micros, owner: &str, window: u32, subject: &[u8], counts: &[u32]) {
-        let Some((kind, thinning)) = Kind::of_subject(subject) else {
-            self.counts.bad_rows += 1;
+    /// Merges the current counts of another member's row. Rows may be merged in any order and repeatedly.
+    pub fn merge_row(
+        &mut self,
+        now: Micros,
+        owner: &str,
+        window: u32,
+        subject: &[u8],
+        counts: &[u32],
+    ) {
+        let Some((kind, sampling_exponent)) = Kind::from_subject(subject) else {
+            self.counts.malformed_rows += 1;
             return;
         };
-        let Some(number) = self.number(&kind) else {
+        let Some(kind_index) = self.kind_index(&kind) else {
             return;
         };
-        let row = Row {
+        let row = RowKey {
             window,
             owner: xxh3_64(owner.as_bytes()),
-            kind: number,
-            thinning,
+            kind_index,
+            sampling_exponent,
         };
         let merged = self.slots.merge(now, row, counts);
-        let entry = &mut self.kinds[number];
-        if let Some(ran) = merged.running_time {
-            entry.model.ran(ran);
+        let entry = &mut self.kinds[kind_index];
+        if let Some(running_time) = merged.mean_running_time {
+            entry.model.record_running_time(running_time);
         }
-        for at in merged.late {
-            entry.model.came_late(at);
-            entry.due = 0;
+        for at in merged.late_arrivals {
+            entry.model.record_late_arrival(at);
+            entry.next_plan = 0;
         }
     }
 
-    /// The most keep-alives at once, over all workers and classes.
+    /// The maximum number of keep-alives over all workers and classes.
     #[must_use]
     pub fn max_keep_alives(&self) -> usize {
-        self.keep_alives.max()
+        self.keep_alives.max_keep_alives()
     }
 
-    /// The next effect, in order.
+    /// Takes the next pending effect, in order.
     pub fn poll_effect(&mut self) -> Option<Effect> {
         self.keep_alives.effects.pop_front()
     }
 
-    /// When [`Prewarm::tick`] has something to do, at the earliest.
+    /// The earliest time at which [`Prewarm::tick`] has work to do.
     #[must_use]
     pub fn next_wake(&self) -> Option<Micros> {
         let due = self
             .kinds
             .iter()
-            .map(|e| e.due)
+            .map(|e| e.next_plan)
             .min()
             .filter(|due| *due < Micros::MAX);
-        due.into_iter().chain(self.slots.due()).min()
+        due.into_iter().chain(self.slots.next_close()).min()
     }
 
-    /// The workers that a kind is kept warm on, best first: where a job of it should go if they have capacity.
+    /// The workers for a kind, in the order in which they are kept warm. Jobs should go to the first with free
+    /// capacity.
     #[must_use]
-    pub fn order(&self, kind: &Kind) -> Vec<Arc<str>> {
-        kind.order(&self.keep_alives.workers)
+    pub fn worker_order(&self, kind: &Kind) -> Vec<Arc<str>> {
+        kind.worker_order(&self.keep_alives.workers)
             .into_iter()
             .map(|w| w.name.clone())
             .collect()
     }
 
-    /// What may come next of a kind within a horizon; nothing where it had no jobs.
-    pub fn likelihood(&mut self, now: Micros, kind: &Kind, within: Micros) -> Option<Likelihood> {
+    /// Forecasts the arrivals of a kind within a horizon, given in microseconds; `None` if the kind is not
+    /// modelled.
+    pub fn forecast(&mut self, now: Micros, kind: &Kind, horizon: Micros) -> Option<Forecast> {
         let entry = &mut self.kinds[*self.index.get(kind)?];
         Some(
             entry
                 .model
-                .likelihood(now, within, self.slots.trust(), &self.config),
+                .forecast(now, horizon, self.slots.on_time_share(), &self.config),
         )
     }
 
-    /// The counters since the start.
+    /// The counters since the start of the process.
     #[must_use]
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The part of others' arrivals that come in time.
+    /// The share of slots that other members reported in time.
     #[must_use]
-    pub fn trust(&self) -> f64 {
-        self.slots.trust()
+    pub fn on_time_share(&self) -> f64 {
+        self.slots.on_time_share()
     }
 }
--- a/crates/prewarm/src/machine/snapshot.rs
+++ b/crates/prewarm/src/machine/snapshot.rs
@@ -1,4 +1,4 @@
-//! The snapshot of the models, stored over a restart. Later versions of the program must read its form.
+//! Snapshots of the models, which outlive a restart. The encoding must stay readable by later versions.
 
 use serde::{Deserialize, Serialize};
 
@@ -9,33 +9,33 @@
 use crate::place::Kind;
 use crate::Micros;
 
-/// The form of the snapshot.
-const FORM: u8 = 1;
+/// The version of the encoding.
+const FORMAT_VERSION: u8 = 1;
 
-/// Why a snapshot cannot be used.
+/// Why a snapshot cannot be restored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RestoreError {
-    /// It cannot be decoded.
-    #[error("damaged")]
+    /// The snapshot cannot be decoded.
+    #[error("snapshot cannot be decoded")]
     Damaged,
-    /// It was taken later than now.
-    #[error("from the future")]
+    /// The snapshot was taken after the current time.
+    #[error("snapshot was taken in the future")]
     Future,
-    /// Its form is unknown, or its values are implausible.
-    #[error("of another form")]
-    Form,
+    /// The version is unknown, or the values are implausible.
+    #[error("snapshot has an unknown version or implausible values")]
+    Invalid,
 }
 
-/// The stored models.
+/// The encoded form of the models.
 #[derive(Serialize, Deserialize)]
 struct Snapshot {
-    form: u8,
+    version: u8,
     at: Micros,
     kinds: Vec<(Kind, ArrivalModel)>,
 }
 
 impl Prewarm {
-    /// A snapshot of the models, to be restored after a restart.
+    /// Encodes the models for [`Prewarm::restore`].
     #[must_use]
     pub fn snapshot(&self, now: Micros) -> Vec<u8> {
         let kinds = self
@@ -44,30 +44,30 @@
             .map(|entry| (entry.kind.clone(), entry.model.clone()))
             .collect();
         postcard::to_stdvec(&Snapshot {
-            form: FORM,
+            version: FORMAT_VERSION,
             at: now,
             kinds,
         })
         .unwrap_or_default()
     }
 
-    /// Restores the models of a snapshot. After an error nothing has changed.
+    /// Restores the models of a snapshot.
     ///
     /// # Errors
-    /// Returns why the snapshot cannot be used.
+    /// Returns why the snapshot cannot be restored, in which case nothing has changed.
     pub fn restore(&mut self, now: Micros, bytes: &[u8]) -> Result<(), RestoreError> {
-        let Snapshot { form, at, kinds } =
+        let Snapshot { version, at, kinds } =
             postcard::from_bytes(bytes).map_err(|_| RestoreError::Damaged)?;
         if at > now {
             return Err(RestoreError::Future);
         }
-        if form != FORM || kinds.iter().any(|(_, model)| !model.is_plausible(at)) {
-            return Err(RestoreError::Form);
+        if version != FORMAT_VERSION || kinds.iter().any(|(_, model)| !model.is_plausible(at)) {
+            return Err(RestoreError::Invalid);
         }
         for (kind, model) in kinds {
-            if let Some(number) = self.number(&kind) {
-                self.kinds[number].model = model;
-                self.kinds[number].due = 0;
+            if let Some(kind_index) = self.kind_index(&kind) {
+                self.kinds[kind_index].model = model;
+                self.kinds[kind_index].next_plan = 0;
             }
         }
         Ok(())
--- a/crates/prewarm/src/trial/bytes.rs
+++ b/crates/prewarm/src/trial/bytes.rs
@@ -91,9 +91,9 @@
             let kind = self.draw_kind();
             let owner = self.rng.usize(..self.machines.len());
             let machine = &mut self.machines[owner];
-            machine.arrival(now, &kind, None);
-            machine.ended(&kind, SECOND);
-            for raise in machine.rows() {
+            machine.record_arrival(now, &kind, None);
+            machine.record_running_time(&kind, SECOND);
+            for raise in machine.take_raises() {
                 let counts = rows.entry((owner, raise.subject)).or_default();
                 counts.resize(counts.len().max(raise.index + 1), 0);
                 counts[raise.index] += raise.add;
@@ -118,7 +118,7 @@
         for ((owner, subject), counts) in rows {
             for (n, machine) in self.machines.iter_mut().enumerate() {
                 if n != owner {
-                    machine.merge(end, &format!("s{owner}"), window, &subject, &counts);
+                    machine.merge_row(end, &format!("s{owner}"), window, &subject, &counts);
                 }
             }
             let subject: Arc<[u8]> = subject.into();
--- a/crates/prewarm/src/trial/contest.rs
+++ b/crates/prewarm/src/trial/contest.rs
@@ -96,7 +96,7 @@
             scenario,
             policy,
             setup,
-            workers: WorkerModel::new(setup.workers_per_zone, setup.zones, setup.config.load),
+            workers: WorkerModel::new(setup.workers_per_zone, setup.zones, setup.config.load_time),
             machines: Vec::new(),
             wake: vec![Micros::MAX; count],
             names: (0..count).map(|n| format!("s{n}").into()).collect(),
@@ -127,9 +127,9 @@
             ..self.setup.config.clone()
         };
         let mut machine = Prewarm::new(config, number as u64);
-        machine.workers(&self.workers.workers);
+        machine.set_workers(&self.workers.workers);
         if matches!(self.policy, Policy::Shared(_)) {
-            machine.members(&self.names);
+            machine.set_members(&self.names);
         }
         machine
     }
@@ -226,7 +226,7 @@
         }
         let owner = format!("o{}", row.owner);
         let subject = &self.subjects[row.kind];
-        self.machines[to].merge(now, &owner, row.window, subject, &row.counts);
+        self.machines[to].merge_row(now, &owner, row.window, subject, &row.counts);
         self.wake[to] = self.wake[to].min(now);
     }
 
@@ -241,7 +241,7 @@
                     living.push(self.names[other].clone());
                 }
             }
-            self.machines[n].members(&living);
+            self.machines[n].set_members(&living);
             self.wake[n] = now;
         }
     }
@@ -291,10 +291,10 @@
         };
         let is_counted = self.counts_own_arrivals();
         if is_counted {
-            self.machines[machine].arrival(job.at, kind, Some(&worker));
-            self.machines[machine].ended(kind, took);
+            self.machines[machine].record_arrival(job.at, kind, Some(&worker));
+            self.machines[machine].record_running_time(kind, took);
         } else {
-            self.machines[machine].keep(job.at, kind, &worker);
+            self.machines[machine].keep_warm(job.at, kind, &worker);
         }
         self.carry_out(machine, job.at);
         let next = self.machines[machine].next_wake().unwrap_or(Micros::MAX);
--- a/crates/prewarm/src/trial/workers.rs
+++ b/crates/prewarm/src/trial/workers.rs
@@ -149,7 +149,7 @@
         let workers = &self.workers;
         let order = self.orders.entry(kind.clone()).or_insert_with(|| {
             let place = |name: &str| workers.iter().position(|worker| &*worker.name == name);
-            kind.order(workers)
+            kind.worker_order(workers)
                 .iter()
                 .filter_map(|worker| place(&worker.name))
                 .collect()
--- a/crates/prewarm/tests/large.rs
+++ b/crates/prewarm/tests/large.rs
@@ -36,7 +36,7 @@
         let now = START + n * SECOND;
         for k in (0..MANY).filter(|k| (*k as u64 + n) % 20 == 0) {
             let counts: Vec<u32> = (0..10).map(|slot| u32::from(slot == n % 10)).collect();
-            p.merge(
+            p.merge_row(
                 now,
                 "another",
                 (now / (10 * SECOND)) as u32,
@@ -62,27 +62,27 @@
             },
             3,
         );
-        p.workers(&(0..MANY).map(worker).collect::<Vec<_>>());
-        (0..MANY).for_each(|k| p.keep(START, &kind(k), "nobody"));
+        p.set_workers(&(0..MANY).map(worker).collect::<Vec<_>>());
+        (0..MANY).for_each(|k| p.keep_warm(START, &kind(k), "nobody"));
         p
     };
     let (mut one, mut other) = (new(), new());
     let begin = Instant::now();
     for n in 1..=MANY {
-        one.members(&(0..n).map(member).collect::<Vec<_>>());
+        one.set_members(&(0..n).map(member).collect::<Vec<_>>());
     }
     println!(
         "{MANY} members come one by one, {MANY} kinds: {} us each",
         begin.elapsed().as_micros() / MANY as u128
     );
     for n in (8..MANY).rev().step_by(3) {
-        one.members(&(0..n).map(member).collect::<Vec<_>>());
+        one.set_members(&(0..n).map(member).collect::<Vec<_>>());
     }
     // Back again, others among them.
-    one.members(&(2..40).map(member).collect::<Vec<_>>());
+    one.set_members(&(2..40).map(member).collect::<Vec<_>>());
     let last: Vec<_> = (0..30).filter(|n| n % 4 > 0).map(member).collect();
-    one.members(&last);
-    other.members(&last);
+    one.set_members(&last);
+    other.set_members(&last);
     let is_responsible = (0..MANY)
         .filter(|k| kind(*k).responsible(&last) == Some(&member(5)))
         .count();
@@ -108,10 +108,10 @@
     for shift in [0, 1] {
         let workers: Vec<Worker> = (0..MANY).map(|n| worker(n + shift)).collect();
         let begin = Instant::now();
-        p.workers(&workers);
-        (0..MANY).for_each(|k| p.keep(START, &kind(k), "nobody"));
+        p.set_workers(&workers);
+        (0..MANY).for_each(|k| p.keep_warm(START, &kind(k), "nobody"));
         let listed = Instant::now();
-        p.workers(&workers);
+        p.set_workers(&workers);
         println!(
             "{MANY} workers, {MANY} kinds: {} us a list",
             listed.elapsed().as_micros()
@@ -119,11 +119,11 @@
         assert!(begin <= listed);
         for k in 0..MANY {
             let order: Vec<_> = kind(k)
-                .order(&workers)
+                .worker_order(&workers)
                 .into_iter()
                 .map(|w| w.name.clone())
                 .collect();
-            assert_eq!(p.order(&kind(k)), order);
+            assert_eq!(p.worker_order(&kind(k)), order);
         }
         let fit: u32 = workers
             .iter()
--- a/crates/prewarm/tests/properties.rs
+++ b/crates/prewarm/tests/properties.rs
@@ -68,12 +68,12 @@
     fn new(seed: u64, share: f64) -> Harness {
         let config = Config {
             name: "me".into(),
-            share,
+            max_warm_share: share,
             ..Config::default()
         };
         let workers: Vec<Worker> = (0..8).map(available_worker).collect();
         let mut prewarm = Prewarm::new(config, seed);
-        prewarm.workers(&workers);
+        prewarm.set_workers(&workers);
         Harness {
             prewarm,
             workers,
@@ -88,18 +88,18 @@
         match step {
             Step::Arrival(k, w) => {
                 let worker = &self.workers[*w].name;
-                self.prewarm.arrival(now, &kind(*k), Some(worker));
+                self.prewarm.record_arrival(now, &kind(*k), Some(worker));
             }
             Step::Row(o, k, counts) => {
                 let window = (now / (10 * SECOND)) as u32;
                 let subject = kind(*k).subject(0);
                 self.prewarm
-                    .merge(now, &format!("o{o}"), window, &subject, counts);
+                    .merge_row(now, &format!("o{o}"), window, &subject, counts);
             }
             Step::Workers(bits) => {
                 let numbered = bits.iter().enumerate();
                 self.workers = numbered.map(|(n, bits)| worker(n, *bits)).collect();
-                self.prewarm.workers(&self.workers);
+                self.prewarm.set_workers(&self.workers);
                 // Unavailable workers are not counted: they are about to be removed or empty.
                 let workers = &self.workers;
                 let is_available = |worker: &Worker| worker.is_available();
@@ -112,7 +112,7 @@
                     .filter(|n| bits >> n & 1 != 0)
                     .map(|n| format!("o{n}").into())
                     .collect();
-                self.prewarm.members(&living);
+                self.prewarm.set_members(&living);
             }
             Step::Wait(span) => self.now += span,
         }
@@ -205,12 +205,12 @@
         let model = |order: &[(usize, usize)]| {
             let mut p = Prewarm::new(Config { name: "me".into(), ..Config::default() }, 1);
             for n in 0..10 {
-                p.ended(&kind(n), SECOND);
+                p.record_running_time(&kind(n), SECOND);
             }
             let whole = rows.iter().map(|r| (r, 10));
             let parts = order.iter().map(|(r, upto)| (&rows[r % rows.len()], *upto));
             for ((o, k, counts), upto) in parts.chain(whole) {
-                p.merge(now, &format!("o{o}"), window, &kind(*k).subject(0), &counts[..upto]);
+                p.merge_row(now, &format!("o{o}"), window, &kind(*k).subject(0), &counts[..upto]);
             }
             for s in 1..100 {
                 p.tick(now + s * SECOND);
@@ -225,9 +225,9 @@
     fn damaged_snapshots(at in any::<prop::sample::Index>(), to in any::<u8>(), cut in any::<prop::sample::Index>()) {
         let config = Config { name: "me".into(), ..Config::default() };
         let mut p = Prewarm::new(config.clone(), 1);
-        p.workers(&(0..8).map(available_worker).collect::<Vec<_>>());
+        p.set_workers(&(0..8).map(available_worker).collect::<Vec<_>>());
         for n in 0..60_u64 {
-            p.arrival(START + n * n * SECOND, &kind((n % 10) as usize), Some("w1"));
+            p.record_arrival(START + n * n * SECOND, &kind((n % 10) as usize), Some("w1"));
             p.tick(START + (n * n + 10) * SECOND);
         }
         let mut bytes = p.snapshot(START);
@@ -235,10 +235,10 @@
         bytes[place] = to;
         bytes.truncate(cut.index(bytes.len()) + 1);
         let mut q = Prewarm::new(config, 1);
-        q.workers(&(0..8).map(available_worker).collect::<Vec<_>>());
+        q.set_workers(&(0..8).map(available_worker).collect::<Vec<_>>());
         let _ = q.restore(START, &bytes);
         for s in 0..100 {
-            q.arrival(START + s * SECOND, &kind(s as usize % 10), Some("w1"));
+            q.record_arrival(START + s * SECOND, &kind(s as usize % 10), Some("w1"));
             q.tick(START + s * SECOND);
         }
     }
@@ -246,9 +246,9 @@
     /// Subjects of rows come back; any bytes are read without a panic.
     #[test]
     fn subjects(bytes in prop::collection::vec(any::<u8>(), 0..70), n in 0..10_usize, thin in 0..=16_u8) {
-        prop_assert_eq!(Kind::of_subject(&kind(n).subject(thin)), Some((kind(n), thin)));
+        prop_assert_eq!(Kind::from_subject(&kind(n).subject(thin)), Some((kind(n), thin)));
         let mut p = Prewarm::new(Config::default(), 1);
-        p.merge(START, "o1", (START / (10 * SECOND)) as u32, &bytes, &[1, u32::MAX, 3]);
+        p.merge_row(START, "o1", (START / (10 * SECOND)) as u32, &bytes, &[1, u32::MAX, 3]);
         p.tick(START + 60 * SECOND);
     }
 }
@@ -261,7 +261,7 @@
         ..Config::default()
     };
     let mut p = Prewarm::new(config.clone(), 1);
-    p.arrival(START, &kind(1), None);
+    p.record_arrival(START, &kind(1), None);
     for s in 1..9 {
         p.tick(START + s * SECOND);
     }
@@ -272,14 +272,14 @@
     );
     assert_eq!(
         q.restore(START, &p.snapshot(START - 1)),
-        Err(RestoreError::Form)
+        Err(RestoreError::Invalid)
     );
     assert_eq!(q.restore(START, &[]), Err(RestoreError::Damaged));
     assert_eq!(
         q.restore(START + SECOND, &p.snapshot(START + SECOND)),
         Ok(())
     );
-    assert!(q.likelihood(START + SECOND, &kind(1), SECOND).is_some());
+    assert!(q.forecast(START + SECOND, &kind(1), SECOND).is_some());
 }
 
 /// One member is responsible for each kind; when it dies only its kinds move.
@@ -314,9 +314,9 @@
     let (hot, mut reported, mut counted) = (kind(0), Vec::new(), 0);
     for i in 0..40 * 300_u64 {
         let now = START + i * SECOND / 40;
-        from.arrival(now, &hot, None);
+        from.record_arrival(now, &hot, None);
         from.tick(now);
-        reported.extend(from.rows());
+        reported.extend(from.take_raises());
     }
     for raise in &reported {
         let Raise {
@@ -325,13 +325,13 @@
             index,
             add,
         } = raise;
-        let (_, thinning) = Kind::of_subject(subject).unwrap();
+        let (_, thinning) = Kind::from_subject(subject).unwrap();
         counted += add << thinning;
         // Each raise as a row of its own owner: they only add up.
         let mut counts = vec![0; index + 1];
         counts[*index] = *add;
         let now = u64::from(*window) * 10 * SECOND + 10 * SECOND;
-        to.merge(now, "s1", *window, subject, &counts);
+        to.merge_row(now, "s1", *window, subject, &counts);
     }
     // One in 64 is told: the deviation of the sum is about 900.
     assert!((9_600..14_400).contains(&counted), "{counted} of 12000");
@@ -340,5 +340,5 @@
         "{} raises for 12000 arrivals",
         reported.len()
     );
-    assert!(to.likelihood(START + 300 * SECOND, &hot, SECOND).is_some());
+    assert!(to.forecast(START + 300 * SECOND, &hot, SECOND).is_some());
 }
--- a/crates/prewarm/tests/stored_form.rs
+++ b/crates/prewarm/tests/stored_form.rs
@@ -31,10 +31,10 @@
     for second in 0..60 {
         let now = START + second * SECOND;
         let kind = &kinds[second as usize % 7 % 3];
-        prewarm.arrival(now, kind, None);
-        prewarm.ended(kind, SECOND / 2 + second * 10_000);
+        prewarm.record_arrival(now, kind, None);
+        prewarm.record_running_time(kind, SECOND / 2 + second * 10_000);
         prewarm.tick(now);
-        for raise in prewarm.rows() {
+        for raise in prewarm.take_raises() {
             let subject = hex(&raise.subject);
             let (window, index, add) = (raise.window, raise.index, raise.add);
             writeln!(lines, "row {window} {subject} {index} {add}").expect("writing to memory");
@@ -70,8 +70,8 @@
     assert!(restored.restore(now, &bytes).is_ok());
     let mut original = member(&mut String::new());
     for kind in [Kind::new("RULES", "H1"), Kind::new("PLATES", "H1")] {
-        let expected = original.likelihood(now, &kind, 30 * SECOND);
+        let expected = original.forecast(now, &kind, 30 * SECOND);
         assert!(expected.is_some());
-        assert_eq!(restored.likelihood(now, &kind, 30 * SECOND), expected);
+        assert_eq!(restored.forecast(now, &kind, 30 * SECOND), expected);
     }
 }
--- a/crates/prewarm/tests/takeover.rs
+++ b/crates/prewarm/tests/takeover.rs
@@ -43,7 +43,7 @@
         self.rows.fold(TABLE, |owner, window, subject, counts| {
             if *owner != me {
                 let owner = format!("{}/{}", owner.name, owner.incarnation);
-                prewarm.merge(now, &owner, window, subject, counts);
+                prewarm.merge_row(now, &owner, window, subject, counts);
             }
         });
     }
@@ -58,7 +58,7 @@
                 ..Config::default()
             };
             let mut prewarm = Prewarm::new(config, n as u64);
-            prewarm.workers(&(0..3).map(worker).collect::<Vec<_>>());
+            prewarm.set_workers(&(0..3).map(worker).collect::<Vec<_>>());
             let owner = Owner::new(&format!("s{n}"), START / 1_000);
             Member {
                 prewarm,
@@ -85,7 +85,7 @@
                 .filter(|m| self.members[*m].up && self.is_linked(n, *m))
                 .map(|m| format!("s{m}").into())
                 .collect();
-            self.members[n].prewarm.members(&living);
+            self.members[n].prewarm.set_members(&living);
         }
     }
 
@@ -110,7 +110,7 @@
         for n in self.up() {
             let Member { prewarm, rows, .. } = &mut self.members[n];
             rows.expire(now);
-            for raise in prewarm.rows() {
+            for raise in prewarm.take_raises() {
                 let adds = [(raise.index, raise.add)];
                 rows.raise(raise.window, TABLE, &raise.subject, &adds)
                     .unwrap();
@@ -163,7 +163,7 @@
 
     /// A job comes to a member; returns whether it found a warm worker.
     fn job(&mut self, n: usize, now: u64) -> bool {
-        let order = self.members[n].prewarm.order(&kind());
+        let order = self.members[n].prewarm.worker_order(&kind());
         let places: Vec<usize> = order.iter().map(|w| w[1..].parse().unwrap()).collect();
         let warm = places.iter().copied().find(|w| self.warm[*w] > now);
         let w = warm.unwrap_or(places[0]);
@@ -173,8 +173,12 @@
                 .message(now - START, n, 4 + w, Some(now - START), label);
         }
         let worker = format!("w{w}");
-        self.members[n].prewarm.arrival(now, &kind(), Some(&worker));
-        self.members[n].prewarm.ended(&kind(), SECOND / 2);
+        self.members[n]
+            .prewarm
+            .record_arrival(now, &kind(), Some(&worker));
+        self.members[n]
+            .prewarm
+            .record_running_time(&kind(), SECOND / 2);
         self.calls(n, now);
         warm.is_some()
     }
