--- a/crates/prewarm/src/trial/bytes.rs
+++ b/crates/prewarm/src/trial/bytes.rs
@@ -1,4 +1,4 @@
-//! The bytes of a member's rows: many members, many kinds, a few of them frequent.
+//! The encoded size of the shared rows that one member sends, for many members and kinds with skewed frequencies.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -9,35 +9,36 @@
 use crate::slots::{Slots, WINDOW};
 use crate::{Config, Kind, Micros, Prewarm, SECOND, TABLE};
 
-/// A version of rows that takes three bytes, as versions do after some hours.
+/// A row version that takes three bytes as a varint, as versions do after some hours.
 const TYPICAL_VERSION: u64 = 100_000;
 
 /// The counts of a window's rows, by owner and subject.
 type WindowRows = BTreeMap<(usize, Vec<u8>), Vec<u32>>;
 
-/// A fleet of members that jobs come to.
+/// Members that receive jobs of kinds with skewed frequencies.
 struct Fleet {
     machines: Vec<Prewarm>,
     kinds: Vec<Kind>,
     /// The sum of the weights by which kinds are drawn.
-    weights: f64,
+    total_weight: f64,
     rng: fastrand::Rng,
-    /// Jobs in a second.
-    jobs: f64,
-    /// When the next job comes, in microseconds.
-    at: f64,
+    /// The arrival rate, over all members.
+    jobs_per_second: f64,
+    /// The time of the next arrival, in microseconds.
+    next_arrival: f64,
 }
 
-/// Bytes of one member in a second, by window: each row once, with its last counts.
+/// The mean bytes per second of one member's rows in each window. Each row is counted once per window, with its
+/// final counts.
 #[must_use]
-pub fn per_second(
+pub fn row_bytes_per_second(
     members: usize,
-    jobs: f64,
+    jobs_per_second: f64,
     kinds: usize,
     windows: u64,
     max_exact_rate: f64,
 ) -> Vec<f64> {
-    let mut fleet = Fleet::new(members, jobs, kinds, max_exact_rate);
+    let mut fleet = Fleet::new(members, jobs_per_second, kinds, max_exact_rate);
     (0..windows)
         .map(|window| {
             let rows = fleet.run_window(window);
@@ -49,7 +50,7 @@
 }
 
 impl Fleet {
-    fn new(members: usize, jobs: f64, kinds: usize, max_exact_rate: f64) -> Fleet {
+    fn new(members: usize, jobs_per_second: f64, kinds: usize, max_exact_rate: f64) -> Fleet {
         let machine = |n: usize| {
             let config = Config {
                 name: format!("s{n}").into(),
@@ -63,29 +64,30 @@
             kinds: (0..kinds)
                 .map(|n| Kind::new(&format!("C{}", n / 4), &format!("H{}", n % 4)))
                 .collect(),
-            // Zipf: the n-th kind comes 1/n as often as the first.
-            weights: (1..=kinds).map(|n| 1.0 / n as f64).sum(),
+            // Zipf weights: the n-th kind is 1/n times as frequent as the first.
+            total_weight: (1..=kinds).map(|n| 1.0 / n as f64).sum(),
             rng: fastrand::Rng::with_seed(members as u64),
-            jobs,
-            at: START as f64,
+            jobs_per_second,
+            next_arrival: START as f64,
         }
     }
 
-    /// Runs the jobs of a window.
+    /// Generates the arrivals of a window, and returns its rows.
     fn run_window(&mut self, window: u64) -> WindowRows {
         let end = START + (window + 1) * WINDOW;
         let mut rows = WindowRows::new();
         let mut second = START / SECOND + window * (WINDOW / SECOND);
         loop {
-            self.at += -(1.0 - self.rng.f64()).ln() / self.jobs * SECOND as f64;
-            let now = (self.at as Micros).min(end - 1);
+            self.next_arrival +=
+                -(1.0 - self.rng.f64()).ln() / self.jobs_per_second * SECOND as f64;
+            let now = (self.next_arrival as Micros).min(end - 1);
             while second < now / SECOND {
                 second += 1;
                 for machine in &mut self.machines {
                     machine.tick(second * SECOND);
                 }
             }
-            if self.at >= end as f64 {
+            if self.next_arrival >= end as f64 {
                 return rows;
             }
             let kind = self.draw_kind();
@@ -102,7 +104,7 @@
     }
 
     fn draw_kind(&mut self) -> Kind {
-        let mut draw = self.rng.f64() * self.weights;
+        let mut draw = self.rng.f64() * self.total_weight;
         let mut numbered = self.kinds.iter().zip(1..);
         let drawn = numbered.find(|(_, n)| {
             draw -= 1.0 / f64::from(*n);
@@ -111,7 +113,7 @@
         drawn.map_or(&self.kinds[0], |(kind, _)| kind).clone()
     }
 
-    /// Merges the rows of a window into all other members; returns their bytes.
+    /// Merges the rows of a window into all other members, and returns the encoded size of the rows.
     fn merge(&mut self, end: Micros, rows: WindowRows) -> usize {
         let window = Slots::window(end - 1);
         let mut bytes = 0;
--- a/crates/prewarm/src/trial/contest.rs
+++ b/crates/prewarm/src/trial/contest.rs
@@ -1,4 +1,4 @@
-//! One policy in one scenario: what each member is notified of and when, and what it costs.
+//! The simulation of one policy on one scenario: delivery of rows, faults, and the resulting costs.
 
 mod setup;
 
@@ -13,18 +13,24 @@
 pub use setup::{Cost, Faults, Policy, Setup};
 
 /// How long a stalled machine does nothing.
-const STALL: Micros = 60 * SECOND;
-/// After how long the others know that a machine is down, or cut off.
-const DETECTION: Micros = 5 * SECOND;
+const STALL_DURATION: Micros = 60 * SECOND;
+/// The delay until other machines detect that a machine is down or partitioned.
+const DETECTION_DELAY: Micros = 5 * SECOND;
+/// How long before a restart the snapshots are taken.
+const SNAPSHOT_AGE: Micros = 60 * SECOND;
+/// The shortest delay of a row.
+const MIN_ROW_DELAY: Micros = 300_000;
+/// The range of the random delay added to it.
+const ROW_JITTER: Micros = 1_200_000;
 const HOUR: Micros = 3_600 * SECOND;
 
-/// A row as it was when it was sent.
+/// A shared row on its way to one machine.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct RowMessage {
     to: usize,
     owner: u32,
     window: u32,
-    kind: usize,
+    kind_index: usize,
     counts: Vec<u32>,
 }
 
@@ -36,17 +42,17 @@
     Restart,
 }
 
-struct Run<'a> {
+struct Simulation<'a> {
     scenario: &'a Scenario,
     policy: Policy,
     setup: &'a Setup,
     workers: WorkerModel,
     machines: Vec<Prewarm>,
-    /// When each machine is ticked next.
-    wake: Vec<Micros>,
+    /// When each machine is to be ticked.
+    next_tick: Vec<Micros>,
     names: Vec<Arc<str>>,
     subjects: Vec<Vec<u8>>,
-    /// The window and counts of each owner's row of a kind.
+    /// The window and counts of the row of each owner and kind.
     rows: BTreeMap<(u32, usize), (u32, Vec<u32>)>,
     events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     event_count: u64,
@@ -54,51 +60,51 @@
     snapshots: Vec<Vec<u8>>,
 }
 
-/// Runs a scenario.
+/// Runs a policy on a scenario and returns its costs after [`Setup::measure_after`].
 #[must_use]
 pub fn run(scenario: &Scenario, policy: Policy, setup: &Setup, seed: u64) -> Cost {
-    let mut run = Run::new(scenario, policy, setup, seed);
-    run.schedule_faults();
+    let mut simulation = Simulation::new(scenario, policy, setup, seed);
+    simulation.schedule_faults();
     let mut before = Cost::default();
     let mut second = START / SECOND;
     for job in &scenario.jobs {
         while second <= job.at / SECOND {
             let now = second * SECOND;
-            if now - START == setup.after {
-                before = run.cost();
+            if now - START == setup.measure_after {
+                before = simulation.cost();
             }
-            run.second(now);
+            simulation.advance_to(now);
             second += 1;
         }
-        run.job(job);
+        simulation.dispatch_job(job);
     }
-    run.workers.end(START + scenario.length);
-    let all = run.cost();
+    simulation.workers.finish(START + scenario.length);
+    let all = simulation.cost();
     Cost {
         jobs: all.jobs - before.jobs,
-        cold: all.cold - before.cold,
-        idle: all.idle - before.idle,
+        cold_starts: all.cold_starts - before.cold_starts,
+        idle_s: all.idle_s - before.idle_s,
         calls: all.calls - before.calls,
-        crowded: all.crowded - before.crowded,
+        all_busy: all.all_busy - before.all_busy,
     }
 }
 
-impl<'a> Run<'a> {
-    fn new(scenario: &'a Scenario, policy: Policy, setup: &'a Setup, seed: u64) -> Run<'a> {
+impl<'a> Simulation<'a> {
+    fn new(scenario: &'a Scenario, policy: Policy, setup: &'a Setup, seed: u64) -> Simulation<'a> {
         let count = match policy {
             Policy::None | Policy::Fixed(_) => 0,
-            Policy::Alone => setup.schedulers as usize,
+            Policy::LocalOnly => setup.schedulers as usize,
             Policy::Shared(machines) => machines,
             Policy::Central => 1,
         };
         let kinds = scenario.kinds.iter();
-        let mut run = Run {
+        let mut simulation = Simulation {
             scenario,
             policy,
             setup,
             workers: WorkerModel::new(setup.workers_per_zone, setup.zones, setup.config.load_time),
             machines: Vec::new(),
-            wake: vec![Micros::MAX; count],
+            next_tick: vec![Micros::MAX; count],
             names: (0..count).map(|n| format!("s{n}").into()).collect(),
             subjects: kinds.map(|(kind, _)| kind.subject(0)).collect(),
             rows: BTreeMap::new(),
@@ -107,17 +113,17 @@
             rng: fastrand::Rng::with_seed(seed),
             snapshots: vec![Vec::new(); count],
         };
-        run.machines = (0..count).map(|n| run.machine(n)).collect();
-        run
+        simulation.machines = (0..count).map(|n| simulation.machine(n)).collect();
+        simulation
     }
 
     fn cost(&self) -> Cost {
         Cost {
             jobs: self.workers.jobs,
-            cold: self.workers.cold,
-            idle: self.workers.idle as f64 / SECOND as f64,
+            cold_starts: self.workers.cold_starts,
+            idle_s: self.workers.idle_time as f64 / SECOND as f64,
             calls: self.workers.calls,
-            crowded: self.workers.crowded,
+            all_busy: self.workers.all_busy,
         }
     }
 
@@ -141,56 +147,56 @@
 
     fn schedule_faults(&mut self) {
         let Faults {
-            stall_every,
-            split,
+            stall_interval,
+            partition_duration,
             restart,
             ..
         } = self.setup.faults;
         let end = START + self.scenario.length;
         let mut at = START;
-        while stall_every > 0 && at < end {
-            at += stall_every;
-            // Known after 5 s that it is down, and after 1 s that it is up again.
-            self.push(at + DETECTION, Event::Members);
-            self.push(at + STALL + SECOND, Event::Members);
+        while stall_interval > 0 && at < end {
+            at += stall_interval;
+            // Others detect a stall after 5 s and its end after 1 s.
+            self.push(at + DETECTION_DELAY, Event::Members);
+            self.push(at + STALL_DURATION + SECOND, Event::Members);
         }
         at = START;
-        while split > 0 && at < end {
+        while partition_duration > 0 && at < end {
             at += HOUR;
-            self.push(at + DETECTION, Event::Members);
-            self.push(at + split + 2 * SECOND, Event::Members);
+            self.push(at + DETECTION_DELAY, Event::Members);
+            self.push(at + partition_duration + 2 * SECOND, Event::Members);
         }
         if let Some((at, with_snapshot)) = restart {
             if with_snapshot {
-                self.push(START + at - 60 * SECOND, Event::Snapshot);
+                self.push(START + at - SNAPSHOT_AGE, Event::Snapshot);
             }
             self.push(START + at, Event::Restart);
         }
     }
 
-    /// Whether a machine does nothing at that time.
+    /// Whether a machine is stalled at a time.
     fn is_down(&self, machine: usize, at: Micros) -> bool {
-        let every = self.setup.faults.stall_every;
-        if every == 0 || at < START + every {
+        let interval = self.setup.faults.stall_interval;
+        if interval == 0 || at < START + interval {
             return false;
         }
-        let turn = (at - START) / every;
-        (at - START) % every < STALL && turn as usize % self.machines.len() == machine
+        let turn = (at - START) / interval;
+        (at - START) % interval < STALL_DURATION && turn as usize % self.machines.len() == machine
     }
 
-    /// Whether the machines are partitioned at that time.
-    fn is_split(&self, at: Micros) -> bool {
-        let split = self.setup.faults.split;
-        split > 0 && at >= START + HOUR && (at - START) % HOUR < split
+    /// Whether the machines are partitioned at a time.
+    fn is_partitioned(&self, at: Micros) -> bool {
+        let partition_duration = self.setup.faults.partition_duration;
+        partition_duration > 0 && at >= START + HOUR && (at - START) % HOUR < partition_duration
     }
 
-    /// The side of a machine in a partition.
+    /// Which half a machine belongs to during a partition.
     fn side(&self, number: usize) -> bool {
         2 * (number % self.machines.len().max(1)) < self.machines.len()
     }
 
-    /// Handles the events until now, and ticks the machines that are due.
-    fn second(&mut self, now: Micros) {
+    /// Handles the events up to `now`, and ticks the machines that are due.
+    fn advance_to(&mut self, now: Micros) {
         while let Some(Reverse((at, _, _))) = self.events.peek() {
             if *at > now {
                 break;
@@ -199,8 +205,8 @@
                 break;
             };
             match event {
-                Event::Row(row) => self.deliver(at, now, row),
-                Event::Members => self.set_members(at, now),
+                Event::Row(row) => self.deliver_row(at, now, row),
+                Event::Members => self.update_members(at, now),
                 Event::Snapshot => {
                     let machines = self.machines.iter();
                     self.snapshots = machines.map(|machine| machine.snapshot(now)).collect();
@@ -209,44 +215,45 @@
             }
         }
         for n in 0..self.machines.len() {
-            if self.wake[n] <= now && !self.is_down(n, now) {
+            if self.next_tick[n] <= now && !self.is_down(n, now) {
                 self.machines[n].tick(now);
-                self.carry_out(n, now);
-                self.wake[n] = self.machines[n].next_wake().unwrap_or(Micros::MAX);
+                self.apply_effects(n, now);
+                self.next_tick[n] = self.machines[n].next_wake().unwrap_or(Micros::MAX);
             }
         }
     }
 
-    /// Delivers a row that was sent, or sends it again where its receiver cannot be reached.
-    fn deliver(&mut self, at: Micros, now: Micros, row: RowMessage) {
+    /// Delivers a row, or retries a second later if its receiver cannot be reached.
+    fn deliver_row(&mut self, at: Micros, now: Micros, row: RowMessage) {
         let to = row.to;
-        let is_cut = self.is_split(at) && self.side(to) != self.side(row.owner as usize);
-        if is_cut || self.is_down(to, at) {
+        let is_unreachable =
+            self.is_partitioned(at) && self.side(to) != self.side(row.owner as usize);
+        if is_unreachable || self.is_down(to, at) {
             return self.push(at + SECOND, Event::Row(row));
         }
         let owner = format!("o{}", row.owner);
-        let subject = &self.subjects[row.kind];
+        let subject = &self.subjects[row.kind_index];
         self.machines[to].merge_row(now, &owner, row.window, subject, &row.counts);
-        self.wake[to] = self.wake[to].min(now);
+        self.next_tick[to] = self.next_tick[to].min(now);
     }
 
-    /// Notifies each machine of the members that it can reach.
-    fn set_members(&mut self, at: Micros, now: Micros) {
-        let is_split = self.is_split(at - DETECTION) && self.is_split(at);
+    /// Tells each machine which members it can reach.
+    fn update_members(&mut self, at: Micros, now: Micros) {
+        let is_partitioned = self.is_partitioned(at - DETECTION_DELAY) && self.is_partitioned(at);
         for n in 0..self.machines.len() {
-            let mut living = Vec::new();
+            let mut live = Vec::new();
             for other in 0..self.machines.len() {
-                let is_cut = is_split && self.side(other) != self.side(n);
-                if !self.is_down(other, at) && !is_cut {
-                    living.push(self.names[other].clone());
+                let is_unreachable = is_partitioned && self.side(other) != self.side(n);
+                if !self.is_down(other, at) && !is_unreachable {
+                    live.push(self.names[other].clone());
                 }
             }
-            self.machines[n].set_members(&living);
-            self.wake[n] = now;
+            self.machines[n].set_members(&live);
+            self.next_tick[n] = now;
         }
     }
 
-    /// Restarts all machines, with their snapshots where there are such.
+    /// Restarts all machines, from their snapshots if there are any.
     fn restart(&mut self, now: Micros) {
         for n in 0..self.machines.len() {
             self.machines[n] = self.machine(n);
@@ -254,11 +261,11 @@
                 let restored = self.machines[n].restore(now, &self.snapshots[n]);
                 debug_assert_eq!(restored, Ok(()));
             }
-            self.wake[n] = now;
+            self.next_tick[n] = now;
         }
     }
 
-    fn carry_out(&mut self, machine: usize, now: Micros) {
+    fn apply_effects(&mut self, machine: usize, now: Micros) {
         while let Some(Effect::Prepare {
             worker,
             class,
@@ -269,55 +276,55 @@
         }
     }
 
-    fn job(&mut self, job: &Job) {
-        let kind = &self.scenario.kinds[job.kind].0;
-        let Placement { worker, took } = self.workers.job(job.at, kind, job.runs);
-        let owner = job.to % self.setup.schedulers;
+    fn dispatch_job(&mut self, job: &Job) {
+        let kind = &self.scenario.kinds[job.kind_index].0;
+        let Placement { worker, duration } = self.workers.run_job(job.at, kind, job.running_time);
+        let owner = job.receiver % self.setup.schedulers;
         let machine = match self.policy {
             Policy::None => return,
             Policy::Fixed(keep) => {
-                let length = took + keep;
+                let length = duration + keep;
                 return self.workers.prepare(job.at, &worker, &kind.class, length);
             }
-            Policy::Alone => owner as usize,
+            Policy::LocalOnly => owner as usize,
             Policy::Shared(machines) => owner as usize % machines,
             Policy::Central => 0,
         };
-        // A job sent to one that is down is sent again to the next.
+        // A job sent to a stalled machine is retried on the next one.
         let machine = if self.is_down(machine, job.at) {
             (machine + 1) % self.machines.len()
         } else {
             machine
         };
-        let is_counted = self.counts_own_arrivals();
-        if is_counted {
+        let records_own_arrival = self.records_own_arrivals();
+        if records_own_arrival {
             self.machines[machine].record_arrival(job.at, kind, Some(&worker));
-            self.machines[machine].record_running_time(kind, took);
+            self.machines[machine].record_running_time(kind, duration);
         } else {
             self.machines[machine].keep_warm(job.at, kind, &worker);
         }
-        self.carry_out(machine, job.at);
+        self.apply_effects(machine, job.at);
         let next = self.machines[machine].next_wake().unwrap_or(Micros::MAX);
-        self.wake[machine] = self.wake[machine].min(next);
+        self.next_tick[machine] = self.next_tick[machine].min(next);
         if matches!(self.policy, Policy::Shared(_)) {
-            self.send_row(job, took, owner, is_counted.then_some(machine));
+            self.send_row(job, duration, owner, records_own_arrival.then_some(machine));
         }
     }
 
-    /// Whether machines know their arrivals before the row of these comes.
-    fn counts_own_arrivals(&self) -> bool {
+    /// Whether machines record their own arrivals at once. If not, they know them only from rows.
+    fn records_own_arrivals(&self) -> bool {
         match self.policy {
             Policy::Shared(machines) => machines >= self.setup.schedulers as usize,
             _ => true,
         }
     }
 
-    /// Sends the owner's row to all other machines.
-    fn send_row(&mut self, job: &Job, took: Micros, owner: u32, sender: Option<usize>) {
+    /// Adds a job to the owner's row and sends the row to the other machines.
+    fn send_row(&mut self, job: &Job, duration: Micros, owner: u32, sender: Option<usize>) {
         let window = Slots::window(job.at);
         let row = self
             .rows
-            .entry((owner, job.kind))
+            .entry((owner, job.kind_index))
             .or_insert((window, Vec::new()));
         if row.0 != window {
             *row = (window, Vec::new());
@@ -325,20 +332,24 @@
         let counts = &mut row.1;
         counts.resize(RUNNING_TIME_JOBS + 1, 0);
         counts[(job.at % WINDOW / SLOT) as usize] += 1;
-        counts[RUNNING_TIME_SUM] += took.div_ceil(RUNNING_TIME_UNIT) as u32;
+        counts[RUNNING_TIME_SUM] += duration.div_ceil(RUNNING_TIME_UNIT) as u32;
         counts[RUNNING_TIME_JOBS] += 1;
         let counts = counts.clone();
-        let Faults { late, lost, .. } = self.setup.faults;
+        let Faults {
+            row_delay,
+            row_loss,
+            ..
+        } = self.setup.faults;
         for to in 0..self.machines.len() {
-            if Some(to) == sender || self.rng.f64() < lost {
+            if Some(to) == sender || self.rng.f64() < row_loss {
                 continue;
             }
-            let at = job.at + 300_000 + self.rng.u64(..1_200_000) + late;
+            let at = job.at + MIN_ROW_DELAY + self.rng.u64(..ROW_JITTER) + row_delay;
             let row = RowMessage {
                 to,
                 owner,
                 window,
-                kind: job.kind,
+                kind_index: job.kind_index,
                 counts: counts.clone(),
             };
             self.push(at, Event::Row(row));
@@ -346,10 +357,10 @@
     }
 }
 
-/// The fixed keep-alive that takes as many idle warm seconds, and what it costs: the best of its kind at
-/// that price, as its cold starts only fall with its length.
+/// The longest fixed keep-alive, in seconds, with no more idle time than `idle_s`, and its cost. A longer one
+/// only has fewer cold starts, so this is the best fixed keep-alive within that idle time.
 #[must_use]
-pub fn fixed_at(scenario: &Scenario, setup: &Setup, idle: f64) -> (f64, Cost) {
+pub fn fixed_with_equal_idle(scenario: &Scenario, setup: &Setup, idle_s: f64) -> (f64, Cost) {
     let mut low = 0.0_f64;
     let mut high = 86_400.0_f64;
     let mut best = (0.0, run(scenario, Policy::None, setup, 0));
@@ -357,7 +368,7 @@
         let middle = (low.max(1.0) * high).sqrt();
         let length = (middle * SECOND as f64) as Micros;
         let cost = run(scenario, Policy::Fixed(length), setup, 0);
-        if cost.idle <= idle {
+        if cost.idle_s <= idle_s {
             low = middle;
             best = (middle, cost);
         } else {
--- a/crates/prewarm/src/trial/contest/setup.rs
+++ b/crates/prewarm/src/trial/contest/setup.rs
@@ -1,76 +1,77 @@
-//! The policies of a contest, its faults, and the costs.
+//! The policies that are compared, the injected faults, and the measured costs.
 
 use crate::{Config, Micros};
 
-/// Who keeps what warm.
+/// Which workers are kept warm, and by whom.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Policy {
-    /// A worker drops a class when its job ends.
+    /// No keep-alive: a worker drops a class when its job ends.
     None,
-    /// A worker keeps a class for so long after a job, in microseconds.
+    /// A fixed keep-alive after each job, in microseconds.
     Fixed(Micros),
-    /// Each scheduler by what it sees itself.
-    Alone,
-    /// All schedulers by shared rows, with so many machines. Further schedulers only own rows, and none of their
-    /// arrivals is known before its row comes.
+    /// Each scheduler plans from its own arrivals only.
+    LocalOnly,
+    /// All schedulers plan from shared rows. Only the given number of machines are simulated; if there are more
+    /// schedulers than machines, the machines learn of all arrivals, including their own, from rows.
     Shared(usize),
-    /// One scheduler with all the traffic.
+    /// One scheduler receives all jobs.
     Central,
 }
 
-/// The faults of a contest.
+/// Injected faults. The default is none.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Faults {
-    /// Rows come later by that much, in microseconds.
-    pub late: Micros,
-    /// The part of rows that is lost.
-    pub lost: f64,
-    /// Every so often a machine, in turn, does nothing for 60 s; the others know after 5 s. In microseconds,
-    /// none if 0.
-    pub stall_every: Micros,
-    /// Every hour the machines are partitioned in halves for so long, in microseconds; known after 5 s.
-    pub split: Micros,
-    /// All machines restart at this time of the scenario, in microseconds, with a snapshot of a minute before or
-    /// without.
+    /// An additional delay of all rows, in microseconds.
+    pub row_delay: Micros,
+    /// The share of rows that are lost.
+    pub row_loss: f64,
+    /// The interval, in microseconds, at which the machines stall in turn for 60 s; 0 for no stalls. The other
+    /// machines detect a stall after 5 s.
+    pub stall_interval: Micros,
+    /// The duration, in microseconds, of a partition into two halves every hour; 0 for no partitions. It is
+    /// detected after 5 s.
+    pub partition_duration: Micros,
+    /// When all machines restart, in microseconds after the start of the scenario, and whether they restore a
+    /// snapshot that was taken one minute earlier.
     pub restart: Option<(Micros, bool)>,
 }
 
-/// The setup of a contest.
+/// The environment of a run.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// The machine's settings.
+    /// The settings of the state machines.
     pub config: Config,
-    /// How many schedulers the jobs come to.
+    /// The number of schedulers that receive jobs.
     pub schedulers: u32,
-    /// Workers in each zone.
+    /// The number of workers in each zone.
     pub workers_per_zone: usize,
-    /// The zones.
+    /// The number of zones.
     pub zones: usize,
-    /// The faults.
+    /// The injected faults.
     pub faults: Faults,
-    /// Figures are taken from jobs after this time of the scenario, in microseconds.
-    pub after: Micros,
+    /// Costs are measured after this time, in microseconds since the start of the scenario.
+    pub measure_after: Micros,
 }
 
-/// What a policy cost.
+/// The cost of a policy.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cost {
-    /// Jobs that came.
+    /// The number of jobs.
     pub jobs: u64,
-    /// The jobs among these that found no warm worker.
-    pub cold: u64,
-    /// Idle warm worker-seconds.
-    pub idle: f64,
-    /// Calls to prepare.
+    /// The jobs that found no warm worker.
+    pub cold_starts: u64,
+    /// The time that workers were warm and idle, in worker-seconds.
+    pub idle_s: f64,
+    /// The calls to load a class or keep it warm.
     pub calls: u64,
-    /// Jobs that found all workers of their zone busy.
-    pub crowded: u64,
+    /// The jobs that found all workers of their zone busy.
+    pub all_busy: u64,
 }
 
 impl Cost {
-    /// The part of jobs that found no warm worker.
+    /// The share of jobs that found no warm worker.
     #[must_use]
-    pub fn share(&self) -> f64 {
-        self.cold as f64 / self.jobs.max(1) as f64
+    pub fn cold_share(&self) -> f64 {
+        self.cold_starts as f64 / self.jobs.max(1) as f64
     }
 }
--- a/crates/prewarm/src/trial/mod.rs
+++ b/crates/prewarm/src/trial/mod.rs
@@ -1,6 +1,7 @@
-//! The contest of policies in virtual time: generated scenarios, a model of workers, and who keeps what warm.
+//! A comparison of prewarming policies in virtual time, on generated arrivals and a model of workers.
 //!
-//! Policies are the state machine itself or plain baselines. All chance comes from seeds.
+//! The policies are the state machine in several deployments, and simple baselines. All randomness comes from
+//! seeds.
 
 pub mod bytes;
 pub mod contest;
--- a/crates/prewarm/src/trial/scenarios.rs
+++ b/crates/prewarm/src/trial/scenarios.rs
@@ -1,20 +1,20 @@
-//! Generated scenarios of arrivals: steady, bursts, periodic batches, a daily wave, rare kinds.
+//! Generated scenarios: arrivals with several traffic shapes over the course of hours.
 
 use crate::place::Kind;
 use crate::{Micros, SECOND};
 
-/// The shapes of traffic.
+/// The shape of the traffic of one kind. Rates and periods are drawn from the stated ranges.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Shape {
-    /// Poisson, one in 20 to 600 s.
+    /// A Poisson process with a mean gap of 20 to 600 s.
     Steady,
-    /// Quiet for 5 to 60 minutes, then 3 to 20 jobs, one in 2 to 20 s.
+    /// Bursts of about 3 to 20 jobs with a mean gap of 2 to 20 s, after pauses of 5 to 60 minutes on average.
     Bursts,
-    /// Every 5 to 60 minutes, give or take 2%, 1 to 5 at once.
+    /// Batches of 1 to 5 simultaneous jobs every 5 to 60 minutes, with a jitter of 2%.
     Periodic,
-    /// Poisson, with a rate that goes up and down by ten over the day, one in 30 to 300 s at the top.
+    /// A Poisson process whose rate varies tenfold over the day, with a mean gap of 30 to 300 s at the peak.
     Wave,
-    /// Poisson, one in 1 to 6 hours.
+    /// A Poisson process with a mean gap of 1 to 6 hours.
     Rare,
 }
 
@@ -30,50 +30,50 @@
 /// A job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Job {
-    /// When it comes.
+    /// The arrival time.
     pub at: Micros,
     /// The index of its kind.
-    pub kind: usize,
-    /// How long it runs on a warm worker.
-    pub runs: Micros,
-    /// The scheduler that it comes to, as a random number to be taken modulo their count.
-    pub to: u32,
+    pub kind_index: usize,
+    /// The running time on a warm worker.
+    pub running_time: Micros,
+    /// The scheduler that receives the job, as a random number to be taken modulo the number of schedulers.
+    pub receiver: u32,
 }
 
-/// A scenario: kinds and their jobs.
+/// The kinds and jobs of a run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// The kinds and their shapes.
     pub kinds: Vec<(Kind, Shape)>,
-    /// The jobs by time.
+    /// The jobs, in order of arrival.
     pub jobs: Vec<Job>,
-    /// Its length.
+    /// The length of the scenario.
     pub length: Micros,
 }
 
-/// When scenarios begin: some midnight of Unix time.
+/// When scenarios start: a midnight of Unix time.
 pub const START: Micros = 1_700_006_400 * SECOND;
 
 impl Scenario {
-    /// `each` kinds of each shape over `zones` zones, `hours` long.
+    /// Generates a scenario of `hours` hours with `kinds_per_shape` kinds of each shape, in random zones.
     #[must_use]
-    pub fn new(seed: u64, each: usize, zones: usize, hours: f64) -> Scenario {
+    pub fn new(seed: u64, kinds_per_shape: usize, zones: usize, hours: f64) -> Scenario {
         let length = hours * 3_600.0;
         let mut generator = Generator {
             rng: fastrand::Rng::with_seed(seed),
             length,
             jobs: Vec::new(),
-            kind: 0,
-            runs: 0.0,
+            kind_index: 0,
+            mean_running_time: 0.0,
         };
         let mut kinds = Vec::new();
         for shape in SHAPES {
-            for n in 0..each {
+            for n in 0..kinds_per_shape {
                 let zone = format!("H{}", generator.rng.usize(..zones));
                 let class = format!("{}{n}", &format!("{shape:?}")[..2]);
-                generator.kind = kinds.len();
+                generator.kind_index = kinds.len();
                 kinds.push((Kind::new(&class, &zone), shape));
-                generator.runs = generator.log_uniform(0.2, 3.0);
+                generator.mean_running_time = generator.log_uniform(0.2, 3.0);
                 generator.add_jobs(shape);
             }
         }
@@ -86,23 +86,24 @@
         }
     }
 
-    /// The same scenario with the jobs of one shape only.
+    /// Keeps only the jobs of one shape.
     #[must_use]
-    pub fn only(mut self, shape: Shape) -> Scenario {
-        self.jobs.retain(|job| self.kinds[job.kind].1 == shape);
+    pub fn only_shape(mut self, shape: Shape) -> Scenario {
+        self.jobs
+            .retain(|job| self.kinds[job.kind_index].1 == shape);
         self
     }
 }
 
-/// Draws the jobs of one kind after the other. Times are in seconds from the start.
+/// Draws the jobs of one kind after another. Times are in seconds from the start of the scenario.
 struct Generator {
     rng: fastrand::Rng,
     length: f64,
     jobs: Vec<Job>,
-    /// The present kind's index.
-    kind: usize,
-    /// The mean running time of the present kind.
-    runs: f64,
+    /// The index of the current kind.
+    kind_index: usize,
+    /// The mean running time of the current kind.
+    mean_running_time: f64,
 }
 
 impl Generator {
@@ -114,15 +115,15 @@
         low * (high / low).powf(self.rng.f64())
     }
 
-    /// Adds a job at a time.
-    fn add(&mut self, at: f64) {
-        let runs = self.runs * (0.5 + self.rng.f64());
+    /// Adds a job that arrives at a time.
+    fn add_job(&mut self, at: f64) {
+        let running_time = self.mean_running_time * (0.5 + self.rng.f64());
         let micros = |seconds: f64| (seconds * SECOND as f64) as Micros;
         self.jobs.push(Job {
             at: START + micros(at),
-            kind: self.kind,
-            runs: micros(runs),
-            to: self.rng.u32(..),
+            kind_index: self.kind_index,
+            running_time: micros(running_time),
+            receiver: self.rng.u32(..),
         });
     }
 
@@ -136,29 +137,29 @@
         }
     }
 
-    /// One job in `low` to `high` seconds.
+    /// Adds jobs with a mean gap drawn from `low` to `high` seconds.
     fn add_steady(&mut self, low: f64, high: f64) {
         let mean = self.log_uniform(low, high);
         let mut at = self.exponential(mean);
         while at < self.length {
-            self.add(at);
+            self.add_job(at);
             at += self.exponential(mean);
         }
     }
 
     fn add_bursts(&mut self) {
-        let quiet = self.log_uniform(300.0, 3_600.0);
-        let within = self.log_uniform(2.0, 20.0);
+        let pause = self.log_uniform(300.0, 3_600.0);
+        let gap = self.log_uniform(2.0, 20.0);
         let jobs = 3 + self.rng.usize(..18);
         let mut at = 0.0;
         loop {
-            at += self.exponential(quiet);
+            at += self.exponential(pause);
             for _ in 0..1 + self.rng.usize(..2 * jobs) {
                 if at >= self.length {
                     return;
                 }
-                self.add(at);
-                at += self.exponential(within);
+                self.add_job(at);
+                at += self.exponential(gap);
             }
         }
     }
@@ -171,7 +172,7 @@
             for _ in 0..jobs {
                 let spread = 0.5 * self.rng.f64();
                 if at + spread < self.length {
-                    self.add(at + spread);
+                    self.add_job(at + spread);
                 }
             }
             at += period * (1.0 + 0.02 * (2.0 * self.rng.f64() - 1.0));
@@ -185,7 +186,7 @@
         while at < self.length {
             let angle = std::f64::consts::TAU * (at / 86_400.0 + phase);
             if self.rng.f64() < 0.55 + 0.45 * angle.sin() {
-                self.add(at);
+                self.add_job(at);
             }
             at += self.exponential(mean);
         }
--- a/crates/prewarm/src/trial/workers.rs
+++ b/crates/prewarm/src/trial/workers.rs
@@ -1,7 +1,7 @@
-//! A model of workers: what each has loaded, until when, and what runs on it.
+//! A model of workers: the classes they have loaded, and the jobs they run.
 //!
-//! It counts the two figures of the contest: jobs that found no warm worker, and idle warm worker-seconds (loading
-//! ahead included).
+//! It measures the two costs of a policy: jobs that found no warm worker, and the time that workers were warm and
+//! idle. The time to load a class ahead of a job counts as idle.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,56 +10,56 @@
 use crate::Micros;
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Loaded {
-    /// Loaded, or loading until then.
-    from: Micros,
-    /// Kept until then; while a job of the class runs it stays, too.
-    until: Micros,
-    /// Idle warm time is counted from here.
-    idle: Micros,
+struct LoadedClass {
+    /// The end of loading.
+    loaded_at: Micros,
+    /// The end of the keep-alive. The class also stays loaded while one of its jobs runs.
+    warm_until: Micros,
+    /// The end of the last job of the class, or the start of loading. Idle time is counted from here.
+    idle_since: Micros,
 }
 
-/// Where a job went.
+/// The worker that ran a job, and for how long.
 pub struct Placement {
     /// The worker's name.
     pub worker: Arc<str>,
-    /// How long the job took, loading included.
-    pub took: Micros,
+    /// The running time of the job, including loading.
+    pub duration: Micros,
 }
 
-/// The worker that a job goes to.
-struct Choice {
-    place: usize,
+/// The worker selected for a job.
+struct Selection {
+    worker_index: usize,
     is_warm: bool,
-    is_crowded: bool,
+    all_busy: bool,
 }
 
-/// The workers.
+/// The workers and the costs measured on them.
 #[derive(Clone, Debug)]
 pub struct WorkerModel {
-    /// The workers as policies see them.
+    /// The workers as given to the state machines.
     pub workers: Vec<Worker>,
-    orders: BTreeMap<Kind, Vec<usize>>,
-    busy: Vec<Micros>,
-    loaded: BTreeMap<(usize, Arc<str>), Loaded>,
-    load: Micros,
-    /// Jobs that came.
+    worker_orders: BTreeMap<Kind, Vec<usize>>,
+    busy_until: Vec<Micros>,
+    loaded: BTreeMap<(usize, Arc<str>), LoadedClass>,
+    load_time: Micros,
+    /// The number of jobs.
     pub jobs: u64,
     /// Jobs that found no warm worker.
-    pub cold: u64,
-    /// Jobs that found all workers of the zone busy: they go to the first, and count as cold.
-    pub crowded: u64,
+    pub cold_starts: u64,
+    /// Jobs that found all workers of the zone busy. They queue on the first worker and count as cold starts.
+    pub all_busy: u64,
     /// Idle warm time over all workers and classes, in microseconds.
-    pub idle: Micros,
-    /// Calls to load a class, or to keep it warm.
+    pub idle_time: Micros,
+    /// Calls to load a class or keep it warm.
     pub calls: u64,
 }
 
 impl WorkerModel {
-    /// `each` workers in each of `zones` zones; loading takes `load`.
+    /// Creates `per_zone` workers in each of `zones` zones, which take `load_time` to load a class.
     #[must_use]
-    pub fn new(each: usize, zones: usize, load: Micros) -> WorkerModel {
-        let workers: Vec<Worker> = (0..each * zones)
+    pub fn new(per_zone: usize, zones: usize, load_time: Micros) -> WorkerModel {
+        let workers: Vec<Worker> = (0..per_zone * zones)
             .map(|n| Worker {
                 name: format!("w{n}").into(),
                 zone: format!("H{}", n % zones).into(),
@@ -71,107 +71,111 @@
             })
             .collect();
         WorkerModel {
-            busy: vec![0; workers.len()],
+            busy_until: vec![0; workers.len()],
             workers,
-            orders: BTreeMap::new(),
+            worker_orders: BTreeMap::new(),
             loaded: BTreeMap::new(),
-            load,
+            load_time,
             jobs: 0,
-            cold: 0,
-            crowded: 0,
-            idle: 0,
+            cold_starts: 0,
+            all_busy: 0,
+            idle_time: 0,
             calls: 0,
         }
     }
 
-    fn place(&self, name: &str) -> Option<usize> {
+    fn worker_index(&self, name: &str) -> Option<usize> {
         self.workers.iter().position(|w| &*w.name == name)
     }
 
-    /// A worker loads a class if it has not, and keeps it warm for that long.
+    /// Calls a worker to load a class if it is not loaded, and to keep it warm for `keep`.
     pub fn prepare(&mut self, now: Micros, worker: &str, class: &Arc<str>, keep: Micros) {
         self.calls += 1;
-        let Some(place) = self.place(worker) else {
+        let Some(worker_index) = self.worker_index(worker) else {
             return;
         };
-        let busy = self.busy[place];
-        let fresh = Loaded {
-            from: now + self.load,
-            until: 0,
-            idle: now,
+        let busy_until = self.busy_until[worker_index];
+        let new_class = LoadedClass {
+            loaded_at: now + self.load_time,
+            warm_until: 0,
+            idle_since: now,
         };
-        let key = (place, class.clone());
+        let key = (worker_index, class.clone());
         if let Some(old) = self
             .loaded
             .get(&key)
             .copied()
-            .filter(|l| l.until.max(l.idle) < now)
+            .filter(|l| l.warm_until.max(l.idle_since) < now)
         {
-            self.idle += old.until.saturating_sub(old.idle);
+            self.idle_time += old.warm_until.saturating_sub(old.idle_since);
             self.loaded.remove(&key);
         }
-        let loaded = self.loaded.entry(key).or_insert(fresh);
-        loaded.until = loaded.until.max(now + keep);
-        debug_assert!(loaded.idle <= busy.max(now));
+        let loaded = self.loaded.entry(key).or_insert(new_class);
+        loaded.warm_until = loaded.warm_until.max(now + keep);
+        debug_assert!(loaded.idle_since <= busy_until.max(now));
     }
 
-    /// A job comes: to the first free worker in the kind's order that is warm, else to the first free one.
-    pub fn job(&mut self, now: Micros, kind: &Kind, runs: Micros) -> Placement {
-        let choice = self.choose(now, kind);
-        let place = choice.place;
+    /// Runs a job on the first worker in the kind's order that is free and warm, otherwise on the first free one.
+    pub fn run_job(&mut self, now: Micros, kind: &Kind, running_time: Micros) -> Placement {
+        let selected = self.select(now, kind);
+        let worker_index = selected.worker_index;
         self.jobs += 1;
-        self.cold += u64::from(!choice.is_warm);
-        self.crowded += u64::from(choice.is_crowded);
-        let took = runs + if choice.is_warm { 0 } else { self.load };
-        let end = now.max(self.busy[place]) + took;
-        self.busy[place] = end;
-        let key = (place, kind.class.clone());
+        self.cold_starts += u64::from(!selected.is_warm);
+        self.all_busy += u64::from(selected.all_busy);
+        let duration = running_time + if selected.is_warm { 0 } else { self.load_time };
+        let end = now.max(self.busy_until[worker_index]) + duration;
+        self.busy_until[worker_index] = end;
+        let key = (worker_index, kind.class.clone());
         let old = self.loaded.get(&key).copied().unwrap_or_default();
-        // What was idle until now, or until it was dropped.
-        self.idle += old.until.min(now).saturating_sub(old.idle);
-        let loaded = Loaded {
-            from: if choice.is_warm {
-                old.from
+        // The class was idle until now, or until its keep-alive ended.
+        self.idle_time += old.warm_until.min(now).saturating_sub(old.idle_since);
+        let loaded = LoadedClass {
+            loaded_at: if selected.is_warm {
+                old.loaded_at
             } else {
-                now + self.load
+                now + self.load_time
             },
-            until: if old.until >= now { old.until } else { 0 },
-            idle: end,
+            warm_until: if old.warm_until >= now {
+                old.warm_until
+            } else {
+                0
+            },
+            idle_since: end,
         };
         self.loaded.insert(key, loaded);
         Placement {
-            worker: self.workers[place].name.clone(),
-            took,
+            worker: self.workers[worker_index].name.clone(),
+            duration,
         }
     }
 
-    fn choose(&mut self, now: Micros, kind: &Kind) -> Choice {
+    fn select(&mut self, now: Micros, kind: &Kind) -> Selection {
         let workers = &self.workers;
-        let order = self.orders.entry(kind.clone()).or_insert_with(|| {
-            let place = |name: &str| workers.iter().position(|worker| &*worker.name == name);
+        let order = self.worker_orders.entry(kind.clone()).or_insert_with(|| {
+            let worker_index = |name: &str| workers.iter().position(|worker| &*worker.name == name);
             kind.worker_order(workers)
                 .iter()
-                .filter_map(|worker| place(&worker.name))
+                .filter_map(|worker| worker_index(&worker.name))
                 .collect()
         });
-        let is_warm = |place: &usize| {
-            let loaded = self.loaded.get(&(*place, kind.class.clone()));
-            loaded.is_some_and(|l| l.from <= now && l.until.max(l.idle) >= now)
+        let is_warm = |worker_index: &usize| {
+            let loaded = self.loaded.get(&(*worker_index, kind.class.clone()));
+            loaded.is_some_and(|l| l.loaded_at <= now && l.warm_until.max(l.idle_since) >= now)
         };
-        let mut free = order.iter().copied().filter(|w| self.busy[*w] <= now);
+        let mut free = order.iter().copied().filter(|w| self.busy_until[*w] <= now);
         let warm = free.clone().find(is_warm);
         let first_free = free.next();
-        Choice {
-            place: warm.or(first_free).unwrap_or(order[0]),
+        Selection {
+            worker_index: warm.or(first_free).unwrap_or(order[0]),
             is_warm: warm.is_some(),
-            is_crowded: first_free.is_none(),
+            all_busy: first_free.is_none(),
         }
     }
 
-    /// The scenario ends: what is still warm counts until then.
-    pub fn end(&mut self, now: Micros) {
+    /// Ends the scenario, and counts the idle time of the classes that are still warm.
+    pub fn finish(&mut self, now: Micros) {
         for loaded in self.loaded.values() {
-            self.idle += loaded.until.min(now).saturating_sub(loaded.idle);
+            self.idle_time += loaded.warm_until.min(now).saturating_sub(loaded.idle_since);
         }
         self.loaded.clear();
     }
--- a/crates/prewarm/tests/contest.rs
+++ b/crates/prewarm/tests/contest.rs
@@ -1,8 +1,8 @@
-//! The claims of docs/prewarm.md at a small size: generated days in virtual time, fixed seeds.
+//! Checks the results stated in docs/prewarm.md on small generated scenarios in virtual time, with fixed seeds.
 //!
-//! The long form is the program `oakshed-prewarm-trial` (docs/prewarm.md has the commands).
+//! The full comparison is the program `oakshed-prewarm-trial`; docs/prewarm.md lists its commands.
 
-use oakshed_prewarm::trial::contest::{fixed_at, run, Cost, Faults, Policy, Setup};
+use oakshed_prewarm::trial::contest::{fixed_with_equal_idle, run, Cost, Faults, Policy, Setup};
 use oakshed_prewarm::trial::scenarios::Scenario;
 use oakshed_prewarm::{Config, SECOND};
 
@@ -12,9 +12,9 @@
     Scenario::new(seed, 4, 2, 12.0)
 }
 
-fn setup(worth: f64, schedulers: u32, faults: Faults) -> Setup {
+fn setup(cold_start_cost: f64, schedulers: u32, faults: Faults) -> Setup {
     let config = Config {
-        cold_start_cost: worth,
+        cold_start_cost,
         ..Config::default()
     };
     Setup {
@@ -23,115 +23,128 @@
         workers_per_zone: 12,
         zones: 2,
         faults,
-        after: 0,
+        measure_after: 0,
     }
 }
 
-/// Cold starts over all seeds against those of the fixed keep-alive with as many idle warm seconds.
-fn against_fixed(policy: Policy, setup: &Setup) -> (Cost, f64) {
+/// The costs of a policy over all seeds, and the ratio of its cold starts to those of fixed keep-alives with equal
+/// idle time.
+fn compare_with_fixed(policy: Policy, setup: &Setup) -> (Cost, f64) {
     let (mut sum, mut fixed) = (Cost::default(), 0);
     for seed in SEEDS {
         let scenario = scenario(seed);
         let cost = run(&scenario, policy, setup, seed);
-        fixed += fixed_at(&scenario, setup, cost.idle).1.cold;
+        fixed += fixed_with_equal_idle(&scenario, setup, cost.idle_s)
+            .1
+            .cold_starts;
         sum.jobs += cost.jobs;
-        sum.cold += cost.cold;
-        sum.idle += cost.idle;
+        sum.cold_starts += cost.cold_starts;
+        sum.idle_s += cost.idle_s;
     }
-    (sum, sum.cold as f64 / fixed as f64)
+    (sum, sum.cold_starts as f64 / fixed as f64)
 }
 
 #[test]
-fn shared_is_as_good_as_one_with_all_and_beats_any_fixed_keep_alive() {
-    for (worth, max) in [(100.0, 0.65), (300.0, 0.6), (1_000.0, 0.5)] {
-        let (one, _) = against_fixed(Policy::Central, &setup(worth, 1, Faults::default()));
+fn shared_rows_match_a_central_scheduler_and_beat_fixed_keep_alives() {
+    for (cold_start_cost, max) in [(100.0, 0.65), (300.0, 0.6), (1_000.0, 0.5)] {
+        let (central, _) = compare_with_fixed(
+            Policy::Central,
+            &setup(cold_start_cost, 1, Faults::default()),
+        );
         for schedulers in [3, 30, 300] {
-            let many = setup(worth, schedulers, Faults::default());
-            let (shared, ratio) = against_fixed(Policy::Shared(1), &many);
+            let setup = setup(cold_start_cost, schedulers, Faults::default());
+            let (shared, ratio) = compare_with_fixed(Policy::Shared(1), &setup);
             assert!(
                 ratio <= max,
-                "worth {worth}, {schedulers}: {ratio:.3} of the fixed keep-alive's"
+                "cost {cold_start_cost}, {schedulers} schedulers: {ratio:.3} of the fixed keep-alive's cold starts"
             );
             let near = |a: f64, b: f64| a <= 1.1 * b;
             assert!(
-                near(shared.cold as f64, one.cold as f64),
-                "{schedulers}: {shared:?} against {one:?}"
+                near(shared.cold_starts as f64, central.cold_starts as f64),
+                "{schedulers} schedulers: {shared:?}, central: {central:?}"
             );
             assert!(
-                near(shared.idle, one.idle),
-                "{schedulers}: {shared:?} against {one:?}"
+                near(shared.idle_s, central.idle_s),
+                "{schedulers} schedulers: {shared:?}, central: {central:?}"
             );
         }
     }
 }
 
 #[test]
-fn alone_sees_too_little() {
-    let (alone, ratio) = against_fixed(Policy::Alone, &setup(300.0, 30, Faults::default()));
-    let (_, shared) = against_fixed(Policy::Shared(1), &setup(300.0, 30, Faults::default()));
+fn local_arrivals_alone_cause_more_cold_starts() {
+    let (local_only, ratio) =
+        compare_with_fixed(Policy::LocalOnly, &setup(300.0, 30, Faults::default()));
+    let (_, shared) = compare_with_fixed(Policy::Shared(1), &setup(300.0, 30, Faults::default()));
     assert!(
         ratio > 1.5 * shared,
-        "alone {ratio:.3}, shared {shared:.3}, {alone:?}"
+        "local only {ratio:.3}, shared {shared:.3}, {local_only:?}"
     );
 }
 
 #[test]
-fn partial_failures_are_never_worse_than_the_plain_keep_alive() {
-    let (whole, hour) = (Faults::default(), 3_600 * SECOND);
+fn partial_failures_cost_no_more_than_a_fixed_keep_alive() {
+    let (none, hour) = (Faults::default(), 3_600 * SECOND);
     let cases = [
         (
             "rows 30 s late",
             Faults {
-                late: 30 * SECOND,
-                ..whole
+                row_delay: 30 * SECOND,
+                ..none
+            },
+        ),
+        (
+            "half of the rows lost",
+            Faults {
+                row_loss: 0.5,
+                ..none
             },
         ),
-        ("half of the rows lost", Faults { lost: 0.5, ..whole }),
         (
             "one of three down 60 s every 10 min",
             Faults {
-                stall_every: hour / 6,
-                ..whole
+                stall_interval: hour / 6,
+                ..none
             },
         ),
         (
             "split 60 s each hour",
             Faults {
-                split: 60 * SECOND,
-                ..whole
+                partition_duration: 60 * SECOND,
+                ..none
             },
         ),
         (
             "all restart without a snapshot",
             Faults {
                 restart: Some((6 * hour, false)),
-                ..whole
+                ..none
             },
         ),
     ];
     for (name, faults) in cases {
-        let (cost, ratio) = against_fixed(Policy::Shared(3), &setup(300.0, 3, faults));
+        let (cost, ratio) = compare_with_fixed(Policy::Shared(3), &setup(300.0, 3, faults));
         assert!(
             ratio <= 1.05,
-            "{name}: {ratio:.3} of the fixed keep-alive's, {cost:?}"
+            "{name}: {ratio:.3} of the fixed keep-alive's cold starts, {cost:?}"
         );
     }
 }
 
 #[test]
 fn a_snapshot_restores_the_models() {
-    let restart = |kept| Faults {
-        restart: Some((6 * 3_600 * SECOND, kept)),
+    let restart = |with_snapshot| Faults {
+        restart: Some((6 * 3_600 * SECOND, with_snapshot)),
         ..Faults::default()
     };
     let run = |faults| {
         let setup = Setup {
-            after: 6 * 3_600 * SECOND,
+            measure_after: 6 * 3_600 * SECOND,
             ..setup(1_000.0, 3, faults)
         };
         SEEDS
             .iter()
-            .map(|seed| run(&scenario(*seed), Policy::Shared(3), &setup, *seed).cold)
+            .map(|seed| run(&scenario(*seed), Policy::Shared(3), &setup, *seed).cold_starts)
             .sum::<u64>()
     };
     let (never, with, without) = (
@@ -141,6 +154,6 @@
     );
     assert!(
         with as f64 <= 1.05 * never as f64 && with < without,
-        "{never} {with} {without}"
+        "cold starts: {never} without a restart, {with} with a snapshot, {without} without one"
     );
 }
