--- a/crates/prewarm/tests/large.rs
+++ b/crates/prewarm/tests/large.rs
@@ -1,4 +1,4 @@
-//! A thousand members, workers and kinds.
+//! The state machine with a thousand members, workers and kinds.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -29,7 +29,7 @@
     format!("m{n}").into()
 }
 
-/// Every kind comes every 20 s, at one worker each; what the member asks for within ten minutes.
+/// The calls of a member within ten minutes in which one job of each kind arrives every 20 s.
 fn calls(p: &mut Prewarm) -> Vec<(u64, Effect)> {
     let mut out = Vec::new();
     for n in 0..600 {
@@ -50,10 +50,10 @@
     out
 }
 
-/// Guards against a shortcut in who answers for a kind: whoever came and went in whatever order, the answer must
-/// be that of who hears of all at once.
+/// Responsibilities are updated from the members that joined or left. After any sequence of changes they must equal
+/// those computed from the final list alone.
 #[test]
-fn who_answers_for_a_thousand_kinds_is_the_same_however_a_thousand_members_came_and_went() {
+fn responsibility_does_not_depend_on_earlier_member_lists() {
     let new = || {
         let mut p = Prewarm::new(
             Config {
@@ -66,38 +66,43 @@
         (0..MANY).for_each(|k| p.keep_warm(START, &kind(k), "nobody"));
         p
     };
-    let (mut one, mut other) = (new(), new());
+    let (mut incremental, mut direct) = (new(), new());
     let begin = Instant::now();
     for n in 1..=MANY {
-        one.set_members(&(0..n).map(member).collect::<Vec<_>>());
+        incremental.set_members(&(0..n).map(member).collect::<Vec<_>>());
     }
     println!(
-        "{MANY} members come one by one, {MANY} kinds: {} us each",
+        "{MANY} members join one by one, {MANY} kinds: {} us per change",
         begin.elapsed().as_micros() / MANY as u128
     );
     for n in (8..MANY).rev().step_by(3) {
-        one.set_members(&(0..n).map(member).collect::<Vec<_>>());
+        incremental.set_members(&(0..n).map(member).collect::<Vec<_>>());
     }
-    // Back again, others among them.
-    one.set_members(&(2..40).map(member).collect::<Vec<_>>());
+    // Some members return, together with new ones.
+    incremental.set_members(&(2..40).map(member).collect::<Vec<_>>());
     let last: Vec<_> = (0..30).filter(|n| n % 4 > 0).map(member).collect();
-    one.set_members(&last);
-    other.set_members(&last);
-    let is_responsible = (0..MANY)
+    incremental.set_members(&last);
+    direct.set_members(&last);
+    let responsible_for = (0..MANY)
         .filter(|k| kind(*k).responsible(&last) == Some(&member(5)))
         .count();
-    let (one, other) = (calls(&mut one), calls(&mut other));
-    assert!(one == other, "{} calls, and {}", one.len(), other.len());
+    let (incremental, direct) = (calls(&mut incremental), calls(&mut direct));
     assert!(
-        is_responsible > 10 && one.len() >= is_responsible,
-        "{is_responsible} kinds, {} calls",
-        one.len()
+        incremental == direct,
+        "{} calls, expected {}",
+        incremental.len(),
+        direct.len()
+    );
+    assert!(
+        responsible_for > 10 && incremental.len() >= responsible_for,
+        "{responsible_for} kinds, {} calls",
+        incremental.len()
     );
 }
 
-/// The places by zone give the order that the whole list gives, also after a change.
+/// The index of workers by zone must give the same order as a sort of the whole list, also after a change.
 #[test]
-fn the_order_of_a_thousand_workers_survives_a_change_of_the_list() {
+fn worker_order_matches_the_whole_list_after_a_change() {
     let mut p = Prewarm::new(
         Config {
             name: member(5),
@@ -113,7 +118,7 @@
         let listed = Instant::now();
         p.set_workers(&workers);
         println!(
-            "{MANY} workers, {MANY} kinds: {} us a list",
+            "{MANY} workers, {MANY} kinds: {} us per list",
             listed.elapsed().as_micros()
         );
         assert!(begin <= listed);
@@ -125,11 +130,11 @@
                 .collect();
             assert_eq!(p.worker_order(&kind(k)), order);
         }
-        let fit: u32 = workers
+        let capacity: u32 = workers
             .iter()
             .filter(|w| w.is_available())
             .map(|w| w.max_classes)
             .sum();
-        assert_eq!(p.max_keep_alives(), fit as usize / 2);
+        assert_eq!(p.max_keep_alives(), capacity as usize / 2);
     }
 }
--- a/crates/prewarm/tests/properties.rs
+++ b/crates/prewarm/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties that hold whatever comes: the order of rows, unavailable workers, the share, damaged snapshots.
+//! Property tests: limits on calls, merging of rows, subjects, snapshots, responsibility and sampling.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -32,7 +32,7 @@
     }
 }
 
-/// One step of a run.
+/// A random input to the state machine.
 #[derive(Clone, Debug)]
 enum Step {
     Arrival(usize, usize),
@@ -52,10 +52,10 @@
     ]
 }
 
-/// What was called for, by worker and class, until when.
+/// The end of each requested keep-alive, by worker and class.
 type Called = BTreeMap<(Arc<str>, Arc<str>), u64>;
 
-/// A member under test, with what it has called for.
+/// A member under test, and its keep-alives as seen by the workers.
 struct Harness {
     prewarm: Prewarm,
     workers: Vec<Worker>,
@@ -100,7 +100,7 @@
                 let numbered = bits.iter().enumerate();
                 self.workers = numbered.map(|(n, bits)| worker(n, *bits)).collect();
                 self.prewarm.set_workers(&self.workers);
-                // Unavailable workers are not counted: they are about to be removed or empty.
+                // Keep-alives on unavailable workers don't count towards the limits.
                 let workers = &self.workers;
                 let is_available = |worker: &Worker| worker.is_available();
                 self.called.retain(|(name, _), _| {
@@ -108,19 +108,20 @@
                 });
             }
             Step::Members(bits) => {
-                let living: Vec<Arc<str>> = (0..8)
+                let live: Vec<Arc<str>> = (0..8)
                     .filter(|n| bits >> n & 1 != 0)
                     .map(|n| format!("o{n}").into())
                     .collect();
-                self.prewarm.set_members(&living);
+                self.prewarm.set_members(&live);
             }
             Step::Wait(span) => self.now += span,
         }
     }
 
-    /// Fetches all calls and checks them against the bounds, unless the workers have just changed.
+    /// Takes all pending calls and checks them against the limits. The limits on numbers are not checked right after a
+    /// change of the workers, which may have lowered them.
     fn check_calls(&mut self, known: usize, has_changed: bool) {
-        let mut grew = 0;
+        let mut added = 0;
         while let Some(effect) = self.prewarm.poll_effect() {
             let Effect::Prepare {
                 worker,
@@ -129,37 +130,37 @@
             } = &effect;
             let called_worker = self.workers.iter().find(|w| w.name == *worker);
             let is_available = called_worker.is_some_and(Worker::is_available);
-            assert!(is_available, "called {worker}, which is unavailable");
+            assert!(is_available, "call to the unavailable worker {worker}");
             assert!(*keep_ms > 0);
             let key = (worker.clone(), class.clone());
             let until = self.called.entry(key).or_insert_with(|| {
-                grew += 1;
+                added += 1;
                 0
             });
             *until = (*until).max(self.now + keep_ms * 1_000);
-            let here = self
+            let on_worker = self
                 .called
                 .keys()
                 .filter(|(name, _)| name == worker)
                 .count();
-            // More than before only within the capacity and the share, as they are now.
+            // New keep-alives must fit the current capacity and share.
             let capacity = called_worker.map_or(0, |w| w.max_classes as usize);
             assert!(
-                has_changed || grew == 0 || here <= capacity.max(known),
-                "{here} classes on one worker, capacity for {capacity}"
+                has_changed || added == 0 || on_worker <= capacity.max(known),
+                "{on_worker} classes on one worker with a capacity of {capacity}"
             );
             self.calls.push((self.now, effect));
         }
         let max = self.prewarm.max_keep_alives();
         let called = self.called.len();
         assert!(
-            has_changed || grew == 0 || called <= max,
-            "{called} kept warm of at most {max}"
+            has_changed || added == 0 || called <= max,
+            "{called} keep-alives, at most {max} allowed"
         );
     }
 }
 
-/// Runs steps and checks each call against the bounds; returns all calls with their times.
+/// Applies the steps, checks each call against the limits, and returns all calls with their times.
 fn run(steps: &[Step], seed: u64, share: f64) -> Vec<(u64, Effect)> {
     let mut harness = Harness::new(seed, share);
     for (n, step) in steps.iter().enumerate() {
@@ -169,7 +170,7 @@
         harness.called.retain(|_, until| *until > now);
         harness.prewarm.tick(now);
         if matches!(steps.get(n + 1), Some(Step::Workers(_))) {
-            // A call that waits to be fetched must not go to a worker that is unavailable since.
+            // The pending calls stay in the queue, to test that the change of workers removes invalid ones.
             continue;
         }
         harness.check_calls(known, matches!(step, Step::Workers(_)));
@@ -185,13 +186,13 @@
         ..ProptestConfig::default()
     })]
 
-    /// No call to an unavailable worker, over its capacity or over the share; and the same run twice is the same.
+    /// Calls respect availability, capacity and share, and equal inputs give equal calls.
     #[test]
-    fn bounds_hold(steps in prop::collection::vec(step(), 1..120), seed in any::<u64>(), share in 0.0..1.0_f64) {
+    fn calls_respect_the_limits_and_are_deterministic(steps in prop::collection::vec(step(), 1..120), seed in any::<u64>(), share in 0.0..1.0_f64) {
         prop_assert_eq!(run(&steps, seed, share), run(&steps, seed, share));
     }
 
-    /// Rows that come in any order, in parts and repeatedly before their slots close give the same models.
+    /// The models don't depend on the order, repetition or partial delivery of rows before their slots close.
     #[test]
     fn rows_merge_in_any_order(
         rows in prop::collection::vec((0..5_u32, 0..10_usize, prop::collection::vec(0..4_u32, 10)), 1..20),
@@ -220,9 +221,9 @@
         prop_assert_eq!(model(&order), model(&[]));
     }
 
-    /// A snapshot that was changed is rejected or restored, but never causes a panic.
+    /// A corrupted snapshot may be rejected or restored, but must not cause a panic.
     #[test]
-    fn damaged_snapshots(at in any::<prop::sample::Index>(), to in any::<u8>(), cut in any::<prop::sample::Index>()) {
+    fn damaged_snapshots_cause_no_panic(at in any::<prop::sample::Index>(), to in any::<u8>(), cut in any::<prop::sample::Index>()) {
         let config = Config { name: "me".into(), ..Config::default() };
         let mut p = Prewarm::new(config.clone(), 1);
         p.set_workers(&(0..8).map(available_worker).collect::<Vec<_>>());
@@ -243,19 +244,19 @@
         }
     }
 
-    /// Subjects of rows come back; any bytes are read without a panic.
+    /// Subjects survive encoding and decoding, and arbitrary subjects cause no panic.
     #[test]
-    fn subjects(bytes in prop::collection::vec(any::<u8>(), 0..70), n in 0..10_usize, thin in 0..=16_u8) {
-        prop_assert_eq!(Kind::from_subject(&kind(n).subject(thin)), Some((kind(n), thin)));
+    fn subjects_round_trip_and_malformed_ones_cause_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..70), n in 0..10_usize, exponent in 0..=16_u8) {
+        prop_assert_eq!(Kind::from_subject(&kind(n).subject(exponent)), Some((kind(n), exponent)));
         let mut p = Prewarm::new(Config::default(), 1);
         p.merge_row(START, "o1", (START / (10 * SECOND)) as u32, &bytes, &[1, u32::MAX, 3]);
         p.tick(START + 60 * SECOND);
     }
 }
 
-/// A snapshot from the future, or one with times after it was taken, is rejected.
+/// A snapshot from the future, or with times after its own, is rejected: such times would overflow in later sums.
 #[test]
-fn snapshots_from_the_future() {
+fn snapshots_with_future_times_are_rejected() {
     let config = Config {
         name: "me".into(),
         ..Config::default()
@@ -282,41 +283,41 @@
     assert!(q.forecast(START + SECOND, &kind(1), SECOND).is_some());
 }
 
-/// One member is responsible for each kind; when it dies only its kinds move.
+/// When a member dies, only its kinds move to other members, and kinds are spread evenly.
 #[test]
-fn responsibility_moves_little() {
-    let living: Vec<Arc<str>> = (0..30).map(|n| format!("s{n}").into()).collect();
-    let without: Vec<Arc<str>> = living.iter().filter(|m| &***m != "s7").cloned().collect();
-    let mut of_dead = 0;
+fn only_the_kinds_of_a_dead_member_move() {
+    let live: Vec<Arc<str>> = (0..30).map(|n| format!("s{n}").into()).collect();
+    let without: Vec<Arc<str>> = live.iter().filter(|m| &***m != "s7").cloned().collect();
+    let mut moved = 0;
     let mut counts = BTreeMap::<&str, usize>::new();
     for n in 0..3_000 {
         let kind = Kind::new(&format!("C{n}"), "H1");
         let (before, after) = (
-            kind.responsible(&living).unwrap(),
+            kind.responsible(&live).unwrap(),
             kind.responsible(&without).unwrap(),
         );
         *counts.entry(before).or_default() += 1;
-        of_dead += usize::from(&**before == "s7");
+        moved += usize::from(&**before == "s7");
         assert!(before == after || &**before == "s7");
     }
-    assert!((70..140).contains(&of_dead), "{of_dead}");
+    assert!((70..140).contains(&moved), "{moved} kinds moved");
     assert!(counts.values().all(|c| (60..150).contains(c)), "{counts:?}");
 }
 
-/// Of a frequent kind only a sample is reported, and the others count about as many.
+/// Arrivals of a frequent kind are reported as a sample, from which the others estimate the number.
 #[test]
-fn frequent_kinds_are_reported_as_a_sample() {
+fn arrivals_of_frequent_kinds_are_sampled() {
     let config = Config {
         name: "s0".into(),
         ..Config::default()
     };
-    let (mut from, mut to) = (Prewarm::new(config.clone(), 1), Prewarm::new(config, 2));
-    let (hot, mut reported, mut counted) = (kind(0), Vec::new(), 0);
+    let (mut sender, mut receiver) = (Prewarm::new(config.clone(), 1), Prewarm::new(config, 2));
+    let (frequent, mut reported, mut estimated) = (kind(0), Vec::new(), 0);
     for i in 0..40 * 300_u64 {
         let now = START + i * SECOND / 40;
-        from.record_arrival(now, &hot, None);
-        from.tick(now);
-        reported.extend(from.take_raises());
+        sender.record_arrival(now, &frequent, None);
+        sender.tick(now);
+        reported.extend(sender.take_raises());
     }
     for raise in &reported {
         let Raise {
@@ -325,20 +326,22 @@
             index,
             add,
         } = raise;
-        let (_, thinning) = Kind::from_subject(subject).unwrap();
-        counted += add << thinning;
-        // Each raise as a row of its own owner: they only add up.
+        let (_, sampling_exponent) = Kind::from_subject(subject).unwrap();
+        estimated += add << sampling_exponent;
+        // Each increment is merged as the counts of a row of its own.
         let mut counts = vec![0; index + 1];
         counts[*index] = *add;
         let now = u64::from(*window) * 10 * SECOND + 10 * SECOND;
-        to.merge_row(now, "s1", *window, subject, &counts);
+        receiver.merge_row(now, "s1", *window, subject, &counts);
     }
-    // One in 64 is told: the deviation of the sum is about 900.
-    assert!((9_600..14_400).contains(&counted), "{counted} of 12000");
+    // One in 64 is reported, so the standard deviation of the estimate is about 900.
+    assert!((9_600..14_400).contains(&estimated), "{estimated} of 12000");
     assert!(
         reported.len() < 2_000,
         "{} raises for 12000 arrivals",
         reported.len()
     );
-    assert!(to.forecast(START + 300 * SECOND, &hot, SECOND).is_some());
+    assert!(receiver
+        .forecast(START + 300 * SECOND, &frequent, SECOND)
+        .is_some());
 }
--- a/crates/prewarm/tests/stored_form.rs
+++ b/crates/prewarm/tests/stored_form.rs
@@ -1,11 +1,11 @@
-//! The form of rows and of the snapshot: as an older build raised and wrote them.
+//! Checks that rows and snapshots keep the encoding of an older build.
 
 use std::fmt::Write as _;
 
 use oakshed_prewarm::{Config, Kind, Prewarm, SECOND};
 
 const START: u64 = 1_700_000_000 * SECOND;
-/// Lines of rows, and one of the snapshot.
+/// One line per increment of a row, then the snapshot.
 const FIXTURE: &str = include_str!("fixtures/stored-v1.txt");
 
 fn hex(bytes: &[u8]) -> String {
@@ -16,7 +16,7 @@
     text
 }
 
-/// A member that has had arrivals of three kinds in 60 s.
+/// A member with 60 s of arrivals of three kinds. Its row increments are appended to `lines`.
 fn member(lines: &mut String) -> Prewarm {
     let config = Config {
         name: "s0".into(),
@@ -45,12 +45,15 @@
 }
 
 #[test]
-fn rows_and_the_snapshot_are_as_an_older_build_wrote_them() {
+fn rows_and_snapshots_keep_their_encoding() {
     let mut lines = String::new();
     let prewarm = member(&mut lines);
     let snapshot = prewarm.snapshot(START + 70 * SECOND);
     writeln!(lines, "snapshot {}", hex(&snapshot)).expect("writing to memory");
-    assert!(lines == FIXTURE, "the form has changed");
+    assert!(
+        lines == FIXTURE,
+        "the encoding of rows or of the snapshot has changed"
+    );
 }
 
 #[test]
--- a/crates/prewarm/tests/takeover.rs
+++ b/crates/prewarm/tests/takeover.rs
@@ -1,5 +1,5 @@
-//! Four members over real shared rows: a periodic kind, the death of the responsible member, and a partition, drawn
-//! as a timeline.
+//! Four members with real shared rows and a periodic kind: the death of the responsible member, and a partition. The
+//! calls and jobs are checked against a timeline.
 
 use std::sync::Arc;
 
@@ -13,18 +13,18 @@
 struct Member {
     prewarm: Prewarm,
     rows: Rows,
-    read: u64,
+    read_revision: u64,
     up: bool,
 }
 
 struct Fleet {
     members: Vec<Member>,
-    /// When the class is dropped, by worker.
-    warm: Vec<u64>,
-    line: Timeline,
+    /// When the keep-alive of the class ends, by worker.
+    warm_until: Vec<u64>,
+    timeline: Timeline,
     /// When the timeline begins.
-    drawn: u64,
-    split: bool,
+    timeline_start: u64,
+    is_partitioned: bool,
 }
 
 fn kind() -> Kind {
@@ -32,12 +32,12 @@
 }
 
 impl Member {
-    /// Merges the rows of all others, where any has changed.
+    /// Merges the rows of all other members if any has changed.
     fn read_rows(&mut self, now: u64) {
-        if self.rows.revision() == self.read {
+        if self.rows.revision() == self.read_revision {
             return;
         }
-        self.read = self.rows.revision();
+        self.read_revision = self.rows.revision();
         let me = self.rows.me().clone();
         let prewarm = &mut self.prewarm;
         self.rows.fold(TABLE, |owner, window, subject, counts| {
@@ -50,7 +50,7 @@
 }
 
 impl Fleet {
-    fn new(drawn: u64) -> Fleet {
+    fn new(timeline_start: u64) -> Fleet {
         let member = |n: usize| {
             let config = Config {
                 name: format!("s{n}").into(),
@@ -63,50 +63,50 @@
             Member {
                 prewarm,
                 rows: Rows::new(owner, Limits::default(), START),
-                read: 0,
+                read_revision: 0,
                 up: true,
             }
         };
         let mut fleet = Fleet {
             members: (0..4).map(member).collect(),
-            warm: vec![0; 3],
-            line: Timeline::new(["s0", "s1", "s2", "s3", "w0", "w1", "w2"]),
-            drawn,
-            split: false,
+            warm_until: vec![0; 3],
+            timeline: Timeline::new(["s0", "s1", "s2", "s3", "w0", "w1", "w2"]),
+            timeline_start,
+            is_partitioned: false,
         };
         fleet.notify_members();
         fleet
     }
 
-    /// Membership notifies each member of the living.
+    /// Gives each member the list of members that it can reach.
     fn notify_members(&mut self) {
         for n in 0..4 {
-            let living: Vec<Arc<str>> = (0..4)
+            let live: Vec<Arc<str>> = (0..4)
                 .filter(|m| self.members[*m].up && self.is_linked(n, *m))
                 .map(|m| format!("s{m}").into())
                 .collect();
-            self.members[n].prewarm.set_members(&living);
+            self.members[n].prewarm.set_members(&live);
         }
     }
 
     fn responsible(&self, among: &[usize]) -> usize {
         let names: Vec<Arc<str>> = among.iter().map(|n| format!("s{n}").into()).collect();
-        let who = kind().responsible(&names).cloned();
+        let responsible = kind().responsible(&names).cloned();
         among
             .iter()
             .copied()
-            .find(|n| who.as_deref() == Some(&*format!("s{n}")))
+            .find(|n| responsible.as_deref() == Some(&*format!("s{n}")))
             .unwrap()
     }
 
-    fn event(&mut self, now: u64, node: usize, word: String) {
-        if now >= self.drawn {
-            self.line.event(now - START, node, word);
+    fn event(&mut self, now: u64, node: usize, label: String) {
+        if now >= self.timeline_start {
+            self.timeline.event(now - START, node, label);
         }
     }
 
-    /// What the program does each second: raise rows, exchange rows, tick, carry out calls.
-    fn second(&mut self, now: u64) {
+    /// The work of each second: raise rows, exchange rows, tick, carry out calls.
+    fn advance_to(&mut self, now: u64) {
         for n in self.up() {
             let Member { prewarm, rows, .. } = &mut self.members[n];
             rows.expire(now);
@@ -120,7 +120,7 @@
         for n in self.up() {
             self.members[n].read_rows(now);
             self.members[n].prewarm.tick(now);
-            self.calls(n, now);
+            self.apply_effects(n, now);
         }
     }
 
@@ -129,7 +129,7 @@
     }
 
     fn is_linked(&self, a: usize, b: usize) -> bool {
-        !self.split || (a < 2) == (b < 2)
+        !self.is_partitioned || (a < 2) == (b < 2)
     }
 
     fn exchange_rows(&mut self) {
@@ -146,30 +146,30 @@
         }
     }
 
-    fn calls(&mut self, n: usize, now: u64) {
+    fn apply_effects(&mut self, n: usize, now: u64) {
         while let Some(Effect::Prepare {
             worker, keep_ms, ..
         }) = self.members[n].prewarm.poll_effect()
         {
             let w: usize = worker[1..].parse().unwrap();
-            self.warm[w] = self.warm[w].max(now + keep_ms * 1_000);
-            if now >= self.drawn {
+            self.warm_until[w] = self.warm_until[w].max(now + keep_ms * 1_000);
+            if now >= self.timeline_start {
                 let label = format!("keep {}s", keep_ms / 1_000);
-                self.line
+                self.timeline
                     .message(now - START, n, 4 + w, Some(now - START), label);
             }
         }
     }
 
-    /// A job comes to a member; returns whether it found a warm worker.
-    fn job(&mut self, n: usize, now: u64) -> bool {
+    /// Runs a job that arrives at a member, and returns whether it found a warm worker.
+    fn run_job(&mut self, n: usize, now: u64) -> bool {
         let order = self.members[n].prewarm.worker_order(&kind());
-        let places: Vec<usize> = order.iter().map(|w| w[1..].parse().unwrap()).collect();
-        let warm = places.iter().copied().find(|w| self.warm[*w] > now);
-        let w = warm.unwrap_or(places[0]);
+        let workers: Vec<usize> = order.iter().map(|w| w[1..].parse().unwrap()).collect();
+        let warm = workers.iter().copied().find(|w| self.warm_until[*w] > now);
+        let w = warm.unwrap_or(workers[0]);
         let label = format!("job {}", if warm.is_some() { "warm" } else { "COLD" });
-        if now >= self.drawn {
-            self.line
+        if now >= self.timeline_start {
+            self.timeline
                 .message(now - START, n, 4 + w, Some(now - START), label);
         }
         let worker = format!("w{w}");
@@ -179,7 +179,7 @@
         self.members[n]
             .prewarm
             .record_running_time(&kind(), SECOND / 2);
-        self.calls(n, now);
+        self.apply_effects(n, now);
         warm.is_some()
     }
 }
@@ -198,69 +198,73 @@
     }
 }
 
-/// The second at which the job comes before which the responsible member dies.
-const FIRST: u64 = 30 * PERIOD;
+/// The arrival of the job shortly before which the responsible member dies, in seconds since the start.
+const FAULT_JOB: u64 = 30 * PERIOD;
 
-/// The faults of a second: the responsible member dies and restarts, and the fleet is partitioned once.
+/// Applies the faults of second `s`: the responsible member dies and restarts, and the fleet is partitioned once.
 fn inject_faults(fleet: &mut Fleet, responsible: usize, s: u64) {
     let now = START + s * SECOND;
-    if s == FIRST - 12 {
-        // Dies as the next call is due, and is known to be dead 5 s later.
+    if s == FAULT_JOB - 12 {
+        // The member dies when its next call is due. The others detect it 5 s later.
         fleet.members[responsible].up = false;
         fleet.event(now, responsible, "kill".into());
     }
-    if s == FIRST - 7 {
+    if s == FAULT_JOB - 7 {
         fleet.notify_members();
         let next = fleet.responsible(&fleet.up());
         fleet.event(now, next, format!("s{responsible} dead: mine"));
     }
-    if s == FIRST + PERIOD {
+    if s == FAULT_JOB + PERIOD {
         fleet.members[responsible].up = true;
         fleet.notify_members();
         fleet.event(now, responsible, "back".into());
     }
-    if s == FIRST + 2 * PERIOD - 40 || s == FIRST + 2 * PERIOD + 20 {
-        fleet.split = !fleet.split;
+    if s == FAULT_JOB + 2 * PERIOD - 40 || s == FAULT_JOB + 2 * PERIOD + 20 {
+        fleet.is_partitioned = !fleet.is_partitioned;
         fleet.notify_members();
         for n in 0..4 {
             let cut = if n < 2 { "cut | s2 s3" } else { "cut | s0 s1" };
-            let label = if fleet.split { cut } else { "healed" };
+            let label = if fleet.is_partitioned { cut } else { "healed" };
             fleet.event(now, n, label.into());
         }
     }
 }
 
-/// Jobs every five minutes, each to another member, so that none sees the period alone.
+/// Consecutive jobs arrive at different members, so that no member sees the period of five minutes on its own.
 #[test]
 fn the_next_member_takes_over_and_each_side_of_a_partition_warms() {
-    let mut fleet = Fleet::new(START + (FIRST - 40) * SECOND);
+    let mut fleet = Fleet::new(START + (FAULT_JOB - 40) * SECOND);
     let responsible = fleet.responsible(&[0, 1, 2, 3]);
     let mut found_warm = Vec::new();
     let mut receiver = 0;
-    for s in 1..FIRST + 3 * PERIOD + 20 {
+    for s in 1..FAULT_JOB + 3 * PERIOD + 20 {
         let now = START + s * SECOND;
         inject_faults(&mut fleet, responsible, s);
-        fleet.second(now);
+        fleet.advance_to(now);
         if s % PERIOD == 0 {
             receiver = (receiver + 1) % 4;
             if !fleet.members[receiver].up {
                 receiver = (receiver + 1) % 4;
             }
-            // A little earlier or later each time.
+            // The period has some jitter.
             let at = now + (s / PERIOD % 7) * 300_000;
-            found_warm.push(fleet.job(receiver, at));
+            found_warm.push(fleet.run_job(receiver, at));
         }
-        let warm = fleet.warm.iter().filter(|until| **until > now).count();
+        let warm = fleet
+            .warm_until
+            .iter()
+            .filter(|until| **until > now)
+            .count();
         assert!(
             warm <= 2,
-            "{warm} workers warm for one kind at a time, at second {s}"
+            "{warm} workers are warm for one kind at second {s}"
         );
     }
     assert!(
         found_warm[10..].iter().all(|warm| *warm),
-        "after ten periods each job finds a warm worker: {found_warm:?}"
+        "a job after the first ten periods found no warm worker: {found_warm:?}"
     );
-    let picture = fleet.line.draw(&Style {
+    let picture = fleet.timeline.draw(&Style {
         width: 130,
         quiet: 5 * SECOND,
         step: 100_000,
