--- a/crates/prewarm/tests/stored_form.rs
+++ b/crates/prewarm/tests/stored_form.rs
@@ -1,11 +1,11 @@
-//! The form of rows and of the snapshot: as an older build raised and wrote them.
+//! Checks that rows and snapshots keep the encoding of an older build.
 
 use std::fmt::Write as _;
 
 use oakshed_prewarm::{Config, Kind, Prewarm, SECOND};
 
 const START: u64 = 1_700_000_000 * SECOND;
-/// Lines of rows, and one of the snapshot.
+/// One line per increment of a row, then the snapshot.
 const FIXTURE: &str = include_str!("fixtures/stored-v1.txt");
 
 fn hex(bytes: &[u8]) -> String {
@@ -16,7 +16,7 @@
     text
 }
 
-/// A member that has had arrivals of three kinds in 60 s.
+/// A member with 60 s of arrivals of three kinds. Its row increments are appended to `lines`.
 fn member(lines: &mut String) -> Prewarm {
     let config = Config {
         name: "s0".into(),
@@ -31,10 +31,10 @@
     for second in 0..60 {
         let now = START + second * SECOND;
         let kind = &kinds[second as usize % 7 % 3];
-        prewarm.arrival(now, kind, None);
-        prewarm.ended(kind, SECOND / 2 + second * 10_000);
+        prewarm.record_arrival(now, kind, None);
+        prewarm.record_running_time(kind, SECOND / 2 + second * 10_000);
         prewarm.tick(now);
-        for raise in prewarm.rows() {
+        for raise in prewarm.take_raises() {
             let subject = hex(&raise.subject);
             let (window, index, add) = (raise.window, raise.index, raise.add);
             writeln!(lines, "row {window} {subject} {index} {add}").expect("writing to memory");
@@ -45,12 +45,15 @@
 }
 
 #[test]
-fn rows_and_the_snapshot_are_as_an_older_build_wrote_them() {
+fn rows_and_snapshots_keep_their_encoding() {
     let mut lines = String::new();
     let prewarm = member(&mut lines);
     let snapshot = prewarm.snapshot(START + 70 * SECOND);
     writeln!(lines, "snapshot {}", hex(&snapshot)).expect("writing to memory");
-    assert!(lines == FIXTURE, "the form has changed");
+    assert!(
+        lines == FIXTURE,
+        "the encoding of rows or of the snapshot has changed"
+    );
 }
 
 #[test]
@@ -70,8 +73,8 @@
     assert!(restored.restore(now, &bytes).is_ok());
     let mut original = member(&mut String::new());
     for kind in [Kind::new("RULES", "H1"), Kind::new("PLATES", "H1")] {
-        let expected = original.likelihood(now, &kind, 30 * SECOND);
+        let expected = original.forecast(now, &kind, 30 * SECOND);
         assert!(expected.is_some());
-        assert_eq!(restored.likelihood(now, &kind, 30 * SECOND), expected);
+        assert_eq!(restored.forecast(now, &kind, 30 * SECOND), expected);
     }
 }
