--- a/crates/server/tests/common/mod.rs
+++ b/crates/server/tests/common/mod.rs
@@ -1,23 +1,22 @@
-//! What the tests of durable jobs share: a directory, an order with a key, a job's name.
-//!
-//! It owns no process and checks nothing; what is started here must end with its test.
+//! Helpers for tests of durable jobs: temporary directories, requests with an idempotency key, and job ids.
 
 use std::path::PathBuf;
 
 use oakshed_standin::request;
 
-/// A directory that goes with its test.
-pub struct Dir(pub PathBuf);
+/// A temporary directory, removed when dropped.
+pub struct TestDir(pub PathBuf);
 
-impl Dir {
-    pub fn new(name: &str) -> Dir {
+impl TestDir {
+    pub fn new(name: &str) -> TestDir {
         let path = std::env::temp_dir().join(format!("oakshed-{name}-{}", std::process::id()));
         _ = std::fs::remove_dir_all(&path);
-        std::fs::create_dir_all(&path).expect("made");
-        Dir(path)
+        std::fs::create_dir_all(&path).expect("directory created");
+        TestDir(path)
     }
 
-    pub fn operator(&self, leases: bool) -> String {
+    /// The text of an operator's file that enables durable jobs, with the store in this directory.
+    pub fn operator_config(&self, leases: bool) -> String {
         let dir = self.0.join("store");
         format!(
             r#"{{"jobs":{{"dir":"{}","leases":{leases},"lease_ms":300,"segment_mb":1}}}}"#,
@@ -26,21 +25,22 @@
     }
 }
 
-impl Drop for Dir {
+impl Drop for TestDir {
     fn drop(&mut self) {
         _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-pub fn keyed(class: &str, id: &str, key: &str, more: &str) -> String {
+/// A request with an `Idempotency-Key`; each line of `extra_headers` ends with CRLF.
+pub fn keyed_request(class: &str, id: &str, key: &str, extra_headers: &str) -> String {
     let text = request(class, id).replace("Idempotency-Key: 5c0f\r\n", "");
     text.replace(
         "Content-Length",
-        &format!("Idempotency-Key: {key}\r\n{more}Content-Length"),
+        &format!("Idempotency-Key: {key}\r\n{extra_headers}Content-Length"),
     )
 }
 
-/// A job's name as workers see it.
+/// The id of the job with this idempotency key, as the store, workers and clients see it.
 pub fn job_id(key: &str) -> String {
     oakshed_jobs::record::JobId::of(
         b"storholt-bilar",
--- a/crates/server/tests/common/readiness.rs
+++ b/crates/server/tests/common/readiness.rs
@@ -1,18 +1,17 @@
-//! Whether a scheduler is ready, as the platform polls it.
+//! Readiness checks of a scheduler through `GET /ready`.
 
 use std::net::SocketAddr;
 
 use oakshed_standin::{send_raw, until};
 
-/// A request for the scheduler's readiness.
+/// The text of a readiness request.
 pub const READY: &str = "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n";
 
-/// Whether the scheduler at an address is up and ready.
+/// Whether a scheduler answers at this address and reports that it is ready.
 pub fn is_ready(address: SocketAddr) -> bool {
     send_raw(address, READY).is_some_and(|answer| answer.status() == 200)
 }
 
-/// Waits until the scheduler at an address is ready.
 pub fn until_ready(address: SocketAddr) {
-    until("ready", || is_ready(address));
+    until("readiness", || is_ready(address));
 }
--- a/crates/server/tests/common/requests.rs
+++ b/crates/server/tests/common/requests.rs
@@ -1,10 +1,11 @@
-//! Requests in a row, each of which must be served.
+//! Sequences of requests that must all succeed.
 
 use std::ops::Range;
 
 use oakshed_standin::{request, Program};
 
-/// Sends a transfer for each number, one after the other, each on a connection of its own.
+/// Sends one transfer for each number, sequentially and each on a new connection, and checks that it is answered with
+/// 200.
 #[track_caller]
 pub fn assert_all_served(program: &Program, prefix: &str, numbers: Range<usize>) {
     for number in numbers {
--- a/crates/server/tests/compatibility/hot_restart.rs
+++ b/crates/server/tests/compatibility/hot_restart.rs
@@ -1,4 +1,4 @@
-//! A hot restart in which the other process is of an earlier version.
+//! Hot restarts in which the other process has an earlier version, which is replayed from recordings.
 
 use std::io::{IoSlice, IoSliceMut, Read, Write};
 use std::mem::MaybeUninit;
@@ -16,8 +16,8 @@
 
 use super::{fixture, fixture_bytes, fixture_text};
 
-/// The name of the Unix socket on which a predecessor answers.
-const SOCKET: &str = "handover";
+/// The file name of the Unix socket on which a process waits for its successor.
+const SOCKET_NAME: &str = "handover";
 
 /// Starts a process of this version with the recorded configuration.
 fn start(place: &Place) -> Program {
@@ -34,7 +34,8 @@
     Program::run(&mut command, path)
 }
 
-/// A predecessor of the recorded version: it sends the recorded message, and expects the recorded bytes.
+/// A predecessor of the recorded version: sends the recorded message, and requires the successor to send the recorded
+/// bytes.
 struct RecordedPredecessor {
     socket: UnixListener,
     listener: TcpListener,
@@ -44,37 +45,49 @@
     fn new(place: &Place) -> RecordedPredecessor {
         std::fs::create_dir_all(place.shared()).expect("created");
         RecordedPredecessor {
-            socket: UnixListener::bind(place.shared().join(SOCKET)).expect("bound"),
+            socket: UnixListener::bind(place.shared().join(SOCKET_NAME)).expect("bound"),
             listener: TcpListener::bind(place.listen).expect("bound"),
         }
     }
 
-    /// Serves one successor until it says that it is ready; returns the connection, whose end is this process's.
+    /// Hands over to one successor and waits until that reports that it is ready. The successor takes the end of the
+    /// returned connection for the exit of its predecessor.
     fn hand_over(self) -> UnixStream {
-        let (mut link, _) = self.socket.accept().expect("a successor");
-        link.set_read_timeout(Some(PATIENCE)).expect("a limit");
-        expect_bytes(&mut link, &fixture_bytes("hot-restart/successor-hello"));
+        let (mut connection, _) = self.socket.accept().expect("a successor");
+        connection
+            .set_read_timeout(Some(PATIENCE))
+            .expect("a read timeout");
+        expect_bytes(
+            &mut connection,
+            &fixture_bytes("hot-restart/successor-hello"),
+        );
         let message = fixture_bytes("hot-restart/predecessor-message");
-        let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-        let mut control = SendAncillaryBuffer::new(&mut space);
+        let mut control_space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+        let mut control = SendAncillaryBuffer::new(&mut control_space);
         let descriptors = [self.listener.as_fd()];
         assert!(control.push(SendAncillaryMessage::ScmRights(&descriptors)));
         let parts = [IoSlice::new(&message)];
-        let sent = sendmsg(&link, &parts, &mut control, SendFlags::NOSIGNAL);
+        let sent = sendmsg(&connection, &parts, &mut control, SendFlags::NOSIGNAL);
         assert_eq!(sent, Ok(message.len()));
-        expect_bytes(&mut link, &fixture_bytes("hot-restart/successor-ready"));
-        link
+        expect_bytes(
+            &mut connection,
+            &fixture_bytes("hot-restart/successor-ready"),
+        );
+        connection
     }
 }
 
-fn expect_bytes(link: &mut UnixStream, expected: &[u8]) {
+fn expect_bytes(connection: &mut UnixStream, expected: &[u8]) {
     let mut bytes = vec![0; expected.len()];
-    link.read_exact(&mut bytes).expect("so many bytes");
+    connection
+        .read_exact(&mut bytes)
+        .expect("the expected number of bytes");
     assert_eq!(bytes, expected);
 }
 
-/// The body of a message behind the line with its length.
-fn body(message: &[u8]) -> Value {
+/// Parses a message, which is a line with the length of the body and the body. Sorts its endpoint list, which has no
+/// defined order.
+fn parse_message(message: &[u8]) -> Value {
     let line_end = message.iter().position(|byte| *byte == b'\n');
     let (line, body) = message.split_at(line_end.expect("a line") + 1);
     let length: usize = String::from_utf8_lossy(line)
@@ -83,7 +96,6 @@
         .expect("a length");
     assert_eq!(body.len(), length);
     let mut body: Value = serde_json::from_slice(body).expect("JSON");
-    // The list has no order.
     let instances = body["list"]["instances"].as_array_mut();
     instances
         .expect("a list")
@@ -91,33 +103,43 @@
     body
 }
 
-/// A successor of the recorded version: it sends the recorded bytes, and takes socket and message.
+/// Acts as a successor of the recorded version: sends the recorded bytes, and receives the listening socket and the
+/// message.
 fn take_over(place: &Place) -> (UnixStream, Option<OwnedFd>, Value) {
-    let mut link = UnixStream::connect(place.shared().join(SOCKET)).expect("a predecessor");
-    link.set_read_timeout(Some(PATIENCE)).expect("a limit");
-    link.write_all(&fixture_bytes("hot-restart/successor-hello"))
+    let mut connection =
+        UnixStream::connect(place.shared().join(SOCKET_NAME)).expect("a predecessor");
+    connection
+        .set_read_timeout(Some(PATIENCE))
+        .expect("a read timeout");
+    connection
+        .write_all(&fixture_bytes("hot-restart/successor-hello"))
         .expect("written");
-    let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
-    let mut control = RecvAncillaryBuffer::new(&mut space);
-    // As much as the recorded version takes at once.
+    let mut control_space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(1))];
+    let mut control = RecvAncillaryBuffer::new(&mut control_space);
+    // The size of a read of the recorded version.
     let mut buffer = vec![0; 16 << 10];
     let parts = &mut [IoSliceMut::new(&mut buffer)];
-    let received = recvmsg(&link, parts, &mut control, RecvFlags::CMSG_CLOEXEC).expect("a message");
+    let received =
+        recvmsg(&connection, parts, &mut control, RecvFlags::CMSG_CLOEXEC).expect("a message");
     let descriptor = control.drain().find_map(|message| match message {
         RecvAncillaryMessage::ScmRights(mut descriptors) => descriptors.next(),
         _ => None,
     });
-    (link, descriptor, body(&buffer[..received.bytes]))
+    (
+        connection,
+        descriptor,
+        parse_message(&buffer[..received.bytes]),
+    )
 }
 
-/// First this version takes over from the recorded one, then the recorded one from this version.
+/// This version takes over from the recorded one, and then the recorded one from this version.
 #[test]
-fn an_old_process_is_taken_over_from_and_takes_over() {
+fn hot_restart_from_and_to_a_recorded_version_succeeds() {
     let place = Place::new();
     let predecessor = RecordedPredecessor::new(&place);
-    let handed_over = std::thread::spawn(move || predecessor.hand_over());
+    let handover = std::thread::spawn(move || predecessor.hand_over());
     let program = start(&place);
-    let link = handed_over.join().expect("the hand-over");
+    let connection = handover.join().expect("a completed handover");
     let log = program.log();
     assert!(
         log.contains("took over the socket of the predecessor"),
@@ -128,20 +150,21 @@
     until("readyz", || {
         call(program.admin(), "readyz").starts_with("YES")
     });
-    // One worker is backed off from for the 71 ms that were left, and is unavailable for as long.
-    until("the recorded figures", || {
+    // One worker counts as unavailable until its backoff ends, of which 71 ms were left in the recorded message.
+    until("the recorded telemetry", || {
         call(program.admin(), "telemetry") == fixture_text("hot-restart/telemetry.txt")
     });
-    drop(link);
-    until("the predecessor's end", || {
+    drop(connection);
+    until("the predecessor's exit in the log", || {
         program.log().contains("the predecessor has exited")
     });
 
-    let (mut link, descriptor, message) = take_over(&place);
+    let (mut connection, descriptor, message) = take_over(&place);
     let listener = TcpListener::from(descriptor.expect("a socket"));
     assert_eq!(listener.local_addr().ok(), Some(place.listen));
-    // As nothing was served in between, it is what the first predecessor knew; the backoff has ended.
-    let recorded = body(&fixture_bytes("hot-restart/predecessor-message"));
+    // Nothing was served in between, so the learned state is that of the recorded predecessor, except for the backoff,
+    // which has ended.
+    let recorded = parse_message(&fixture_bytes("hot-restart/predecessor-message"));
     for part in [
         "/under",
         "/list",
@@ -152,9 +175,10 @@
         assert_eq!(message.pointer(part), recorded.pointer(part), "{part}");
     }
     assert!(message["learned"]["avoided"].is_array(), "{message}");
-    link.write_all(&fixture_bytes("hot-restart/successor-ready"))
+    connection
+        .write_all(&fixture_bytes("hot-restart/successor-ready"))
         .expect("written");
-    until("the successor's word", || {
+    until("the successor's readiness in the log", || {
         program.log().contains("the successor is ready")
     });
 }
--- a/crates/server/tests/compatibility/store.rs
+++ b/crates/server/tests/compatibility/store.rs
@@ -1,4 +1,4 @@
-//! A store of durable jobs that an earlier version has written.
+//! A store of durable jobs that was written by an earlier version.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -7,7 +7,7 @@
 use std::process::Command;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use common::{job_id, keyed, Dir};
+use common::{job_id, keyed_request, TestDir};
 use oakshed_fault_injection::Faults;
 use oakshed_jobs::disk::Disk;
 use oakshed_jobs::log::Log;
@@ -17,20 +17,19 @@
 
 use super::{fixture, fixture_text};
 
-/// The size of the recorded segments, whose trailing zeros are left out, in bytes.
+/// The full size of a segment in bytes; the recorded files omit trailing zeros.
 const SEGMENT_SIZE: usize = 1 << 20;
-/// When the store was recorded, by the wall clock: its last second, since 1970.
+/// The Unix time at which the recording ended.
 const RECORDED_AT: Duration = Duration::from_secs(1_796_212_568);
-/// How long after the recording the store is read: all deadlines are over, and the answers are still retained.
+/// How long after the recording its store is opened: all deadlines have passed, and the answers are still retained.
 const READ_AFTER: Duration = Duration::from_secs(600);
-/// The longest time for which the operator's file can have answers retained, in seconds.
-const LONGEST_RETENTION_S: u64 = 2_592_000;
-/// Microseconds in a second.
-const SECOND: u64 = 1_000_000;
-/// The records of the store; behind them is half of a further one.
-const RECORDS: usize = 44;
+/// The largest `keep_answers_s` that an operator's file may have.
+const MAX_RETENTION_S: u64 = 2_592_000;
+const SECOND_US: u64 = 1_000_000;
+/// The number of complete records in the store; a torn one follows them.
+const RECORD_COUNT: usize = 44;
 
-/// Copies the recorded store into a folder, each segment at its full size.
+/// Copies the recorded store into a directory, and extends each segment to its full size.
 fn copy_store(folder: &Path) {
     std::fs::create_dir_all(folder).expect("created");
     for entry in std::fs::read_dir(fixture("jobs/store")).expect("the recorded store") {
@@ -41,7 +40,7 @@
     }
 }
 
-/// What `oakshed jobs` prints.
+/// Runs `oakshed jobs` on a store and returns its standard output.
 fn jobs_command(folder: &Path, arguments: &[&str]) -> String {
     let output = Command::new(Program::binary())
         .arg("jobs")
@@ -55,8 +54,8 @@
 }
 
 #[test]
-fn the_jobs_command_prints_of_an_old_store_what_the_old_version_printed() {
-    let dir = Dir::new("old-store-printed");
+fn jobs_command_output_for_a_recorded_store_is_unchanged() {
+    let dir = TestDir::new("old-store-printed");
     let folder = dir.0.join("store");
     copy_store(&folder);
     for (arguments, recorded) in [
@@ -71,14 +70,14 @@
     }
 }
 
-/// The jobs as a start with the recorded store restores them.
+/// Restores the jobs of the recorded store, as a start does.
 fn restore(folder: &Path) -> Jobs {
     copy_store(folder);
-    let disk = Disk::lock(folder).expect("the folder");
+    let disk = Disk::lock(folder).expect("the directory");
     let (log, recovered) = Log::open(disk, SEGMENT_SIZE).expect("a store that can be opened");
-    assert_eq!(recovered.records.len(), RECORDS);
-    let cut = recovered.torn_tail.as_ref().map(|tail| tail.file.as_str());
-    assert_eq!(cut, Some("00000000000000000037.log"));
+    assert_eq!(recovered.records.len(), RECORD_COUNT);
+    let torn_file = recovered.torn_tail.as_ref().map(|tail| tail.file.as_str());
+    assert_eq!(torn_file, Some("00000000000000000037.log"));
     let last_start = recovered
         .records
         .iter()
@@ -89,11 +88,11 @@
             } => Some((*wall, *boot, *uptime)),
             _ => None,
         });
-    let (wall, boot, uptime) = last_start.expect("the start of the last life");
+    let (wall, boot, uptime) = last_start.expect("the start of the last incarnation");
     let limits = Limits {
         leases: true,
-        lease: SECOND,
-        retention: 3_600 * SECOND,
+        lease: SECOND_US,
+        retention: 3_600 * SECOND_US,
         max_open: 100,
         max_jobs: 100,
         max_bytes: SEGMENT_SIZE,
@@ -102,24 +101,24 @@
         classes: vec!["transfer".into(), "new-plate".into()],
         tenants: vec!["storholt-bilar".into()],
     };
-    // On the machine on which it was written, a second after the last life began.
+    // The same boot of the machine, a second after the start of the last recorded incarnation.
     let boot = Boot {
         id: boot,
-        uptime: uptime + SECOND,
+        uptime: uptime + SECOND_US,
     };
     Jobs::restore(
         limits,
         names,
         recovered.records,
         log.next(),
-        wall + SECOND,
+        wall + SECOND_US,
         boot,
     )
 }
 
 #[test]
-fn an_old_store_is_restored_with_the_state_of_each_job() {
-    let dir = Dir::new("old-store-restored");
+fn recorded_store_is_restored_with_the_state_of_each_job() {
+    let dir = TestDir::new("old-store-restored");
     let jobs = restore(&dir.0.join("store"));
     let result = |key: &str| Some(Answer::Served(format!("made {}", job_id(key)).into_bytes()));
     let rejected = Some(Answer::Rejected(Some(135_000)));
@@ -145,19 +144,22 @@
     assert_eq!((sizes.open, sizes.indeterminate, sizes.jobs), (2, 1, 10));
 }
 
-/// Starts the program on the copied store, by a wall clock of soon after the recording. Guards against a test that fails
-/// once the answers have expired. On the machine of the recording time is counted by its uptime, which has no offset:
-/// there the longest retention that the operator's file allows has to do.
-fn start_soon_after_recording(discovery: &Discovery, dir: &Dir) -> Program {
+/// Starts the program on the copied store with its wall clock set to shortly after the recording, as the retained
+/// answers would have expired by the current time. If the machine has not been rebooted since the recording, the
+/// program measures the time since then by the uptime, which has no offset; the longest retention that the operator's
+/// file allows is therefore set too.
+fn start_soon_after_recording(discovery: &Discovery, dir: &TestDir) -> Program {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .expect("after 1970");
-    let wanted = RECORDED_AT + READ_AFTER;
+    let target = RECORDED_AT + READ_AFTER;
     let clock = Faults::new("");
-    clock.set_clock_offset(wanted.as_millis() as i64 - now.as_millis() as i64);
+    clock.set_clock_offset(target.as_millis() as i64 - now.as_millis() as i64);
     let operator = dir.0.join("operator.json");
-    let retained = format!(r#""keep_answers_s":{LONGEST_RETENTION_S},"lease_ms""#);
-    let text = dir.operator(true).replace(r#""lease_ms""#, &retained);
+    let retained = format!(r#""keep_answers_s":{MAX_RETENTION_S},"lease_ms""#);
+    let text = dir
+        .operator_config(true)
+        .replace(r#""lease_ms""#, &retained);
     assert!(text.contains(&retained), "{text}");
     std::fs::write(&operator, text).expect("written");
     let path = config(discovery.peer.address, "null", 1024);
@@ -174,42 +176,42 @@
     program
 }
 
-/// What the program says of a job, once it is over.
-fn state(program: &Program, key: &str) -> String {
+/// Waits until a job has its final answer and returns its status document.
+fn wait_for_status(program: &Program, key: &str) -> String {
     let id = job_id(key);
     let text = format!("GET /jobs/{id} HTTP/1.1\r\nHost: x\r\nPrefer: wait=10\r\n\r\n");
     String::from_utf8(program.send(&text).body).expect("text")
 }
 
 #[test]
-fn a_process_serves_from_an_old_store_and_sends_none_of_its_jobs_again() {
-    let dir = Dir::new("old-store-served");
+fn recorded_jobs_keep_their_answers_and_are_not_forwarded_again() {
+    let dir = TestDir::new("old-store-served");
     copy_store(&dir.0.join("store"));
     let worker = Peer::new(|message, stream| oakshed_standin::done(message, stream, "new"));
     let discovery = Discovery::new(&[("s-9", worker.address)]);
     let program = start_soon_after_recording(&discovery, &dir);
-    // The answers that were final stay, and come without a worker.
-    let ask = |class: &str, key: &str| program.send(&keyed(class, "id-again", key, ""));
+    // Final answers are retained and are served without a worker.
+    let send = |class: &str, key: &str| program.send(&keyed_request(class, "id-again", key, ""));
     for (class, key) in [
         ("transfer", "k-served"),
         ("new-plate", "k-plate"),
         ("transfer", "k-detached"),
     ] {
-        let answer: Message = ask(class, key);
+        let answer: Message = send(class, key);
         assert_eq!(answer.status(), 200, "{key}");
         assert_eq!(answer.body, format!("made {}", job_id(key)).into_bytes());
     }
     for key in ["k-doubt", "k-ran", "k-never"] {
-        assert_eq!(ask("transfer", key).status(), 502, "{key}");
+        assert_eq!(send("transfer", key).status(), 502, "{key}");
     }
-    assert_eq!(ask("transfer", "k-withdrawn").status(), 410);
-    // What was open: one may have run at a worker that is not there any more, the other was never sent.
-    let open = state(&program, "k-open");
+    assert_eq!(send("transfer", "k-withdrawn").status(), 410);
+    // Of the two open jobs, one may have run at a worker that is no longer listed, and the other was never sent.
+    let open = wait_for_status(&program, "k-open");
     assert!(open.contains(r#""state":"failed""#), "{open}");
     assert!(open.contains(r#""worker":"s-3""#), "{open}");
-    let waits = state(&program, "k-waits");
+    let waits = wait_for_status(&program, "k-waits");
     assert!(waits.contains(r#""state":"refused""#), "{waits}");
-    assert_eq!(worker.count(), 0, "nothing was sent again");
+    assert_eq!(worker.count(), 0, "a recorded job was forwarded again");
     assert!(
         program.log().contains("ended in a torn write"),
         "{}",
--- a/crates/server/tests/durable_outages.rs
+++ b/crates/server/tests/durable_outages.rs
@@ -1,7 +1,7 @@
-//! Durable jobs in a real process whose disk fails for a while, by faults of its system calls.
+//! Durable jobs while the disk of the store fails temporarily, through injected faults of system calls.
 //!
-//! It owns what clients are promised then: each call has an answer, no transfer runs twice, and a final answer
-//! stays the same over the outage, a kill amid it, and the next process.
+//! Each call has an answer, no transfer runs twice, and a final answer stays the same through the outage, a kill during
+//! it and the next incarnation.
 
 mod common;
 #[path = "common/readiness.rs"]
@@ -15,15 +15,16 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-use common::{job_id, keyed, Dir};
+use common::{job_id, keyed_request, TestDir};
 use oakshed_fault_injection::{Faults, Switch};
 use oakshed_standin::*;
 use readiness::until_ready;
 
+/// The number of concurrent clients.
 const CLIENTS: usize = 40;
-/// How long each fault lasts.
+/// The duration of each fault.
 const OUTAGE: Duration = Duration::from_millis(200);
-/// The calls that fail: at the store only, one row after the other.
+/// The calls that fail on files of the store, and their errors.
 const ROWS: [&str; 8] = [
     "fdatasync EIO",
     "pwrite ENOSPC",
@@ -34,11 +35,12 @@
     "unlink EIO",
     "open EIO",
 ];
+/// The row of failed syncs, after which the log begins a new segment.
+const SYNC: usize = 0;
+/// The first of the rows whose calls are made only for a new segment.
+const FIRST_NEW_SEGMENT_ROW: usize = 3;
 
-/// The first of the rows whose calls are made only where a new file is due.
-const CALLED_FOR_NEW_FILES: usize = 3;
-
-fn faults() -> Faults {
+fn disk_faults() -> Faults {
     let rows: Vec<String> = ROWS
         .iter()
         .map(|row| format!("{row} 1/1 0 0 on=/store/"))
@@ -46,7 +48,8 @@
     Faults::new(&rows.join(";"))
 }
 
-/// Workers that started long ago, as a new one is given little; and discovery that lists them.
+/// Workers, and discovery that lists them. The workers claim an early start, as the scheduler sends little to workers
+/// in slow start.
 struct Fleet {
     ledgers: Vec<PathBuf>,
     discovery: Discovery,
@@ -54,8 +57,8 @@
 
 impl Fleet {
     fn start(dir: &Path) -> Fleet {
-        let long_up = SystemTime::now() - Duration::from_secs(3 * 3_600);
-        let ms = long_up
+        let started_at = SystemTime::now() - Duration::from_secs(3 * 3_600);
+        let ms = started_at
             .duration_since(UNIX_EPOCH)
             .expect("after 1970")
             .as_millis() as u64;
@@ -87,6 +90,7 @@
         Fleet { ledgers, discovery }
     }
 
+    /// The number of transfers among the first `jobs` jobs that ran more than once.
     fn transfers_run_twice(&self, jobs: u64) -> usize {
         let starts = Ledger::starts(self.ledgers.iter().map(PathBuf::as_path)).expect("read");
         let transfers = (0..jobs).filter(|n| class_of(*n) == "transfer");
@@ -103,7 +107,7 @@
     }
 }
 
-/// What clients did and got.
+/// What all clients sent and received.
 #[derive(Default)]
 struct Clients {
     stop: AtomicBool,
@@ -111,13 +115,13 @@
     calls: AtomicU64,
     unanswered: AtomicU64,
     rejected: AtomicU64,
-    undecided: AtomicU64,
-    finals: Mutex<HashMap<u64, (u16, Vec<u8>)>>,
+    timed_out: AtomicU64,
+    answers: Mutex<HashMap<u64, (u16, Vec<u8>)>>,
 }
 
 impl Clients {
     fn served(&self) -> usize {
-        self.finals
+        self.answers
             .lock()
             .expect("not poisoned")
             .values()
@@ -125,13 +129,13 @@
             .count()
     }
 
-    /// One client: job after job, each with its key until its answer is final.
-    fn run(&self, at: SocketAddr) {
+    /// Runs one client, which sends job after job, each with its key until it has a final answer.
+    fn run_client(&self, at: SocketAddr) {
         while !self.stop.load(Ordering::SeqCst) {
             let n = self.next.fetch_add(1, Ordering::SeqCst);
             let start = Instant::now();
             for retry in 0.. {
-                let text = keyed(
+                let text = keyed_request(
                     class_of(n),
                     &format!("r-{n}-{retry}"),
                     &format!("k-{n}"),
@@ -141,23 +145,23 @@
                 let call = Instant::now();
                 let counter = match send_raw(at, &text) {
                     Some(answer) if matches!(answer.status(), 200 | 502) => {
-                        let last = (answer.status(), answer.body);
-                        self.finals.lock().expect("not poisoned").insert(n, last);
+                        let answer = (answer.status(), answer.body);
+                        self.answers.lock().expect("not poisoned").insert(n, answer);
                         break;
                     }
                     Some(answer) if answer.status() == 503 => {
                         assert!(
                             answer.field("retry-after").is_some(),
-                            "a rejection says when to come back"
+                            "a rejection without Retry-After"
                         );
                         &self.rejected
                     }
-                    Some(answer) if answer.status() == 504 => &self.undecided,
+                    Some(answer) if answer.status() == 504 => &self.timed_out,
                     Some(answer) => panic!("job {n}: {}", answer.first),
                     None => &self.unanswered,
                 };
                 counter.fetch_add(1, Ordering::SeqCst);
-                // No outage here lasts as long as a client waits: 5 s, and 1 s for the last sync.
+                // A client waits for 5 s, and 1 s more for a last sync; each outage is shorter than that.
                 assert!(
                     call.elapsed() < Duration::from_secs(5),
                     "job {n} waited for {:?}",
@@ -167,29 +171,30 @@
                     start.elapsed() < Duration::from_secs(60),
                     "job {n} has no final answer"
                 );
-                std::thread::sleep(Duration::from_millis(20)); // a client's pause
+                std::thread::sleep(Duration::from_millis(20)); // pause between calls
             }
         }
     }
 
-    /// Whoever sends again gets the same.
-    fn check_again(&self, at: SocketAddr) {
-        for (n, first) in self.finals.lock().expect("not poisoned").iter() {
-            let text = keyed(class_of(*n), &format!("again-{n}"), &format!("k-{n}"), "");
+    /// Sends each finished job again and checks that the answer is the same.
+    fn assert_answers_unchanged(&self, at: SocketAddr) {
+        for (n, first) in self.answers.lock().expect("not poisoned").iter() {
+            let text = keyed_request(class_of(*n), &format!("again-{n}"), &format!("k-{n}"), "");
             let again = send_raw(at, &text).expect("an answer");
             assert_eq!(
                 (again.status(), &again.body),
                 (first.0, &first.1),
-                "job {n}"
+                "job {n}: the answer changed"
             );
         }
     }
 }
 
-fn command(fleet: &Fleet, dir: &Dir, faults: &Faults) -> (Command, PathBuf) {
+/// The command that starts the scheduler, and the path of its configuration.
+fn scheduler_command(fleet: &Fleet, dir: &TestDir, faults: &Faults) -> (Command, PathBuf) {
     let path = config(fleet.discovery.peer.address, &fleet.discovery.known(), 1024);
     let operator = dir.0.join("operator.json");
-    std::fs::write(&operator, dir.operator(true)).expect("written");
+    std::fs::write(&operator, dir.operator_config(true)).expect("written");
     let mut command = Command::new(Program::binary());
     command
         .args(["serve", "--operator"])
@@ -206,27 +211,26 @@
 
 #[test]
 fn clients_are_answered_during_disk_faults_and_served_after() {
-    let dir = Dir::new("outages");
+    let dir = TestDir::new("outages");
     let fleet = Fleet::start(&dir.0);
-    let faults = faults();
-    let (mut start, path) = command(&fleet, &dir, &faults);
+    let faults = disk_faults();
+    let (mut start, path) = scheduler_command(&fleet, &dir, &faults);
     let mut program = Program::run(&mut start, path.clone());
     until_ready(program.address);
     let clients = Clients::default();
     std::thread::scope(|scope| {
         for _ in 0..CLIENTS {
-            scope.spawn(|| clients.run(program.address));
+            scope.spawn(|| clients.run_client(program.address));
         }
         until("a first result", || clients.served() > 0);
         for (row, name) in ROWS.iter().enumerate() {
             let strikes = faults.strikes(row);
             faults.switch(row, Switch::On);
-            if row >= CALLED_FOR_NEW_FILES {
-                // A sync that fails has a new file begun.
-                let syncs = faults.strikes(0);
-                faults.switch(0, Switch::On);
-                until("a failed sync", || faults.strikes(0) > syncs);
-                faults.switch(0, Switch::Off);
+            if row >= FIRST_NEW_SEGMENT_ROW {
+                let failed_syncs = faults.strikes(SYNC);
+                faults.switch(SYNC, Switch::On);
+                until("a failed sync", || faults.strikes(SYNC) > failed_syncs);
+                faults.switch(SYNC, Switch::Off);
             }
             std::thread::sleep(OUTAGE);
             faults.switch(row, Switch::Off);
@@ -235,11 +239,11 @@
             until("results after the outage", || {
                 clients.served() > before + CLIENTS
             });
-            println!("{name}: {struck} calls failed, {before} served before its end");
-            // A file is removed only where one is left over.
+            println!("{name}: {struck} calls failed, {before} jobs served by the end of the fault");
+            // The store calls unlink only if it has a file to remove.
             assert!(
                 struck > 0 || name.starts_with("unlink"),
-                "{name} never struck"
+                "{name}: no call failed"
             );
         }
         clients.stop.store(true, Ordering::SeqCst);
@@ -250,76 +254,78 @@
     );
     let (unanswered, rejected) = (&clients.unanswered, clients.rejected.load(Ordering::SeqCst));
     println!(
-        "{calls} calls for {jobs} jobs: {} served, {rejected} rejected, {} undecided, {} unanswered",
+        "{calls} calls for {jobs} jobs: {} served, {rejected} rejected, {} timed out, {} unanswered",
         clients.served(),
-        clients.undecided.load(Ordering::SeqCst),
+        clients.timed_out.load(Ordering::SeqCst),
         unanswered.load(Ordering::SeqCst)
     );
     assert_eq!(unanswered.load(Ordering::SeqCst), 0, "{}", program.log());
     assert_eq!(
-        clients.undecided.load(Ordering::SeqCst),
+        clients.timed_out.load(Ordering::SeqCst),
         0,
         "{}",
         program.log()
     );
     assert!(
-        program.child.try_wait().expect("known").is_none(),
+        program.child.try_wait().expect("a state").is_none(),
         "{}",
         program.log()
     );
     assert_eq!(fleet.transfers_run_twice(jobs), 0);
-    clients.check_again(program.address);
+    clients.assert_answers_unchanged(program.address);
     let log = program.log();
     let count = |text: &str| log.lines().filter(|line| line.contains(text)).count();
-    let (began, ended) = (count("wait for the disk"), count("the disk works again"));
+    let (begun, ended) = (count("wait for the disk"), count("the disk works again"));
     assert!(
-        began >= 3 && began == ended && began <= ROWS.len(),
-        "{began} begun, {ended} ended: {log}"
+        begun >= 3 && begun == ended && begun <= ROWS.len(),
+        "{begun} outages begun, {ended} ended: {log}"
     );
-    // Amid one more: it stops in time, and the next process has all that was confirmed.
-    faults.switch(0, Switch::On);
+    // A shutdown during an outage ends in time, and the next incarnation has all confirmed answers.
+    faults.switch(SYNC, Switch::On);
     let at = program.address;
-    let late = std::thread::spawn(move || send_raw(at, &keyed("transfer", "r-late", "k-late", "")));
-    until("its order at the disk", || {
-        program.log().matches("wait for the disk").count() > began
+    let late = std::thread::spawn(move || {
+        send_raw(at, &keyed_request("transfer", "r-late", "k-late", ""))
+    });
+    until("a job that waits for the disk", || {
+        program.log().matches("wait for the disk").count() > begun
     });
-    let told_to_stop = Instant::now();
+    let terminated_at = Instant::now();
     program.signal("-TERM");
-    // Its deadline is later than the end of the process.
+    // The deadline of the request is later than the exit of the process.
     let answer = late.join().expect("no panic").expect("an answer");
-    assert_eq!(answer.status(), 504, "nothing is promised");
+    assert_eq!(answer.status(), 504, "answered without a confirmed write");
     assert_eq!(program.wait().code(), Some(0), "{}", program.log());
     assert!(
-        told_to_stop.elapsed() < Duration::from_millis(3_700),
+        terminated_at.elapsed() < Duration::from_millis(3_700),
         "{:?}",
-        told_to_stop.elapsed()
+        terminated_at.elapsed()
     );
-    faults.switch(0, Switch::Off);
-    let (mut start, path) = command(&fleet, &dir, &faults);
+    faults.switch(SYNC, Switch::Off);
+    let (mut start, path) = scheduler_command(&fleet, &dir, &faults);
     let program = Program::run(&mut start, path);
     until_ready(program.address);
-    clients.check_again(program.address);
+    clients.assert_answers_unchanged(program.address);
 }
 
-/// Kills by SIGKILL; `OAKSHED_KILLS=N` does others.
-fn kills() -> u32 {
+/// The number of kills by SIGKILL, which `OAKSHED_KILLS` overrides.
+fn kill_count() -> u32 {
     std::env::var("OAKSHED_KILLS")
         .ok()
         .and_then(|text| text.parse().ok())
         .unwrap_or(25)
 }
 
-/// The scheduler, killed when dropped.
-struct Killed(Child);
+/// A process that is killed when dropped.
+struct KillOnDrop(Child);
 
-impl Killed {
+impl KillOnDrop {
     fn kill(&mut self) {
         _ = self.0.kill();
         _ = self.0.wait();
     }
 }
 
-impl Drop for Killed {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         self.kill();
     }
@@ -327,44 +333,44 @@
 
 #[test]
 fn kills_during_outages_run_nothing_twice_and_lose_no_answer() {
-    let dir = Dir::new("outage-kills");
+    let dir = TestDir::new("outage-kills");
     let fleet = Fleet::start(&dir.0);
-    let faults = faults();
-    let (mut start, path) = command(&fleet, &dir, &faults);
+    let faults = disk_faults();
+    let (mut start, path) = scheduler_command(&fleet, &dir, &faults);
     let port = ReservedPort::new();
     let at = port.address;
     let log = std::fs::File::create(dir.0.join("log")).expect("a log");
     start.env("ROUTER_LISTEN", at.to_string()).stderr(log);
-    let mut program = Killed(start.spawn().expect("started"));
+    let mut program = KillOnDrop(start.spawn().expect("started"));
     until_ready(at);
     let mut rng = fastrand::Rng::with_seed(7);
     let clients = Clients::default();
     std::thread::scope(|scope| {
         for _ in 0..8 {
-            scope.spawn(|| clients.run(at));
+            scope.spawn(|| clients.run_client(at));
         }
-        for _ in 0..kills() {
+        for _ in 0..kill_count() {
             let before = clients.served();
             until("results between two kills", || {
                 clients.served() > before + 8
             });
             let row = rng.usize(0..ROWS.len());
             faults.switch(row, Switch::On);
-            faults.switch(0, Switch::On);
+            faults.switch(SYNC, Switch::On);
             std::thread::sleep(Duration::from_millis(rng.u64(5..150)));
             if rng.bool() {
-                faults.switch(0, Switch::Off);
+                faults.switch(SYNC, Switch::Off);
                 std::thread::sleep(Duration::from_millis(rng.u64(5..50)));
             }
             program.kill();
-            faults.switch(0, Switch::Off);
-            // Some starts meet the fault too, and try again.
-            let meets_fault = rng.bool();
-            if !meets_fault {
+            faults.switch(SYNC, Switch::Off);
+            // Some starts meet the fault too, and retry.
+            let faulty_start = rng.bool();
+            if !faulty_start {
                 faults.switch(row, Switch::Off);
             }
             program.0 = start.spawn().expect("started");
-            if meets_fault {
+            if faulty_start {
                 std::thread::sleep(Duration::from_millis(rng.u64(50..500)));
                 faults.switch(row, Switch::Off);
             }
@@ -376,11 +382,11 @@
     let struck: u64 = (0..ROWS.len()).map(|row| faults.strikes(row)).sum();
     println!(
         "{} kills, {struck} calls failed, {jobs} jobs, {} served",
-        kills(),
+        kill_count(),
         clients.served()
     );
     assert!(struck > 0, "no call failed");
-    clients.check_again(at);
+    clients.assert_answers_unchanged(at);
     assert_eq!(fleet.transfers_run_twice(jobs), 0);
     drop(program);
     _ = std::fs::remove_file(path);
