--- a/crates/server/tests/daily/calls.rs
+++ b/crates/server/tests/daily/calls.rs
@@ -1,6 +1,4 @@
-//! Operators' calls: each gets its answer, in time, whoever else calls and whatever is under way.
-//!
-//! It owns the tests of the operators' address. It must never send a job there but to see it rejected.
+//! Operators' commands: each is answered in time, also with other callers, under load and during a shutdown.
 
 use std::io::Write;
 use std::net::TcpStream;
@@ -9,16 +7,16 @@
 
 use oakshed_standin::*;
 
-use crate::figure;
+use crate::metric;
 
 #[test]
-fn each_command_is_answered_and_unknown_ones_get_no() {
+fn commands_are_answered_and_unknown_ones_rejected() {
     let worker = good();
     let discovery = Discovery::new(&[("s-1", worker.address)]);
     let program = Program::start_with(&discovery, 1024, &[ADMIN]);
     let at = program.admin();
     let bytewise: Vec<&[u8]> = b"readyz\r\n".chunks(1).collect();
-    let long = [b'x'; 5_000];
+    let too_long = [b'x'; 5_000];
     let cases: [(&[&[u8]], bool, &str); 14] = [
         (&[b"readyz\n"], false, "YES"),
         (&[b"readyz\r\n"], false, "YES"),
@@ -33,40 +31,40 @@
         (&[b"\n"], false, "NO"),
         (&[], true, "NO"),
         (&[b"\xff\xfe\x00\n"], false, "NO"),
-        (&[&long], false, "NO"),
+        (&[&too_long], false, "NO"),
     ];
-    for (pieces, end, wanted) in cases {
-        let answer = call_in(at, pieces, end);
-        assert!(answer.starts_with(wanted), "{answer:?} to {pieces:?}");
+    for (pieces, half_closes, expected) in cases {
+        let answer = call_in(at, pieces, half_closes);
+        assert!(answer.starts_with(expected), "{answer:?} to {pieces:?}");
         assert_eq!(answer.matches('\n').count(), 1, "{answer:?} to {pieces:?}");
     }
-    // No job is served there.
+    // Jobs are not served at the operators' address.
     assert!(call_in(at, &[request("transfer", "id-1").as_bytes()], false).starts_with("NO"));
     assert_eq!(worker.count(), 0);
-    let figures = call(at, "telemetry");
-    assert!(figures.ends_with("\nEND\n"), "{figures}");
+    let telemetry = call(at, "telemetry");
+    assert!(telemetry.ends_with("\nEND\n"), "{telemetry}");
     assert_eq!(
         (
-            figure(&figures, "members"),
-            figure(&figures, "members_unavailable")
+            metric(&telemetry, "members"),
+            metric(&telemetry, "members_unavailable")
         ),
         (1, 0)
     );
     discovery.set("s-1", "draining");
-    until("the drain in the figures", || {
-        figure(&call(at, "telemetry"), "members_unavailable") == 1
+    until("the drain in the telemetry", || {
+        metric(&call(at, "telemetry"), "members_unavailable") == 1
     });
-    until("the drain in the answer", || {
+    until("the drain in the readyz answer", || {
         call(at, "readyz").starts_with("NO")
     });
     discovery.set("s-1", "gone");
-    until("its end in the figures", || {
-        figure(&call(at, "telemetry"), "members") == 0
+    until("the removal in the telemetry", || {
+        metric(&call(at, "telemetry"), "members") == 0
     });
 }
 
 #[test]
-fn unusable_operator_address_is_named() {
+fn unusable_operators_address_is_reported() {
     let path = config("127.0.0.1:9".parse().expect("an address"), "null", 1024);
     let start = |admin: &str| {
         let mut command = std::process::Command::new(Program::binary());
@@ -87,28 +85,29 @@
         log.contains("ROUTER_ADMIN") && log.contains("operators"),
         "{log}"
     );
-    let taken = std::net::TcpListener::bind("127.0.0.1:0")
+    let used = std::net::TcpListener::bind("127.0.0.1:0")
         .expect("a port")
         .local_addr()
-        .expect("it");
-    let _reserved = std::net::TcpListener::bind(taken).expect("reserved");
-    let (status, log) = start(&taken.to_string());
+        .expect("its address");
+    let _listener = std::net::TcpListener::bind(used).expect("bound");
+    let (status, log) = start(&used.to_string());
     assert_eq!(status, Some(1));
     assert!(
-        log.contains("operators' address") && log.contains(&taken.to_string()),
+        log.contains("operators' address") && log.contains(&used.to_string()),
         "{log}"
     );
     _ = std::fs::remove_file(path);
 }
 
-/// Idle callers, many more than there is capacity for, and clients that take all that they may.
+/// Guards against calls that wait for idle operators' connections: there are many more of these than slots, and clients
+/// use all connections that they are allowed.
 #[test]
-fn idle_operator_connection_delays_no_call() {
+fn idle_operator_connections_delay_no_call() {
     let worker = good();
     let program = Program::start_with(&Discovery::new(&[("s-1", worker.address)]), 128, &[ADMIN]);
     let at = program.admin();
     let _clients: Vec<TcpStream> = (0..200).map(|_| program.connect()).collect();
-    let idle = |n: usize| {
+    let connect_idle = |n: usize| {
         let mut stream = TcpStream::connect(at).expect("a connection");
         if n % 2 == 0 {
             _ = stream.write_all(b"teleme");
@@ -117,7 +116,7 @@
     };
     let mut connections: Vec<TcpStream> = Vec::new();
     for round in 0..20 {
-        connections.extend((0..10).map(|n| idle(round + n)));
+        connections.extend((0..10).map(|n| connect_idle(round + n)));
         let start = Instant::now();
         assert!(call(at, "readyz").starts_with("YES"));
         assert!(call(at, "telemetry").ends_with("END\n"));
@@ -155,17 +154,17 @@
                 }
             });
         }
-        let mut worst = Duration::ZERO;
+        let mut longest = Duration::ZERO;
         for n in 0..60 {
             let start = Instant::now();
             assert!(call(at, "telemetry").ends_with("END\n"));
-            worst = worst.max(start.elapsed());
+            longest = longest.max(start.elapsed());
             if n == 40 {
                 program.signal("-TERM");
             }
-            std::thread::sleep(Duration::from_millis(10)); // a steady caller
+            std::thread::sleep(Duration::from_millis(10)); // pause between commands
         }
         stop.store(true, Ordering::SeqCst);
-        assert!(worst < Duration::from_secs(1), "{worst:?}");
+        assert!(longest < Duration::from_secs(1), "{longest:?}");
     });
 }
--- a/crates/server/tests/daily/exclusion_faults.rs
+++ b/crates/server/tests/daily/exclusion_faults.rs
@@ -1,5 +1,5 @@
-//! Manual exclusions where the system cannot write them: they apply, the operator is notified, and they are written
-//! once that works.
+//! Manual exclusions that cannot be written to disk: they apply at once, the operator is told, and the write is retried
+//! until it succeeds.
 
 use std::process::Command;
 
@@ -8,7 +8,7 @@
 
 use crate::requests::assert_all_served;
 use crate::settings::edit;
-use crate::{figure, wait_for_yes};
+use crate::{metric, wait_for_readyz};
 
 fn start(place: &Place, discovery: &Discovery, faults: &Faults) -> Program {
     let path = config(discovery.peer.address, &discovery.known(), 512);
@@ -22,7 +22,7 @@
         .env("TMPDIR", &place.folder)
         .env("ROUTER_LISTEN", place.listen.to_string());
     let program = Program::run(faults.apply(&mut command), path);
-    wait_for_yes(&program);
+    wait_for_readyz(&program);
     program
 }
 
@@ -38,10 +38,10 @@
     let faults = Faults::new("open ENOSPC 1/1 0 0 on=/bans/");
     let program = start(&place, &discovery, &faults);
     let excluded =
-        |program: &Program| figure(&call(program.admin(), "telemetry"), "members_unavailable");
-    let noted = || {
+        |program: &Program| metric(&call(program.admin(), "telemetry"), "members_unavailable");
+    let files = || {
         std::fs::read_dir(place.shared().join("bans"))
-            .expect("there")
+            .expect("a readable directory")
             .count()
     };
     faults.switch(0, Switch::On);
@@ -53,11 +53,13 @@
         );
     }
     let strikes = faults.strikes(0);
-    until("further tries", || faults.strikes(0) >= strikes + 6);
+    until("further attempts to write", || {
+        faults.strikes(0) >= strikes + 6
+    });
     assert_eq!(
-        (excluded(&program), noted()),
+        (excluded(&program), files()),
         (2, 0),
-        "it applies all the same"
+        "the exclusions apply without their files"
     );
     assert_all_served(&program, "id", 0..20);
     assert_eq!(
@@ -65,16 +67,16 @@
         (0, 0),
         "sent to an excluded worker"
     );
-    // One is called back before it could be written: it must not come again.
+    // The first worker is included again before its exclusion could be written, which must not be written afterwards.
     assert!(call(program.admin(), "include s-0").starts_with("YES"));
     faults.switch(0, Switch::Off);
-    until("the file", || noted() == 1);
+    until("the file", || files() == 1);
     assert!(
         call(program.admin(), "exclude s-1").ends_with("gets nothing new\n"),
-        "written by now"
+        "the exclusion has been written"
     );
-    assert_eq!((excluded(&program), noted()), (1, 1));
-    // The next process knows, whatever becomes of this one.
+    assert_eq!((excluded(&program), files()), (1, 1));
+    // The next process has the exclusion even if this one is killed.
     drop(program);
     let next = start(&place, &discovery, &faults);
     assert_eq!(excluded(&next), 1);
--- a/crates/server/tests/daily/exclusions.rs
+++ b/crates/server/tests/daily/exclusions.rs
@@ -1,17 +1,16 @@
-//! Manual exclusion of workers: they get nothing until they are included again, in whichever process.
-//!
-//! It owns the tests of exclusions. It must never let the list lift one.
+//! Manual exclusion of workers: an excluded worker is sent nothing until it is included again, in all processes of a
+//! scheduler and regardless of the endpoint list.
 
 use std::time::{Duration, Instant};
 
 use oakshed_standin::*;
 
-use crate::{figure, slow, wait_for_yes};
+use crate::{metric, slow_worker, wait_for_readyz};
 
-/// An excluded worker must get nothing, whatever the list says, and one call ends it.
+/// Changes of the endpoint list and reloads do not end an exclusion; one `include` does.
 #[test]
-fn excluded_worker_gets_nothing_until_included() {
-    let workers = [slow(), slow()];
+fn excluded_worker_is_sent_nothing_until_included() {
+    let workers = [slow_worker(), slow_worker()];
     let discovery = Discovery::new(&[("s-0", workers[0].address), ("s-1", workers[1].address)]);
     let program = Program::start_with(&discovery, 1024, &[ADMIN]);
     let (at, next) = (program.admin(), std::cell::Cell::new(0));
@@ -26,24 +25,34 @@
         });
     };
     send_jobs(6);
-    assert!(workers.iter().all(|b| b.count() > 0), "both are in use");
-    for call_to in ["exclude s-9", "include s-9", "exclude", "exclude S-1"] {
-        assert!(call(at, call_to).starts_with("NO"), "{call_to}");
+    assert!(
+        workers.iter().all(|worker| worker.count() > 0),
+        "both workers are in use"
+    );
+    for command in ["exclude s-9", "include s-9", "exclude", "exclude S-1"] {
+        assert!(call(at, command).starts_with("NO"), "{command}");
     }
     assert!(call(at, "exclude s-1").starts_with("YES"));
-    assert!(call(at, "exclude s-1").starts_with("YES"), "said again");
+    assert!(
+        call(at, "exclude s-1").starts_with("YES"),
+        "a repeated exclusion"
+    );
     let before = workers[1].count();
-    let unused = |what: &str| {
+    let assert_unused = |after: &str| {
         send_jobs(6);
-        assert_eq!(workers[1].count(), before, "sent to after {what}");
-        let figures = call(at, "telemetry");
         assert_eq!(
-            figure(&figures, "members_unavailable"),
-            figure(&figures, "members") - 1,
-            "{what}: {figures}"
+            workers[1].count(),
+            before,
+            "sent to an excluded worker after {after}"
+        );
+        let telemetry = call(at, "telemetry");
+        assert_eq!(
+            metric(&telemetry, "members_unavailable"),
+            metric(&telemetry, "members") - 1,
+            "after {after}: {telemetry}"
         );
     };
-    unused("the call");
+    assert_unused("the exclusion");
     let until_list = |number: u64| {
         until("the list", || {
             program.log().contains(&format!("list {number} ("))
@@ -51,43 +60,43 @@
     };
     discovery.started("s-1", 1_700_000_000_000);
     until_list(discovery.number());
-    unused("a restart");
+    assert_unused("its restart");
     discovery.set("s-1", "draining");
     discovery.set("s-1", "gone");
     until_list(discovery.number());
     assert!(
         call(at, "exclude s-1").starts_with("YES"),
-        "it was listed once"
+        "a worker that was listed before can be excluded"
     );
     discovery.set("s-1", "ready");
     until_list(discovery.number());
-    unused("its return");
+    assert_unused("its return to the list");
     program.reload("transfer", "transfer");
     until("the reload", || program.log().contains("reload: discovery"));
-    unused("a reload");
-    // With nobody left it says so, and requests are rejected as with no ready worker.
+    assert_unused("a reload");
+    // With all workers excluded the scheduler is not ready, and rejects requests as it does without a ready worker.
     assert!(call(at, "exclude s-0").starts_with("YES"));
     assert!(call(at, "readyz").starts_with("NO"));
     let late = request("transfer", "none").replace("Deadline-Ms: 5000", "Deadline-Ms: 300");
     assert_eq!(program.send(&late).status(), 503);
     assert!(call(at, "include s-0").starts_with("YES"));
-    unused("the other's return");
+    assert_unused("the inclusion of the other worker");
     assert!(
         call(at, "include s-1").starts_with("YES"),
-        "one call ends it"
+        "one command ends the exclusion"
     );
     let start = Instant::now();
     while workers[1].count() == before {
         assert!(
             start.elapsed() < Duration::from_secs(5),
-            "it is not used again"
+            "the included worker is not used again"
         );
         send_jobs(6);
     }
-    assert_eq!(figure(&call(at, "telemetry"), "members_unavailable"), 0);
+    assert_eq!(metric(&call(at, "telemetry"), "members_unavailable"), 0);
 }
 
-/// Whichever of the two processes is called, both obey; and the next one knows without a call.
+/// A command to either of the two processes applies in both, and a successor starts with the exclusions.
 #[test]
 fn exclusion_applies_in_both_processes_and_after_hot_restart() {
     let workers = [good(), good()];
@@ -95,22 +104,22 @@
     let place = Place::new();
     let start = || {
         let program = Program::start_at(&place, &discovery, 512, &[ADMIN]);
-        wait_for_yes(&program);
+        wait_for_readyz(&program);
         program
     };
     let excluded =
-        |program: &Program| figure(&call(program.admin(), "telemetry"), "members_unavailable");
+        |program: &Program| metric(&call(program.admin(), "telemetry"), "members_unavailable");
     let mut old = start();
     assert!(call(old.admin(), "exclude s-1").starts_with("YES"));
     let new = start();
     assert_eq!(
         (excluded(&old), excluded(&new)),
         (1, 1),
-        "the next process knows"
+        "the successor has the exclusion"
     );
-    let in_time = |what: &str, program: &Program, wanted: u64| {
+    let assert_applied_in_time = |what: &str, program: &Program, expected: u64| {
         let start = Instant::now();
-        until(what, || excluded(program) == wanted);
+        until(what, || excluded(program) == expected);
         assert!(
             start.elapsed() < Duration::from_millis(300),
             "{what} took {:?}",
@@ -118,9 +127,9 @@
         );
     };
     assert!(call(new.admin(), "include s-1").starts_with("YES"));
-    in_time("the call back", &old, 0);
+    assert_applied_in_time("the inclusion", &old, 0);
     assert!(call(new.admin(), "exclude s-0").starts_with("YES"));
-    in_time("the exclusion", &old, 1);
+    assert_applied_in_time("the exclusion", &old, 1);
     let before = workers[0].count();
     for n in 0..20 {
         let answer = send_raw(place.listen, &request("transfer", &format!("id-{n}")));
@@ -130,7 +139,7 @@
     old.signal("-TERM");
     assert_eq!(old.wait().code(), Some(0));
     assert_eq!(excluded(&new), 1);
-    // What else is in the folder is no exclusion, and stops nothing; what can't be stored applies all the same.
+    // Other files in the directory are ignored, and an exclusion that cannot be stored applies all the same.
     let exclusions = place.shared().join("bans");
     std::fs::write(exclusions.join("not hexadecimal"), "x").expect("written");
     std::fs::remove_dir_all(&exclusions).expect("removed");
--- a/crates/server/tests/daily/figures.rs
+++ b/crates/server/tests/daily/figures.rs
@@ -1,17 +1,14 @@
-//! The figures: each end of a request counted once, and as its client saw it.
-//!
-//! It owns the tests of what is counted. It must never take a figure for its own proof: clients and
-//! workers count, too.
+//! Request metrics, compared with what clients and workers have counted themselves.
 
 use std::io::{BufReader, Write};
 
 use oakshed_standin::*;
 
-use crate::figure;
+use crate::metric;
 
-/// Each way in which a request can end, counted once, and as its client saw it.
+/// Each way in which a request can end is counted once, with the outcome that its client saw.
 #[test]
-fn figures_match_the_counts_of_clients_and_workers() {
+fn metrics_match_the_counts_of_clients_and_workers() {
     let worker = Peer::new(|message, stream| {
         match message.field("req-id").and_then(|id| id.split('-').next()) {
             Some("served") => done(message, stream, "made"),
@@ -22,11 +19,11 @@
         }
     });
     let program = Program::start_with(&Discovery::new(&[("s-1", worker.address)]), 1024, &[ADMIN]);
-    let (at, mut ends) = (program.admin(), [0; 3]);
+    let (at, mut outcomes) = (program.admin(), [0; 3]);
     let mut count = |status: u16| match status {
-        200 => ends[0] += 1,
-        429 | 503 => ends[1] += 1,
-        _ => ends[2] += 1,
+        200 => outcomes[0] += 1,
+        429 | 503 => outcomes[1] += 1,
+        _ => outcomes[2] += 1,
     };
     for n in 0..10 {
         for kind in ["served", "served", "broken", "reset", "full"] {
@@ -37,7 +34,7 @@
             );
         }
     }
-    // Rejected before the decisions see it.
+    // Rejected before they reach the scheduling decisions.
     let text = request("transfer", "served-x");
     count(
         program
@@ -54,7 +51,7 @@
             .send(&text.replace("Length: 4", "Length: 70000"))
             .status(),
     );
-    // Of a class that nobody knows, and no job at all.
+    // Not counted: a request of an unknown class, and one that is not a job.
     assert_eq!(
         program
             .send(&text.replace("transfer", "scrapping"))
@@ -62,43 +59,52 @@
         404
     );
     assert_eq!(program.ready_status(), 200);
-    // Its own deadline ends it.
+    // Ended by its deadline.
     let late = request("transfer", "silent-1").replace("Deadline-Ms: 5000", "Deadline-Ms: 100");
     count(program.send(&late).status());
-    // One whose client goes away, one that has not come in full, and one that waits.
+    // A request whose client disconnects, one that waits for its worker, and a partial one.
     let open = |text: &str| {
         let mut client = program.connect();
         client.write_all(text.as_bytes()).expect("written");
         client
     };
-    let waiting = [
+    let in_flight = [
         open(&request("transfer", "silent-2")),
         open(&request("new-plate", "silent-3")),
     ];
-    let _half = open(&text[..text.len() - 2]);
-    until("both under way", || {
-        figure(&call(at, "telemetry"), "pending") == 2
+    let _partial = open(&text[..text.len() - 2]);
+    until("both requests in flight", || {
+        metric(&call(at, "telemetry"), "pending") == 2
     });
-    let [disconnecting, waits] = waiting;
+    let [disconnecting, waiting] = in_flight;
     drop(disconnecting);
-    until("the client's end", || {
-        figure(&call(at, "telemetry"), "pending") == 1
+    until("the end of the disconnected request", || {
+        metric(&call(at, "telemetry"), "pending") == 1
     });
-    until("the attempt", || {
-        figure(&call(at, "telemetry"), "upstream_requests") == worker.count() as u64
+    until("the counts of all attempts", || {
+        metric(&call(at, "telemetry"), "upstream_requests") == worker.count() as u64
     });
-    let figures = call(at, "telemetry");
+    let telemetry = call(at, "telemetry");
     let names = ["completed", "rejected", "failed"];
-    let counted = names.map(|end| figure(&figures, &format!("downstream_requests.transfer.{end}")));
-    assert_eq!(counted, ends, "{figures}");
-    assert!(ends.iter().all(|n| *n > 0), "{ends:?}");
+    let counted = names.map(|outcome| {
+        metric(
+            &telemetry,
+            &format!("downstream_requests.transfer.{outcome}"),
+        )
+    });
+    assert_eq!(counted, outcomes, "{telemetry}");
+    assert!(outcomes.iter().all(|n| *n > 0), "{outcomes:?}");
     assert_eq!(
-        Message::read(&mut BufReader::new(waits)).map(|m| m.status() == 200),
+        Message::read(&mut BufReader::new(waiting)).map(|m| m.status() == 200),
         Some(false)
     );
-    let figures = call(at, "telemetry");
-    assert_eq!(figure(&figures, "pending"), 0, "{figures}");
-    let of_plates =
-        names.map(|end| figure(&figures, &format!("downstream_requests.new-plate.{end}")));
-    assert_eq!(of_plates.iter().sum::<u64>(), 1, "{figures}");
+    let telemetry = call(at, "telemetry");
+    assert_eq!(metric(&telemetry, "pending"), 0, "{telemetry}");
+    let new_plates = names.map(|outcome| {
+        metric(
+            &telemetry,
+            &format!("downstream_requests.new-plate.{outcome}"),
+        )
+    });
+    assert_eq!(new_plates.iter().sum::<u64>(), 1, "{telemetry}");
 }
--- a/crates/server/tests/daily/handover.rs
+++ b/crates/server/tests/daily/handover.rs
@@ -1,6 +1,4 @@
-//! One process replacing another: under load, where the new one ends, where there is none before it.
-//!
-//! It owns the tests of the handover. It must never let a client notice one.
+//! Hot restart: under load, with a successor that fails, and without a usable predecessor.
 
 use std::io::{BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -10,30 +8,33 @@
 
 use oakshed_standin::*;
 
-use crate::{figure, slow, wait_for_yes};
+use crate::{metric, slow_worker, wait_for_readyz};
 
-/// Sends requests until it is stopped, on fresh connections or on one that is reused; returns how many were
-/// served, and what else was seen. A reused connection that was closed between two requests is opened anew.
-fn clients(
+/// Runs a client that sends requests until `stop` is set, on a new connection each or with keep-alive. Returns the
+/// number of served requests, and a description of each failure. A kept connection is replaced after an answer with
+/// `Connection: close`.
+fn run_client(
     at: SocketAddr,
     name: &str,
     keep_alive: bool,
     stop: &AtomicBool,
 ) -> (usize, Vec<String>) {
-    let (mut served, mut failures, mut open) = (0, Vec::new(), None::<TcpStream>);
+    let (mut served, mut failures, mut kept) = (0, Vec::new(), None::<TcpStream>);
     for n in 0.. {
         if stop.load(Ordering::SeqCst) {
             break;
         }
         let text = request("transfer", &format!("{name}-{n}"));
-        let mut stream = match open.take().map_or_else(|| TcpStream::connect(at), Ok) {
+        let mut stream = match kept.take().map_or_else(|| TcpStream::connect(at), Ok) {
             Ok(stream) => stream,
             Err(e) => {
                 failures.push(format!("connect: {e}"));
                 continue;
             }
         };
-        stream.set_read_timeout(Some(PATIENCE)).expect("a limit");
+        stream
+            .set_read_timeout(Some(PATIENCE))
+            .expect("a read timeout");
         let answer = match stream.write_all(text.as_bytes()) {
             Ok(()) => Message::read(&mut BufReader::new(&stream)),
             Err(_) => None,
@@ -41,10 +42,10 @@
         match answer {
             Some(answer) if answer.status() == 200 => {
                 served += 1;
-                let closes = answer
+                let is_closing = answer
                     .field("connection")
                     .is_some_and(|v| v.eq_ignore_ascii_case("close"));
-                open = (keep_alive && !closes).then_some(stream);
+                kept = (keep_alive && !is_closing).then_some(stream);
             }
             other => failures.push(format!("{name}-{n}: {other:?}")),
         }
@@ -52,7 +53,7 @@
     (served, failures)
 }
 
-/// Ends the clients' loops also where an assertion fails: else the scope waits for them for ever.
+/// Ends the clients' loops when dropped. Otherwise the scope would wait for them forever after a failed assertion.
 struct StopOnDrop<'a>(&'a AtomicBool);
 
 impl Drop for StopOnDrop<'_> {
@@ -61,23 +62,23 @@
     }
 }
 
-/// Twice in a row, under load: no client notices, nothing runs twice, and the figures start anew.
+/// Two hot restarts under load: no client sees a failure, and no job runs twice.
 #[test]
 fn hot_restart_is_invisible_to_clients() {
-    let workers = [slow(), slow(), slow()];
+    let workers = [slow_worker(), slow_worker(), slow_worker()];
     let names = ["s-0", "s-1", "s-2"];
     let list: Vec<_> = names
         .into_iter()
-        .zip(workers.iter().map(|b| b.address))
+        .zip(workers.iter().map(|worker| worker.address))
         .collect();
     let (discovery, place, stop) = (Discovery::new(&list), Place::new(), AtomicBool::new(false));
     let start = || Program::start_at(&place, &discovery, 512, &[ADMIN]);
     let mut running = start();
-    wait_for_yes(&running);
-    // What was notified before is known to the next process, also where discovery says nothing more.
+    wait_for_readyz(&running);
+    // The successor knows of a drain that its predecessor was notified of, even if discovery does not repeat it.
     discovery.set("s-2", "draining");
     until("the drain", || {
-        figure(&call(running.admin(), "telemetry"), "members_unavailable") == 1
+        metric(&call(running.admin(), "telemetry"), "members_unavailable") == 1
     });
     let before = workers[2].count();
     std::thread::scope(|s| {
@@ -85,53 +86,58 @@
         let load: Vec<_> = (0..8)
             .map(|t| {
                 let (stop, at) = (&stop, place.listen);
-                s.spawn(move || clients(at, &format!("c{t}"), t % 2 == 0, stop))
+                s.spawn(move || run_client(at, &format!("c{t}"), t % 2 == 0, stop))
             })
             .collect();
         let jobs = || workers.iter().map(Peer::count).sum::<usize>();
         for _ in 0..2 {
-            // One that is idle stays open while that is possible, and is served once more.
+            // An idle connection to the predecessor stays open during the shutdown, and serves one more request.
             let mut idle = running.connect();
             assert_eq!(
                 send_on(&mut idle, &request("transfer", &format!("idle-{}", jobs()))).status(),
                 200
             );
             let next = start();
-            wait_for_yes(&next);
+            wait_for_readyz(&next);
             assert!(
                 next.log().contains("took over the socket"),
                 "{}",
                 next.log()
             );
             running.signal("-TERM");
-            until("the stop", || running.log().contains("no longer accepting"));
-            let so_far = jobs();
-            until("more jobs", || jobs() > so_far + 100);
+            until("the end of accepting in the log", || {
+                running.log().contains("no longer accepting")
+            });
+            let jobs_before = jobs();
+            until("more jobs", || jobs() > jobs_before + 100);
             let answer = send_on(&mut idle, &request("transfer", &format!("idle-{}", jobs())));
             assert_eq!(
                 (answer.status(), answer.field("connection")),
                 (200, Some("close"))
             );
-            let ended = running.wait();
-            assert_eq!(ended.code(), Some(0), "{}", running.log());
+            let exit_status = running.wait();
+            assert_eq!(exit_status.code(), Some(0), "{}", running.log());
             assert_eq!(
-                figure(&call(next.admin(), "telemetry"), "members_unavailable"),
+                metric(&call(next.admin(), "telemetry"), "members_unavailable"),
                 1
             );
             running = next;
         }
         stop.store(true, Ordering::SeqCst);
-        for clients in load {
-            let (served, failures) = clients.join().expect("its counts");
+        for client in load {
+            let (served, failures) = client.join().expect("its counts");
             assert!(
                 served > 20 && failures.is_empty(),
                 "{served} served, {failures:?}"
             );
         }
     });
-    assert_eq!(workers[2].count(), before, "sent to one that drains");
+    assert_eq!(workers[2].count(), before, "sent to a draining worker");
     let mut ids = std::collections::HashSet::new();
-    for message in workers.iter().flat_map(|b| b.seen.lock().unwrap().clone()) {
+    for message in workers
+        .iter()
+        .flat_map(|worker| worker.seen.lock().unwrap().clone())
+    {
         assert!(
             ids.insert(message.field("req-id").expect("an id").to_owned()),
             "{message:?} ran twice"
@@ -139,25 +145,28 @@
     }
 }
 
-/// Guards against reckoning the time in which idle connections stay open from deadlines that leave none.
+/// Guards against a wrong computation of how long idle connections stay open when the deadlines of the classes are so
+/// short that they leave no time for it.
 #[test]
-fn predecessor_ends_in_time_with_the_shortest_deadlines() {
+fn predecessor_exits_in_time_with_short_deadlines() {
     let worker = good();
     let (discovery, place) = (Discovery::new(&[("s-1", worker.address)]), Place::new());
-    let short = (r#""give-up-ms":5000"#, r#""give-up-ms":200"#);
-    let start = || Program::start_at(&place, &discovery, 512, &[ADMIN, short]);
+    let short_deadline = (r#""give-up-ms":5000"#, r#""give-up-ms":200"#);
+    let start = || Program::start_at(&place, &discovery, 512, &[ADMIN, short_deadline]);
     let mut old = start();
-    wait_for_yes(&old);
+    wait_for_readyz(&old);
     let mut idle = old.connect();
     assert_eq!(
         send_on(&mut idle, &request("transfer", "id-1")).status(),
         200
     );
     let new = start();
-    wait_for_yes(&new);
-    until("its place", || old.log().contains("the successor is ready"));
+    wait_for_readyz(&new);
+    until("the successor's readiness in the log", || {
+        old.log().contains("the successor is ready")
+    });
     old.signal("-TERM");
-    assert_eq!(idle.read(&mut [0; 1]).expect("an end and no reset"), 0);
+    assert_eq!(idle.read(&mut [0; 1]).expect("an orderly close"), 0);
     assert_eq!(old.wait().code(), Some(0));
     assert_eq!(
         send_raw(place.listen, &request("transfer", "id-2")).map(|m| m.status()),
@@ -165,60 +174,62 @@
     );
 }
 
-/// A new process that ends before or after its yes leaves the old one serving, and the next one takes over.
+/// A successor that exits before or after it is ready leaves its predecessor serving, and the next successor takes
+/// over.
 #[test]
 fn failed_successor_does_not_affect_its_predecessor() {
     let worker = good();
     let (discovery, place) = (Discovery::new(&[("s-1", worker.address)]), Place::new());
     let start = || Program::start_at(&place, &discovery, 512, &[ADMIN]);
     let old = start();
-    wait_for_yes(&old);
-    // It connects, and ends: at once, after its hello, with the socket in its hands.
+    wait_for_readyz(&old);
+    // Connections that end at once, within the hello, after receiving the socket, and after an invalid hello.
     for hello in [
         "",
         "oakshed-hand",
         "oakshed-handover 1\n",
         "GET / HTTP/1.1\r\n\r\n",
     ] {
-        let mut link = UnixStream::connect(place.shared().join("handover")).expect("connected");
-        _ = link.write_all(hello.as_bytes());
+        let mut connection =
+            UnixStream::connect(place.shared().join("handover")).expect("connected");
+        _ = connection.write_all(hello.as_bytes());
         if hello.ends_with("1\n") {
-            _ = link.read(&mut [0; 1]);
+            _ = connection.read(&mut [0; 1]);
         }
-        drop(link);
+        drop(connection);
         assert_eq!(
             send_raw(place.listen, &request("transfer", "id-1")).map(|m| m.status()),
             Some(200)
         );
     }
-    for served in [false, true] {
+    for is_ready in [false, true] {
         let mut new = start();
-        if served {
-            wait_for_yes(&new);
+        if is_ready {
+            wait_for_readyz(&new);
         }
         new.child.kill().expect("killed");
         new.wait();
-        until("the old one's place", || {
-            old.log().matches("the successor has exited").count() > usize::from(served)
+        until("the successor's exit in the log", || {
+            old.log().matches("the successor has exited").count() > usize::from(is_ready)
         });
         for n in 0..20 {
             let answer = send_raw(
                 place.listen,
-                &request("transfer", &format!("id-{served}-{n}")),
+                &request("transfer", &format!("id-{is_ready}-{n}")),
             );
             assert_eq!(answer.map(|m| m.status()), Some(200));
         }
     }
-    until("its socket is back", || {
+    until("the predecessor's Unix socket", || {
         UnixStream::connect(place.shared().join("handover")).is_ok()
     });
     let new = start();
-    wait_for_yes(&new);
+    wait_for_readyz(&new);
     assert!(new.log().contains("took over the socket"), "{}", new.log());
 }
 
-/// What lies in the folder from a dead process, or was put there by someone else, stops no start; nor
-/// does a process before that does not answer, beside which the new one binds the address itself.
+/// Neither files that a killed process or another program left in the shared directory nor a predecessor that does not
+/// answer prevent a start: the new process binds the address itself.
 #[test]
 fn start_without_predecessor_is_a_normal_start() {
     let worker = good();
@@ -226,7 +237,7 @@
     let socket = place.shared().join("handover");
     let start = || {
         let program = Program::start_at(&place, &discovery, 512, &[ADMIN]);
-        wait_for_yes(&program);
+        wait_for_readyz(&program);
         assert_eq!(
             send_raw(place.listen, &request("transfer", "id-1")).map(|m| m.status()),
             Some(200)
@@ -238,26 +249,26 @@
     first.wait();
     assert!(socket.exists());
     drop(start());
-    // Nonsense, a file, a folder.
+    // At the path of the socket: listeners with invalid answers, and then a directory.
     for answer in ["nonsense\n", "declined\n", "99999999999\n", "2\n{}", ""] {
         _ = std::fs::remove_file(&socket);
         let listener = std::os::unix::net::UnixListener::bind(&socket).expect("bound");
         std::thread::spawn(move || {
-            let (mut link, _) = listener.accept().expect("a caller");
-            _ = link.write_all(answer.as_bytes());
-            _ = link.read(&mut [0; 64]);
-            std::thread::sleep(Duration::from_secs(3)); // it keeps the connection, and says no more
+            let (mut connection, _) = listener.accept().expect("a caller");
+            _ = connection.write_all(answer.as_bytes());
+            _ = connection.read(&mut [0; 64]);
+            std::thread::sleep(Duration::from_secs(3)); // keeps the connection open without further data
         });
-        let begun = Instant::now();
+        let start_time = Instant::now();
         drop(start());
         assert!(
-            begun.elapsed() < Duration::from_secs(3),
+            start_time.elapsed() < Duration::from_secs(3),
             "{answer:?} took {:?}",
-            begun.elapsed()
+            start_time.elapsed()
         );
     }
     _ = std::fs::remove_file(&socket);
-    std::fs::create_dir(&socket).expect("made");
+    std::fs::create_dir(&socket).expect("created");
     let old = start();
     let new = start();
     assert!(!new.log().contains("took over the socket"));
@@ -268,18 +279,18 @@
     );
 }
 
-/// A Unix socket's path holds a hundred bytes; a folder's may be much longer.
+/// The path of a Unix socket is limited to about a hundred bytes, which the path of the shared directory may exceed.
 #[test]
 fn long_socket_path_is_accepted() {
     let worker = good();
     let (discovery, mut place) = (Discovery::new(&[("s-1", worker.address)]), Place::new());
-    let top = place.folder.clone();
-    place.folder = top.join("x".repeat(150));
-    std::fs::create_dir(&place.folder).expect("made");
+    let parent = place.folder.clone();
+    place.folder = parent.join("x".repeat(150));
+    std::fs::create_dir(&place.folder).expect("created");
     let old = Program::start_at(&place, &discovery, 512, &[ADMIN]);
-    wait_for_yes(&old);
+    wait_for_readyz(&old);
     let new = Program::start_at(&place, &discovery, 512, &[ADMIN]);
-    wait_for_yes(&new);
+    wait_for_readyz(&new);
     assert!(new.log().contains("took over the socket"), "{}", new.log());
-    place.folder = top;
+    place.folder = parent;
 }
--- a/crates/server/tests/daily/main.rs
+++ b/crates/server/tests/daily/main.rs
@@ -1,6 +1,6 @@
-//! Daily operation from outside: operators' calls, figures, manual exclusions, and hot restart.
+//! Tests of operation against a running process: operators' commands, metrics, manual exclusions and hot restart.
 //!
-//! It owns the folder's one binary and what its parts share. It must never hold a test itself.
+//! This module holds only the helpers that its parts share.
 
 mod calls;
 mod exclusion_faults;
@@ -17,16 +17,16 @@
 
 use oakshed_standin::*;
 
-/// A worker that serves everything, after a job's work.
-fn slow() -> Peer {
+/// A worker that serves each job after 20 ms.
+fn slow_worker() -> Peer {
     Peer::new(|message, stream| {
-        std::thread::sleep(Duration::from_millis(20)); // a job's work
+        std::thread::sleep(Duration::from_millis(20)); // run time of a job
         done(message, stream, "made")
     })
 }
 
-/// A figure by the end of its name.
-fn figure(text: &str, name: &str) -> u64 {
+/// Returns the value of the metric `edge_router.{name}` from an answer to `telemetry`.
+fn metric(text: &str, name: &str) -> u64 {
     let line = text
         .lines()
         .find(|l| l.split(':').next() == Some(&format!("edge_router.{name}")));
@@ -34,7 +34,8 @@
     value.unwrap_or_else(|| panic!("no {name} in {text}"))
 }
 
-fn wait_for_yes(program: &Program) {
+/// Waits until the scheduler answers `readyz` with `YES`.
+fn wait_for_readyz(program: &Program) {
     until("readyz", || {
         call(program.admin(), "readyz").starts_with("YES")
     });
