--- a/crates/server/tests/peers/scheduler.rs
+++ b/crates/server/tests/peers/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler as a process that shares with others: its files, its log and its signals.
+//! A scheduler process that has peers: its files, its log and its signals.
 
 use std::io::{BufRead as _, BufReader};
 use std::net::{SocketAddr, UdpSocket};
@@ -10,33 +10,39 @@
 use oakshed_fault_injection::Faults;
 use oakshed_standin::*;
 
-/// One scheduler, its files and its log.
+/// A scheduler process and its log; killed when dropped.
 pub(super) struct Scheduler {
     pub(super) name: String,
     pub(super) child: Child,
     pub(super) log: Arc<Mutex<String>>,
 }
 
-/// A folder for the files of one test, removed at its end.
-pub(super) struct Folder(pub(super) PathBuf);
+/// A directory with a key file, for the files of one test; removed when dropped.
+pub(super) struct TestFolder(pub(super) PathBuf);
 
-impl Folder {
-    pub(super) fn new(name: &str) -> Folder {
+impl TestFolder {
+    pub(super) fn new(name: &str) -> TestFolder {
         let path =
             std::env::temp_dir().join(format!("oakshed-peers-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(&path).expect("a folder");
+        std::fs::create_dir_all(&path).expect("a directory");
         let key = path.join("key");
         std::fs::write(&key, "a key that only its owner reads\n").expect("written");
         std::fs::set_permissions(&key, std::fs::Permissions::from_mode(0o600)).expect("set");
-        Folder(path)
+        TestFolder(path)
     }
 
-    pub(super) fn operator(&self, i: usize, at: &[SocketAddr]) -> PathBuf {
+    /// Writes the operator's file of the member with number `i`, and returns its path. The first three members are
+    /// listed in `join`.
+    pub(super) fn operator_file(&self, i: usize, peer_addresses: &[SocketAddr]) -> PathBuf {
         let path = self.0.join(format!("operator-{i}.json"));
-        let join: Vec<String> = at.iter().take(3).map(|at| format!("\"{at}\"")).collect();
+        let join: Vec<String> = peer_addresses
+            .iter()
+            .take(3)
+            .map(|address| format!("\"{address}\""))
+            .collect();
         let text = format!(
             r#"{{"peers":{{"listen":"{}","join":[{}],"installation":"test","key_file":"{}","dir":"{}"}}}}"#,
-            at[i],
+            peer_addresses[i],
             join.join(","),
             self.0.join("key").display(),
             self.0.display(),
@@ -46,14 +52,14 @@
     }
 }
 
-impl Drop for Folder {
+impl Drop for TestFolder {
     fn drop(&mut self) {
         _ = std::fs::remove_dir_all(&self.0);
     }
 }
 
-/// Addresses that nobody else uses: all are bound before any is given back.
-pub(super) fn addresses(n: usize) -> Vec<SocketAddr> {
+/// Returns distinct unused UDP addresses: all of them are bound before any is released.
+pub(super) fn unused_addresses(n: usize) -> Vec<SocketAddr> {
     let sockets: Vec<UdpSocket> = (0..n)
         .map(|_| UdpSocket::bind("127.0.0.1:0").expect("a port"))
         .collect();
@@ -65,19 +71,19 @@
 
 impl Scheduler {
     pub(super) fn start(
-        folder: &Folder,
+        folder: &TestFolder,
         discovery: SocketAddr,
         i: usize,
-        at: &[SocketAddr],
+        peer_addresses: &[SocketAddr],
     ) -> Scheduler {
-        Scheduler::start_with(folder, discovery, i, at, None)
+        Scheduler::start_with(folder, discovery, i, peer_addresses, None)
     }
 
     pub(super) fn start_with(
-        folder: &Folder,
+        folder: &TestFolder,
         discovery: SocketAddr,
         i: usize,
-        at: &[SocketAddr],
+        peer_addresses: &[SocketAddr],
         faults: Option<&Faults>,
     ) -> Scheduler {
         let name = format!("p{i}");
@@ -89,7 +95,7 @@
         let mut command = Command::new(Program::binary());
         command
             .args(["serve", "--log-format", "json", "--operator"])
-            .arg(folder.operator(i, at))
+            .arg(folder.operator_file(i, peer_addresses))
             .env("ROUTER_CONFIG", config_path)
             .env("ROUTER_NAME", &name)
             .env_remove("TMPDIR")
@@ -99,19 +105,20 @@
         }
         let mut child = command.spawn().expect("started");
         let log = Arc::new(Mutex::new(String::new()));
-        let (to, from) = (
+        let (copy, reader) = (
             log.clone(),
             BufReader::new(child.stderr.take().expect("piped")),
         );
         std::thread::spawn(move || {
-            from.lines()
+            reader
+                .lines()
                 .map_while(Result::ok)
-                .for_each(|line| *to.lock().unwrap() += &(line + "\n"));
+                .for_each(|line| *copy.lock().unwrap() += &(line + "\n"));
         });
         Scheduler { name, child, log }
     }
 
-    /// How many lines report an event with a field.
+    /// Counts the log lines of an event in which a field has this value.
     pub(super) fn count_events(&self, event: &str, field: &str, value: &str) -> usize {
         let log = self.log.lock().unwrap();
         let (event, field) = (
@@ -123,18 +130,18 @@
             .count()
     }
 
-    /// Where clients connect.
+    /// The address for clients, from the log.
     pub(super) fn address(&self) -> SocketAddr {
-        let mut at = None;
+        let mut address = None;
         until("the address in the log", || {
             let log = self.log.lock().unwrap();
-            at = log
+            address = log
                 .split("listens on ")
                 .nth(1)
                 .and_then(|rest| rest.split(',').next()?.parse().ok());
-            at.is_some()
+            address.is_some()
         });
-        at.expect("logged")
+        address.expect("logged")
     }
 
     pub(super) fn signal(&self, name: &str) {
@@ -147,7 +154,7 @@
 
 impl Drop for Scheduler {
     fn drop(&mut self) {
-        // A stopped process dies of SIGKILL as well.
+        // SIGKILL ends a process that is stopped, too.
         _ = self.child.kill();
         _ = self.child.wait();
     }
--- a/crates/server/tests/wall_clock.rs
+++ b/crates/server/tests/wall_clock.rs
@@ -1,6 +1,6 @@
-//! A wall clock that is off, or stepped while the process runs, in a real process.
+//! A scheduler process whose wall clock is wrong, or is stepped while it runs.
 //!
-//! It owns these scenarios. Which of two workers gets how many requests shows for how warm each is taken.
+//! How requests are split between two workers shows which of them the scheduler treats as being in slow start.
 
 #[path = "common/settings.rs"]
 mod settings;
@@ -14,10 +14,11 @@
 use settings::edit;
 
 const HOUR_MS: i64 = 3_600_000;
-/// What is sent to see which worker gets how much.
+/// The number of requests that are sent to measure the split.
 const REQUESTS: usize = 48;
-/// A cold worker gets next to nothing at first.
+/// The duration of slow start; equals `ramp-time-ms` in [`EDITS`].
 const RAMP: Duration = Duration::from_millis(6_000);
+/// Lets a worker in slow start begin with next to no requests, and gives queued requests enough time.
 const EDITS: [(&str, &str); 4] = [
     (r#""cold-share":0.32"#, r#""cold-share":0.03"#),
     (r#""ramp-time-ms":9000"#, r#""ramp-time-ms":6000"#),
@@ -25,7 +26,7 @@
     (r#""aim-ms":120"#, r#""aim-ms":4000"#),
 ];
 
-/// A worker that takes so long for a request, and answers with one write.
+/// A worker with this service time, which writes each answer at once.
 fn worker(service: Duration) -> Peer {
     Peer::new(move |message, stream| {
         std::thread::sleep(service);
@@ -37,8 +38,8 @@
     })
 }
 
-/// A scheduler whose wall clock can be stepped, and two workers that answer at once.
-struct World {
+/// A scheduler whose wall clock can be stepped, with discovery and two workers.
+struct Setup {
     workers: [Peer; 2],
     discovery: Discovery,
     faults: Faults,
@@ -52,12 +53,12 @@
         .as_millis() as u64
 }
 
-/// The scheduler begins with its wall clock off by so much; the first worker has started that long ago.
-fn start(offset_ms: i64, first_worker_age: Option<Duration>) -> World {
+/// Starts a scheduler whose wall clock has this offset. The start time of the first worker lies that far in the past.
+fn start(offset_ms: i64, first_worker_age: Option<Duration>) -> Setup {
     start_with(offset_ms, first_worker_age, Duration::from_millis(2))
 }
 
-fn start_with(offset_ms: i64, first_worker_age: Option<Duration>, service: Duration) -> World {
+fn start_with(offset_ms: i64, first_worker_age: Option<Duration>, service: Duration) -> Setup {
     let workers = [worker(service), worker(service)];
     let discovery = Discovery::new(&[("s-1", workers[0].address), ("s-2", workers[1].address)]);
     if let Some(age) = first_worker_age {
@@ -66,7 +67,7 @@
     let faults = Faults::new("");
     faults.set_clock_offset(offset_ms);
     let program = run_scheduler(&discovery, &faults, None, &EDITS);
-    World {
+    Setup {
         workers,
         discovery,
         faults,
@@ -74,7 +75,8 @@
     }
 }
 
-/// At a place of its own, where another process may serve already, or at none.
+/// Starts a scheduler and waits until it is ready. At a given place it takes over from the process that serves there,
+/// if there is one.
 fn run_scheduler(
     discovery: &Discovery,
     faults: &Faults,
@@ -99,9 +101,9 @@
     program
 }
 
-impl World {
-    /// Sends requests one after the other, all of which are served; returns how many each worker got.
-    fn work(&self, name: &str) -> [usize; 2] {
+impl Setup {
+    /// Sends requests sequentially, all of which must be served; returns how many each worker received.
+    fn send_requests(&self, name: &str) -> [usize; 2] {
         let before = self.counts();
         let mut client = self.program.connect();
         for number in 0..REQUESTS {
@@ -119,8 +121,8 @@
         [self.workers[0].count(), self.workers[1].count()]
     }
 
-    /// The first worker starts anew, and the scheduler is notified of it.
-    fn restart_first(&self) {
+    /// Changes the start time of the first worker to the current time, and waits until the scheduler has the new list.
+    fn restart_first_worker(&self) {
         self.discovery.started("s-1", now_ms());
         let list = format!("list {} ", self.discovery.number());
         until("the new list", || self.program.log().contains(&list));
@@ -141,59 +143,71 @@
     );
 }
 
-/// Guards against cold workers that look warm, and against such that stay cold for good.
+/// Guards against workers without slow start, and against slow start that never ends.
 #[test]
 fn starting_worker_has_slow_start_at_any_wall_clock() {
     std::thread::scope(|scope| {
         for offset in [0, HOUR_MS, -HOUR_MS, 5_000, -5_000] {
             scope.spawn(move || {
-                let world = start(offset, None);
-                assert_warm(world.work("before"), "before");
-                world.restart_first();
-                assert_cold(world.work("cold"), &format!("off by {offset} ms"));
+                let setup = start(offset, None);
+                assert_warm(setup.send_requests("before"), "before");
+                setup.restart_first_worker();
+                assert_cold(
+                    setup.send_requests("cold"),
+                    &format!("clock off by {offset} ms"),
+                );
                 std::thread::sleep(RAMP);
-                let warm = world.work("warm");
-                assert_warm(warm, &format!("a ramp later, off by {offset} ms"));
+                let warm = setup.send_requests("warm");
+                assert_warm(warm, &format!("after slow start, clock off by {offset} ms"));
             });
         }
     });
 }
 
-/// The same where the wall clock is stepped while the process runs, before and after the worker starts.
+/// The wall clock is stepped while the process runs, both before and after the worker starts.
 #[test]
 fn wall_clock_step_does_not_change_slow_start() {
     std::thread::scope(|scope| {
         for step in [HOUR_MS, -HOUR_MS, 5_000, -5_000] {
             scope.spawn(move || {
-                let world = start(0, None);
-                assert_warm(world.work("before"), "before");
-                world.faults.set_clock_offset(step);
-                assert_warm(world.work("stepped"), "after the step");
-                world.restart_first();
-                assert_cold(world.work("cold"), &format!("stepped by {step} ms"));
-                world.faults.set_clock_offset(0);
-                assert_cold(world.work("back"), &format!("back by {step} ms"));
+                let setup = start(0, None);
+                assert_warm(setup.send_requests("before"), "before");
+                setup.faults.set_clock_offset(step);
+                assert_warm(setup.send_requests("stepped"), "after the step");
+                setup.restart_first_worker();
+                assert_cold(
+                    setup.send_requests("cold"),
+                    &format!("clock stepped by {step} ms"),
+                );
+                setup.faults.set_clock_offset(0);
+                assert_cold(
+                    setup.send_requests("back"),
+                    &format!("clock stepped back by {step} ms"),
+                );
                 std::thread::sleep(RAMP);
-                let warm = world.work("warm");
-                assert_warm(warm, &format!("a ramp later, stepped by {step} ms"));
+                let warm = setup.send_requests("warm");
+                assert_warm(
+                    warm,
+                    &format!("after slow start, clock stepped by {step} ms"),
+                );
             });
         }
     });
 }
 
-/// A process that begins with its wall clock behind finds a start in the future in its first list.
+/// A process whose wall clock is behind at its start receives a start time in the future with its first list.
 #[test]
 fn slow_start_ends_with_a_wall_clock_that_is_behind() {
-    let world = start(-HOUR_MS, Some(Duration::from_secs(60)));
-    assert_cold(world.work("first"), "indeterminate");
+    let setup = start(-HOUR_MS, Some(Duration::from_secs(60)));
+    assert_cold(setup.send_requests("first"), "start time in the future");
     std::thread::sleep(RAMP);
-    assert_warm(world.work("later"), "a ramp later");
-    let right = start(0, Some(Duration::from_secs(60)));
-    assert_warm(right.work("first"), "with the right time");
+    assert_warm(setup.send_requests("later"), "after slow start");
+    let correct = start(0, Some(Duration::from_secs(60)));
+    assert_warm(correct.send_requests("first"), "with the correct time");
 }
 
-/// A process that takes over from another knows for how long each worker has been warming up, though its wall
-/// clock says that all have long been up.
+/// A successor knows for how long each worker has been in slow start, although by its wall clock all of them started
+/// long ago.
 #[test]
 fn successor_retains_slow_start_of_its_predecessor() {
     let edits = [
@@ -203,41 +217,41 @@
         EDITS[3],
     ];
     let place = Place::new();
-    let mut world = start(HOUR_MS, None);
-    world.program = run_scheduler(&world.discovery, &world.faults, Some(&place), &edits);
-    assert_warm(world.work("before"), "before");
-    world.restart_first();
-    let successor = run_scheduler(&world.discovery, &world.faults, Some(&place), &edits);
+    let mut setup = start(HOUR_MS, None);
+    setup.program = run_scheduler(&setup.discovery, &setup.faults, Some(&place), &edits);
+    assert_warm(setup.send_requests("before"), "before");
+    setup.restart_first_worker();
+    let successor = run_scheduler(&setup.discovery, &setup.faults, Some(&place), &edits);
     let log = "hot restart: took over the socket";
     assert!(successor.log().contains(log), "{}", successor.log());
-    let mut predecessor = std::mem::replace(&mut world.program, successor);
+    let mut predecessor = std::mem::replace(&mut setup.program, successor);
     predecessor.signal("-TERM");
-    until("the end of the process before", || {
+    until("the exit of the predecessor", || {
         predecessor.child.try_wait().expect("a process").is_some()
     });
-    assert_cold(world.work("after"), "after the hand-over");
+    assert_cold(setup.send_requests("after"), "after the hot restart");
 }
 
-/// Deadlines are spans: a request that is out while the wall clock is stepped ends as any other.
+/// Deadlines are durations: a step of the wall clock does not affect the requests in flight.
 #[test]
 fn requests_in_flight_survive_a_wall_clock_step() {
-    let mut world = start_with(0, None, Duration::from_millis(400));
+    let mut setup = start_with(0, None, Duration::from_millis(400));
     for step in [HOUR_MS, -HOUR_MS, 0] {
         std::thread::scope(|scope| {
             let in_flight: Vec<_> = (0..3)
                 .map(|n| {
                     let (text, address) = (
                         request("transfer", &format!("r{step}-{n}")),
-                        world.program.address,
+                        setup.program.address,
                     );
                     scope.spawn(move || send_raw(address, &text).map(|answer| answer.status()))
                 })
                 .collect();
             std::thread::sleep(Duration::from_millis(150));
-            world.faults.set_clock_offset(step);
+            setup.faults.set_clock_offset(step);
             for in_flight in in_flight {
                 assert_eq!(
-                    in_flight.join().expect("ended"),
+                    in_flight.join().expect("no panic"),
                     Some(200),
                     "stepped to {step} ms"
                 );
@@ -245,8 +259,8 @@
         });
     }
     assert_eq!(
-        world.program.child.try_wait().expect("a process"),
+        setup.program.child.try_wait().expect("a process"),
         None,
-        "it runs on"
+        "the scheduler has exited"
     );
 }
