--- a/crates/server/tests/system_calls/accept.rs
+++ b/crates/server/tests/system_calls/accept.rs
@@ -1,4 +1,4 @@
-//! accept(2) fails: in service, and at a stop.
+//! Failures of accept(2), in normal operation and during a shutdown.
 
 use std::io::{BufReader, Write};
 use std::net::TcpStream;
@@ -7,9 +7,9 @@
 use oakshed_fault_injection::{Faults, Switch};
 use oakshed_standin::*;
 
-use super::{alone, for_each_row, start_with_faults, PATIENT};
+use super::{for_each_row, run_exclusively, start_with_faults, LONG_OBJECTIVE};
 
-/// The errors that accept(2) documents for a moment, those of connections and those of the system.
+/// The transient errors that accept(2) documents, those of single connections and those of the system.
 const ERRORS: [&str; 10] = [
     "ECONNABORTED",
     "EPROTO",
@@ -23,25 +23,27 @@
     "EPERM",
 ];
 
-/// Guards against an error of one connection that drops the listener, and all that waits to be accepted with it.
+/// Guards against closing the listener, and with it all connections in its queue, because of an error of one
+/// connection.
 #[test]
 fn accept_error_at_shutdown_does_not_end_the_queue() {
-    for_each_row(ERRORS, stop_with);
+    for_each_row(ERRORS, check_shutdown);
 }
 
-fn stop_with(error: &str) {
+fn check_shutdown(error: &str) {
     let faults = Faults::new(&format!("accept {error} 1/2 0 0"));
     let worker = good();
     let mut program = start_with_faults(
         &Discovery::new(&[("s-1", worker.address)]),
         &faults,
-        &PATIENT,
+        &LONG_OBJECTIVE,
     );
     program.signal("-TERM");
     until("the signal", || {
         program.log().contains("shutdown requested")
     });
-    // It gets no time on its core until it is to close; the system accepts for it meanwhile.
+    // The process is stopped until it is due to close; the kernel completes the handshakes of new connections
+    // meanwhile.
     program.signal("-STOP");
     let mut clients: Vec<TcpStream> = (0..20).map(|_| program.connect()).collect();
     for (number, client) in clients.iter_mut().enumerate() {
@@ -69,14 +71,14 @@
     );
 }
 
-/// Guards against closing clients' connections for errors that say nothing of their number: requests on idle
-/// connections ended without an answer.
+/// Guards against closing clients' connections because of errors that do not depend on their number: requests on idle
+/// connections would end without an answer.
 #[test]
-fn accept_error_in_service_closes_no_active_connection() {
-    for_each_row(ERRORS.into_iter().chain(["EMFILE"]), serve_with);
+fn accept_error_closes_no_connection_in_use() {
+    for_each_row(ERRORS.into_iter().chain(["EMFILE"]), check_serving);
 }
 
-fn serve_with(error: &str) {
+fn check_serving(error: &str) {
     let faults = Faults::new(&format!("accept {error} 1/2 0 60000"));
     let worker = good();
     let program = start_with_faults(&Discovery::new(&[("s-1", worker.address)]), &faults, &[]);
@@ -99,10 +101,11 @@
     );
 }
 
-/// Our own limit reached and staying so: what has long been idle is closed, what is in use is not.
+/// While the process is at its descriptor limit, connections that have been idle for long are closed, and those in use
+/// are not.
 #[test]
 fn only_idle_connections_are_evicted_without_descriptors() {
-    let _alone = alone();
+    let _guard = run_exclusively();
     let faults = Faults::new("accept EMFILE 1/1 0 0");
     let worker = good();
     let program = start_with_faults(&Discovery::new(&[("s-1", worker.address)]), &faults, &[]);
@@ -115,7 +118,7 @@
     let waiting = program.connect();
     idle.set_nonblocking(true).expect("set");
     let mut round = 0;
-    until("the idle one's end", || {
+    until("the close of the idle connection", || {
         round += 1;
         assert_eq!(
             send_on(&mut used, &request("transfer", &format!("used-{round}"))).status(),
--- a/crates/server/tests/system_calls/closing.rs
+++ b/crates/server/tests/system_calls/closing.rs
@@ -1,5 +1,7 @@
-//! What comes on a connection right after the program has ended it: it is neither forwarded nor does it reset the
-//! connection, however late its client gets to it, as the program stands still meanwhile.
+//! Requests that arrive right after the program has shut down its sending side of a connection.
+//!
+//! They are not forwarded, and they do not reset the connection. The program is stopped at these moments, which gives
+//! clients time to send.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -9,64 +11,70 @@
 use oakshed_standin::*;
 
 use super::streams::connect_from;
-use super::{alone, for_each_row, start_limited_with_faults, start_with_faults};
+use super::{for_each_row, run_exclusively, start_limited_with_faults, start_with_faults};
 
-/// Where the clients call from whose connections the program ends.
+/// The source address of the clients whose connections the program closes, so that fault rows can select them.
 const CLIENT: &str = "127.0.0.9:0";
-/// For how long a connection is read from after its end, where there is the time.
-const LINGER: Duration = Duration::from_millis(200);
-/// The plan's rows: the process stops before it ends its sending on such a connection, and before it waits for events.
-const AT_END: usize = 0;
+/// For how long the program reads from a connection after it has shut down its sending side, unless it must exit
+/// earlier.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(200);
+/// The row that stops the process before it shuts down the sending side of a connection from [`CLIENT`].
+const AT_SHUTDOWN: usize = 0;
+/// The row that stops the process before it waits for events.
 const AT_WAIT: usize = 1;
 const ROWS: &str = "shutdown STOP 1/1 0 0 on=127.0.0.9:; epoll_wait STOP 1/1 0 0";
 
-/// What a client has done by the time that the program is stopped.
+/// What a client has done before the program closes its connection.
 #[derive(Clone, Copy, Debug)]
 enum Kind {
-    /// It was served, and rests.
-    Resting,
-    /// It never sent a byte.
+    /// A request was served, and the connection is idle.
+    Idle,
+    /// Nothing was sent.
     New,
-    /// It has sent half of a request.
-    Half,
+    /// A part of a request was sent.
+    Partial,
 }
 
-/// Has the program stand still each time that it has ended its sending on connections of these clients, before it waits
-/// for anything more. `at_end` is called then, and returns whether there is another end to come. Returns a moment
-/// before the last of them.
-fn at_each_end(program: &Program, faults: &Faults, mut at_end: impl FnMut() -> bool) -> Instant {
-    let mut is_another_to_come = true;
-    let mut before_end = Instant::now();
-    faults.switch(AT_END, Switch::On);
-    let mut ends = faults.strikes(AT_END);
-    while is_another_to_come {
-        until("the end of a connection", || {
+/// Stops the program each time that it has shut down the sending side of connections from [`CLIENT`], before it waits
+/// for events again, and calls `while_stopped`, which returns whether further closes are expected. Returns a time
+/// shortly before the last close.
+fn stop_at_each_close(
+    program: &Program,
+    faults: &Faults,
+    mut while_stopped: impl FnMut() -> bool,
+) -> Instant {
+    let mut expects_another = true;
+    let mut before_close = Instant::now();
+    faults.switch(AT_SHUTDOWN, Switch::On);
+    let mut closes = faults.strikes(AT_SHUTDOWN);
+    while expects_another {
+        until("the close of a connection", || {
             let now = Instant::now();
-            let has_arrived = faults.strikes(AT_END) > ends;
-            if !has_arrived {
-                before_end = now;
+            let is_reached = faults.strikes(AT_SHUTDOWN) > closes;
+            if !is_reached {
+                before_close = now;
             }
-            has_arrived && program.is_stopped()
+            is_reached && program.is_stopped()
         });
-        faults.switch(AT_END, Switch::Off);
+        faults.switch(AT_SHUTDOWN, Switch::Off);
         let waits = faults.strikes(AT_WAIT);
         faults.switch(AT_WAIT, Switch::On);
         program.signal("-CONT");
-        until("its wait for events", || {
+        until("the wait for events", || {
             faults.strikes(AT_WAIT) > waits && program.is_stopped()
         });
         faults.switch(AT_WAIT, Switch::Off);
-        is_another_to_come = at_end();
-        ends = faults.strikes(AT_END);
-        if is_another_to_come {
-            faults.switch(AT_END, Switch::On);
+        expects_another = while_stopped();
+        closes = faults.strikes(AT_SHUTDOWN);
+        if expects_another {
+            faults.switch(AT_SHUTDOWN, Switch::On);
         }
         program.signal("-CONT");
     }
-    before_end
+    before_close
 }
 
-/// Whether the program has ended its sending on a connection.
+/// Whether the client has received the end of the stream.
 fn has_ended(client: &TcpStream) -> bool {
     client.set_nonblocking(true).expect("set");
     let peeked = client.peek(&mut [0]);
@@ -74,12 +82,12 @@
     matches!(peeked, Ok(0))
 }
 
-/// Sends a request on a connection that has ended, and sees nothing come of it.
-fn write_late(client: &mut TcpStream, id: &str) {
+/// Sends a request on a connection that the program has closed, and checks that there is no answer.
+fn send_after_close(client: &mut TcpStream, id: &str) {
     client
         .write_all(request("transfer", id).as_bytes())
         .expect("written");
-    assert_eq!(client.read(&mut [0]).expect("an end still"), 0, "{id}");
+    assert_eq!(client.read(&mut [0]).expect("no reset"), 0, "{id}");
 }
 
 fn is_reset(client: &TcpStream) -> bool {
@@ -94,35 +102,35 @@
 
 #[test]
 fn request_after_close_at_shutdown_is_neither_reset_nor_forwarded() {
-    for_each_row([Kind::Resting, Kind::New, Kind::Half], |kind| {
+    for_each_row([Kind::Idle, Kind::New, Kind::Partial], |kind| {
         let worker = good();
         let discovery = Discovery::new(&[("s-1", worker.address)]);
         let faults = Faults::new(ROWS);
         let mut program = start_with_faults(&discovery, &faults, &[]);
         let mut client = connect_from(CLIENT, program.address);
-        let half = request("transfer", "late-half");
+        let partial = request("transfer", "late-partial");
         match kind {
-            Kind::Resting => {
+            Kind::Idle => {
                 let answer = send_on(&mut client, &request("transfer", "first"));
                 assert_eq!(answer.status(), 200);
             }
             Kind::New => {}
-            Kind::Half => client
-                .write_all(&half.as_bytes()[..half.len() - 2])
-                .expect("half of it"),
+            Kind::Partial => client
+                .write_all(&partial.as_bytes()[..partial.len() - 2])
+                .expect("written"),
         }
         program.signal("-TERM");
-        let before_end = at_each_end(&program, &faults, || {
+        let before_close = stop_at_each_close(&program, &faults, || {
             assert!(has_ended(&client), "{kind:?}");
-            write_late(&mut client, "late");
+            send_after_close(&mut client, "late");
             false
         });
-        // It is not closed by its client before the program has ended.
+        // The client keeps the connection open until the program has exited.
         assert_eq!(program.wait().code(), Some(0), "{kind:?}");
-        // Half a request is waited for until the last answers are due, and little is left then.
-        let lingered = before_end.elapsed();
+        // The rest of a partial request is awaited until the last answers are due, which leaves little time to linger.
+        let lingered = before_close.elapsed();
         assert!(
-            lingered >= LINGER || matches!(kind, Kind::Half),
+            lingered >= LINGER_TIMEOUT || matches!(kind, Kind::Partial),
             "{kind:?}: {lingered:?}"
         );
         assert!(!is_reset(&client), "{kind:?}");
@@ -130,48 +138,48 @@
     });
 }
 
-/// At the connection limit: those that are evicted are ended in the same way, and a crowd that comes beside leaves them the
+/// Connections that are evicted at the connection limit are closed in the same way, and new clients do not shorten the
 /// time for it.
 #[test]
 fn request_after_eviction_is_neither_reset_nor_forwarded() {
-    const RESTING: usize = 14;
+    const IDLE: usize = 14;
     const EVICTED: usize = 3;
-    let _alone = alone();
+    let _guard = run_exclusively();
     let worker = good();
     let discovery = Discovery::new(&[("s-1", worker.address)]);
     let faults = Faults::new(ROWS);
     let mut program = start_limited_with_faults(&discovery, &faults, 64, &[]);
-    let mut resting: Vec<TcpStream> = (0..RESTING)
+    let mut idle: Vec<TcpStream> = (0..IDLE)
         .map(|_| connect_from(CLIENT, program.address))
         .collect();
-    for (number, client) in resting.iter_mut().enumerate() {
+    for (number, client) in idle.iter_mut().enumerate() {
         let answer = send_on(client, &request("transfer", &format!("id-{number}")));
         assert_eq!(answer.status(), 200);
     }
     std::thread::scope(|scope| {
         let program = &program;
-        let crowd = scope.spawn(|| {
+        let new_clients = scope.spawn(|| {
             let mut clients: Vec<TcpStream> = (0..5).map(|_| program.connect()).collect();
             for (number, client) in clients.iter_mut().enumerate() {
                 let answer = send_on(client, &request("transfer", &format!("new-{number}")));
                 assert_eq!(answer.status(), 200);
             }
         });
-        let mut ended = [false; RESTING];
-        at_each_end(program, &faults, || {
-            for (number, client) in resting.iter_mut().enumerate() {
-                if !ended[number] && has_ended(client) {
-                    ended[number] = true;
-                    write_late(client, &format!("late-{number}"));
+        let mut closed = [false; IDLE];
+        stop_at_each_close(program, &faults, || {
+            for (number, client) in idle.iter_mut().enumerate() {
+                if !closed[number] && has_ended(client) {
+                    closed[number] = true;
+                    send_after_close(client, &format!("late-{number}"));
                 }
             }
-            ended.iter().filter(|ended| **ended).count() < EVICTED
+            closed.iter().filter(|closed| **closed).count() < EVICTED
         });
-        crowd.join().expect("all are served");
+        new_clients.join().expect("all are served");
     });
-    // It has let go of them all once it has ended; their clients have not.
+    // The program has closed all connections once it has exited, while their clients keep them open.
     program.signal("-TERM");
     assert_eq!(program.wait().code(), Some(0));
-    assert!(!resting.iter().any(is_reset));
+    assert!(!idle.iter().any(is_reset));
     assert_none_forwarded(&worker);
 }
--- a/crates/server/tests/system_calls/connect.rs
+++ b/crates/server/tests/system_calls/connect.rs
@@ -1,4 +1,4 @@
-//! connect(2) and socket(2) fail: for a fault of this machine, or of a worker or the way to it.
+//! Failures of connect(2) and socket(2), due to this machine, a worker, or the network between them.
 
 use std::io::Write;
 use std::sync::Mutex;
@@ -7,10 +7,10 @@
 use oakshed_fault_injection::{Faults, Switch};
 use oakshed_standin::*;
 
-use super::{alone, for_each_row, start_with_faults, PATIENT};
+use super::{for_each_row, run_exclusively, start_with_faults, LONG_OBJECTIVE};
 
-/// Faults of this machine, by the call that has them.
-const LOCAL: [(&str, &str); 11] = [
+/// Calls and errors that indicate a fault of this machine.
+const LOCAL_FAULTS: [(&str, &str); 11] = [
     ("connect", "EADDRNOTAVAIL"),
     ("connect", "EAGAIN"),
     ("connect", "EINTR"),
@@ -24,8 +24,8 @@
     ("socket", "ENOMEM"),
 ];
 
-/// A worker that takes 10 ms for a job, and one connection for each.
-pub(super) fn closing() -> Peer {
+/// A worker that serves a job in 10 ms and then closes the connection.
+pub(super) fn closing_worker() -> Peer {
     Peer::new(|message, stream| {
         std::thread::sleep(Duration::from_millis(10));
         let id = message.field("req-id").expect("an id");
@@ -39,8 +39,9 @@
     })
 }
 
-/// Sends requests at 200 a second, each on a new connection; returns how many had which status, 0 for no answer.
-fn load(program: &Program, requests: u32) -> Vec<(u16, u32)> {
+/// Sends 200 requests per second, each on a new connection. Returns the number of answers by status; status 0 stands
+/// for no answer.
+fn send_at_fixed_rate(program: &Program, requests: u32) -> Vec<(u16, u32)> {
     let counts = Mutex::new(std::collections::BTreeMap::new());
     let start = Instant::now();
     std::thread::scope(|scope| {
@@ -61,14 +62,15 @@
     counts.into_inner().unwrap().into_iter().collect()
 }
 
-/// Guards against blame on workers that outlives the fault, and against attempts that are used up by it.
+/// Guards against workers that are still avoided after a local fault, and against requests that use up their attempts
+/// during it.
 #[test]
 fn requests_are_queued_while_no_port_is_free_and_served_after() {
-    let _alone = alone();
-    let workers = [closing(), closing()];
+    let _guard = run_exclusively();
+    let workers = [closing_worker(), closing_worker()];
     let faults = Faults::new("connect EADDRNOTAVAIL 1/1 0 0");
     let discovery = Discovery::new(&[("s-1", workers[0].address), ("s-2", workers[1].address)]);
-    let program = start_with_faults(&discovery, &faults, &PATIENT);
+    let program = start_with_faults(&discovery, &faults, &LONG_OBJECTIVE);
     let answers = std::thread::scope(|scope| {
         scope.spawn(|| {
             std::thread::sleep(Duration::from_millis(150));
@@ -76,7 +78,7 @@
             std::thread::sleep(Duration::from_millis(1_350));
             faults.switch(0, Switch::Off);
         });
-        load(&program, 1_000)
+        send_at_fixed_rate(&program, 1_000)
     });
     assert_eq!(
         answers,
@@ -93,18 +95,18 @@
 
 #[test]
 fn local_faults_only_delay_requests() {
-    for_each_row(LOCAL, |(call, error)| {
-        let workers = [closing(), closing()];
+    for_each_row(LOCAL_FAULTS, |(call, error)| {
+        let workers = [closing_worker(), closing_worker()];
         let faults = Faults::new(&format!("{call} {error} 1/1 0 0"));
         let discovery = Discovery::new(&[("s-1", workers[0].address), ("s-2", workers[1].address)]);
-        let program = start_with_faults(&discovery, &faults, &PATIENT);
+        let program = start_with_faults(&discovery, &faults, &LONG_OBJECTIVE);
         faults.switch(0, Switch::On);
         let answers = std::thread::scope(|scope| {
             scope.spawn(|| {
                 std::thread::sleep(Duration::from_millis(300));
                 faults.switch(0, Switch::Off);
             });
-            load(&program, 100)
+            send_at_fixed_rate(&program, 100)
         });
         assert_eq!(answers, [(200, 100)], "{call} {error}");
         assert!(
@@ -115,25 +117,25 @@
     });
 }
 
-/// Such an error is the worker's, or of the way to it: its requests go to another one, and it is left alone.
+/// These errors are attributed to the worker or the network: requests go to another worker, and this one is avoided.
 #[test]
 fn unreachable_worker_is_replaced_by_another() {
     for_each_row(
         ["ECONNREFUSED", "EHOSTUNREACH", "ENETUNREACH", "ETIMEDOUT"],
         |error| {
-            let workers = [closing(), closing()];
+            let workers = [closing_worker(), closing_worker()];
             let faults = Faults::new(&format!(
                 "connect {error} 1/1 0 60000 on={}",
                 workers[0].address
             ));
             let discovery =
                 Discovery::new(&[("s-1", workers[0].address), ("s-2", workers[1].address)]);
-            let program = start_with_faults(&discovery, &faults, &PATIENT);
-            assert_eq!(load(&program, 100), [(200, 100)], "{error}");
-            let tries = faults.strikes(0);
+            let program = start_with_faults(&discovery, &faults, &LONG_OBJECTIVE);
+            assert_eq!(send_at_fixed_rate(&program, 100), [(200, 100)], "{error}");
+            let attempts = faults.strikes(0);
             assert!(
-                (1..30).contains(&tries),
-                "{error}: {tries} tries at who cannot be reached"
+                (1..30).contains(&attempts),
+                "{error}: {attempts} attempts to connect to an unreachable worker"
             );
         },
     );
--- a/crates/server/tests/system_calls/failed_reads.rs
+++ b/crates/server/tests/system_calls/failed_reads.rs
@@ -1,4 +1,5 @@
-//! A read that only checks a socket fails for a moment: the system could not say, which is neither silence nor a close.
+//! Transient failures of reads that check a socket for new data: they show neither that there is none nor that the peer
+//! has closed.
 
 use std::io::{BufReader, Write};
 use std::time::Duration;
@@ -7,18 +8,18 @@
 use oakshed_standin::*;
 
 use super::streams::connect_from;
-use super::{for_each_row, start_with_faults, PATIENT};
+use super::{for_each_row, start_with_faults, LONG_OBJECTIVE};
 
-/// Where a client calls from, so that calls on its connection are known.
+/// The source address of a client, so that fault rows can select its connection.
 const CLIENT: &str = "127.0.0.9:0";
-/// The errors of a read that pass.
+/// Transient errors of a read.
 const ERRORS: [&str; 2] = ["ENOMEM", "ENOBUFS"];
-/// Longer than some reads at a connection that is to close.
-const FAULT: Duration = Duration::from_millis(200);
-/// So often a list may cross the end of the call for it.
-const MOST_ROUNDS: usize = 10;
+/// The duration of the fault; the program reads from a closing connection several times within it.
+const FAULT_DURATION: Duration = Duration::from_millis(200);
+/// The most rounds that are tried, as an update of the list may cross the end of the call for it.
+const MAX_ROUNDS: usize = 10;
 
-/// Guards against a close, in a shutdown, over a request that has come and could not be read for a moment.
+/// Guards against closing a connection during a shutdown while a request that has arrived temporarily cannot be read.
 #[test]
 fn unreadable_request_does_not_close_its_connection() {
     const AT_LOG: usize = 0;
@@ -29,7 +30,7 @@
         let faults = Faults::new(&format!(
             "write STOP 1/1 0 0 on=pipe:; recv {error} 1/1 0 0 on=127.0.0.9:"
         ));
-        let mut program = start_with_faults(&discovery, &faults, &PATIENT);
+        let mut program = start_with_faults(&discovery, &faults, &LONG_OBJECTIVE);
         let mut client = connect_from(CLIENT, program.address);
         assert_eq!(
             send_on(&mut client, &request("transfer", "first")).status(),
@@ -40,14 +41,16 @@
             program.log().contains("shutdown requested")
         });
         faults.switch(AT_LOG, Switch::On);
-        until("the closing", || program.is_stopped());
+        until("the stop at the log line on closing", || {
+            program.is_stopped()
+        });
         faults.switch(AT_LOG, Switch::Off);
         faults.switch(AT_RECV, Switch::On);
         client
             .write_all(request("transfer", "last").as_bytes())
             .expect("written");
         program.signal("-CONT");
-        std::thread::sleep(FAULT);
+        std::thread::sleep(FAULT_DURATION);
         faults.switch(AT_RECV, Switch::Off);
         let answer = Message::read(&mut BufReader::new(client)).map(|answer| answer.status());
         assert_eq!(answer, Some(200), "{error}");
@@ -56,28 +59,28 @@
     });
 }
 
-/// Guards against a request that is written to a worker whose drain has come, where the read for an unread change of the
-/// list fails: it may have come.
+/// Guards against writing a request to a worker whose drain has arrived but is unread: if the check for an unread
+/// update of the list fails, there may be one.
 #[test]
-fn unreadable_list_may_have_arrived() {
+fn failed_check_for_a_list_update_assumes_one() {
     for_each_row(ERRORS, |error| {
-        let list_arrived = (0..MOST_ROUNDS).any(|_| drain_with_failed_read(error));
-        assert!(list_arrived, "{error}: each list crossed the end of a call");
+        let is_checked = (0..MAX_ROUNDS).any(|_| drain_with_failed_read(error));
+        assert!(is_checked, "{error}: each list crossed the end of a call");
     });
 }
 
-/// Returns whether the drain came in answer to the call that was open.
+/// Returns whether the drain arrived in answer to the open call; otherwise the round has checked nothing.
 fn drain_with_failed_read(error: &str) -> bool {
     const AT_CLIENT: usize = 0;
     const AT_DISCOVERY: usize = 1;
     let worker = good();
     let discovery = Discovery::new(&[("s-1", worker.address)]);
-    // The first look fails, and no call after it.
+    // Only the first check fails.
     let faults = Faults::new(&format!(
         "recv STOP 1/1 0 0 on=127.0.0.9:; recv {error} 1/1000000 0 0 on={}",
         discovery.peer.address
     ));
-    let program = start_with_faults(&discovery, &faults, &PATIENT);
+    let program = start_with_faults(&discovery, &faults, &LONG_OBJECTIVE);
     let calls = || {
         let seen = discovery.peer.seen.lock().unwrap();
         let calls = seen.iter().map(|call| call.first.clone());
@@ -86,7 +89,7 @@
     until("a watch", || {
         calls().iter().any(|call| call.contains("from="))
     });
-    // Its connection to the worker is idle then.
+    // Leaves an idle connection to the worker.
     assert_eq!(program.send(&request("transfer", "first")).status(), 200);
     let mut client = connect_from(CLIENT, program.address);
     faults.switch(AT_CLIENT, Switch::On);
--- a/crates/server/tests/system_calls/handover.rs
+++ b/crates/server/tests/system_calls/handover.rs
@@ -1,12 +1,12 @@
-//! Calls that fail for a moment while one process takes the place of another.
+//! Transient failures of system calls during a hot restart.
 
 use oakshed_fault_injection::Faults;
 use oakshed_standin::*;
 
 use super::{for_each_row, start_at_with_faults};
 
-/// Interrupted calls on the socket between the two.
-const ROWS: [&str; 6] = [
+/// Transient errors of calls on the socket between the two processes, and of getsockname(2).
+const ERRORS: [&str; 6] = [
     "recv EINTR 1/2 0 60000 on=handover",
     "recv ENOMEM 1/3 0 60000 on=handover",
     "connect EINTR 1/2 0 60000 on=handover",
@@ -14,47 +14,49 @@
     "send ENOBUFS 1/2 0 60000 on=handover",
     "getsockname ENOBUFS 1/2 0 60000",
 ];
-/// Reads and writes that move a byte only, on both sides: the new process reads in blocking calls, the old one's socket
-/// does not block.
-const SHORT: [&str; 2] = [
+/// Reads and writes that transfer a single byte. The successor reads with blocking calls; the socket of the predecessor
+/// is non-blocking.
+const SHORT_TRANSFERS: [&str; 2] = [
     "recv SHORT 1/1 0 60000 on=handover",
     "send SHORT 1/1 0 60000 on=handover",
 ];
 
-/// Of the process that takes over and of the one that gives: the socket changes hands, and the old one ends in order.
+/// Each fault occurs in the predecessor, and then in the successor: the listening socket is handed over, and the
+/// predecessor exits normally.
 #[test]
 fn hot_restart_succeeds_despite_faults() {
-    let rows = || ROWS.into_iter().chain(SHORT);
+    let rows = || ERRORS.into_iter().chain(SHORT_TRANSFERS);
     for_each_row(rows(), |row| check_hot_restart(row, "", row));
     for_each_row(rows(), |row| check_hot_restart("", row, row));
 }
 
-fn check_hot_restart(of_old: &str, of_new: &str, row: &str) {
+fn check_hot_restart(predecessor_plan: &str, successor_plan: &str, row: &str) {
     let (worker, place) = (good(), Place::new());
     let discovery = Discovery::new(&[("s-1", worker.address)]);
-    let (old_faults, new_faults) = (Faults::new(of_old), Faults::new(of_new));
-    let mut old = start_at_with_faults(&place, &discovery, &old_faults);
-    let new = start_at_with_faults(&place, &discovery, &new_faults);
-    let (side, faults) = if of_old.is_empty() {
-        ("new", &new_faults)
+    let (predecessor_faults, successor_faults) =
+        (Faults::new(predecessor_plan), Faults::new(successor_plan));
+    let mut predecessor = start_at_with_faults(&place, &discovery, &predecessor_faults);
+    let successor = start_at_with_faults(&place, &discovery, &successor_faults);
+    let (side, faults) = if predecessor_plan.is_empty() {
+        ("successor", &successor_faults)
     } else {
-        ("old", &old_faults)
+        ("predecessor", &predecessor_faults)
     };
     assert!(
-        new.log().contains("took over the socket"),
+        successor.log().contains("took over the socket"),
         "{row} ({side}): {}",
-        new.log()
+        successor.log()
     );
-    until("the notification that the new one can serve", || {
-        old.log().contains("the successor is ready")
+    until("the successor's readiness in the log", || {
+        predecessor.log().contains("the successor is ready")
     });
-    old.signal("-TERM");
-    assert_eq!(old.wait().code(), Some(0), "{row} ({side})");
-    until("the notification that the old one has ended", || {
-        new.log().contains("the predecessor has exited")
+    predecessor.signal("-TERM");
+    assert_eq!(predecessor.wait().code(), Some(0), "{row} ({side})");
+    until("the predecessor's exit in the log", || {
+        successor.log().contains("the predecessor has exited")
     });
     assert_eq!(
-        new.send(&request("transfer", "id-1")).status(),
+        successor.send(&request("transfer", "id-1")).status(),
         200,
         "{row} ({side})"
     );
--- a/crates/server/tests/system_calls/main.rs
+++ b/crates/server/tests/system_calls/main.rs
@@ -1,6 +1,7 @@
-//! System calls that fail in ways that Linux documents, in a real process: one row for each call and error,
-//! as in docs/design.md, 'System calls'. The process stays up, and each request has its answer. Beside them, a process
-//! that stalls at a call, and in its shutdown.
+//! A scheduler process whose system calls fail in the ways that Linux documents, or that is stopped at a call.
+//!
+//! Each failure test has one row for each call and error, as in docs/design.md, 'System calls'. The process must keep
+//! running and answer every request.
 
 mod accept;
 mod closing;
@@ -27,14 +28,14 @@
 use readiness::until_ready;
 use settings::edit;
 
-/// Runs a check for each row, a few at once, and no other test of this program beside it: dozens of schedulers at
-/// once would be late for want of cores, and not for the faults.
+/// Runs a check for each row, [`CONCURRENT_ROWS`] at a time, while no other test of this binary runs: dozens of
+/// schedulers would be delayed by a lack of cores rather than by the faults.
 fn for_each_row<R: Copy + Send>(rows: impl IntoIterator<Item = R>, check: impl Fn(R) + Sync) {
-    let _alone = alone();
+    let _guard = run_exclusively();
     let rows: Vec<R> = rows.into_iter().collect();
-    for some in rows.chunks(AT_ONCE) {
+    for chunk in rows.chunks(CONCURRENT_ROWS) {
         std::thread::scope(|scope| {
-            for row in some.iter().copied() {
+            for row in chunk.iter().copied() {
                 let check = &check;
                 scope.spawn(move || check(row));
             }
@@ -42,28 +43,27 @@
     }
 }
 
-/// A latency objective so far off that what is queued has seconds left.
-const PATIENT: [(&str, &str); 1] = [(r#""aim-ms":120"#, r#""aim-ms":4000"#)];
-/// The descriptors that the settings allow.
+/// A latency objective that leaves queued requests seconds of time.
+const LONG_OBJECTIVE: [(&str, &str); 1] = [(r#""aim-ms":120"#, r#""aim-ms":4000"#)];
+/// The number of descriptors that the configuration allows.
 const DESCRIPTORS: usize = 1_024;
-/// For how long a process may stall.
+/// The longest stall that a process must tolerate.
 const LONGEST_STALL: Duration = Duration::from_millis(150);
-/// Rows that are checked at once.
-const AT_ONCE: usize = 8;
+const CONCURRENT_ROWS: usize = 8;
 
-/// Keeps other tests of this program from running meanwhile; one that has failed keeps nobody.
-fn alone() -> MutexGuard<'static, ()> {
-    static ALONE: Mutex<()> = Mutex::new(());
-    ALONE.lock().unwrap_or_else(PoisonError::into_inner)
+/// Excludes other tests of this binary while the guard is held. A failed test does not block the others.
+fn run_exclusively() -> MutexGuard<'static, ()> {
+    static LOCK: Mutex<()> = Mutex::new(());
+    LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// The scheduler with faults of its system calls, and with parts of its settings replaced. It is ready once it is
-/// given back; a plan's rows may be active from the start.
+/// Starts a scheduler with faults of its system calls and edits of its configuration, and waits until it is ready. Rows
+/// of the fault plan may be active from the start.
 fn start_with_faults(discovery: &Discovery, faults: &Faults, edits: &[(&str, &str)]) -> Program {
     start_limited_with_faults(discovery, faults, DESCRIPTORS, edits)
 }
 
-/// The same with so many descriptors.
+/// As [`start_with_faults`], with a limit on the number of descriptors.
 fn start_limited_with_faults(
     discovery: &Discovery,
     faults: &Faults,
@@ -81,7 +81,7 @@
     run_until_ready(faults.apply(&mut command), path)
 }
 
-/// The same at a place of its own, where another process may serve already.
+/// As [`start_with_faults`], at a place where another process may already serve.
 fn start_at_with_faults(place: &Place, discovery: &Discovery, faults: &Faults) -> Program {
     let path = config(discovery.peer.address, &discovery.known(), DESCRIPTORS);
     let mut command = Command::new(Program::binary());
--- a/crates/server/tests/system_calls/short.rs
+++ b/crates/server/tests/system_calls/short.rs
@@ -1,5 +1,6 @@
-//! Reads and writes that move a byte only, on sockets that don't block: requests, answers, the streams of workers and
-//! lists come and go in pieces, cut anywhere, and stay whole.
+//! Short reads and writes on non-blocking sockets, of a single byte each.
+//!
+//! Requests, answers, the streams of workers and endpoint lists must stay complete, wherever they are split.
 
 use std::sync::atomic::Ordering;
 
@@ -7,9 +8,9 @@
 use oakshed_standin::*;
 
 use super::streams::{assert_one_run_each, CONNECTION_ERRORS};
-use super::{for_each_row, start_with_faults, PATIENT};
+use super::{for_each_row, start_with_faults, LONG_OBJECTIVE};
 
-/// All calls, and some of them, on connections of clients, of workers and of discovery.
+/// All or most reads or writes, on connections of clients, workers and discovery.
 const ROWS: [&str; 6] = [
     "recv SHORT 1/1 0 0 on=127.0.0.1:",
     "recv SHORT p0.9 0 0 on=127.0.0.1:",
@@ -18,19 +19,19 @@
     "recv SHORT p0.9 0 0 on=127.0.0.1:; send SHORT p0.9 0 0 on=127.0.0.1:",
     "recv SHORT 1/1 0 0 on=127.0.0.1:; send SHORT 1/1 0 0 on=127.0.0.1:",
 ];
-/// What a worker makes of each request: longer than one read of a stream.
-const RESULT: &str = "made byte for byte, ";
+/// A part of each worker's result. With its repetitions the result is longer than one read of a stream.
+const RESULT_PART: &str = "made byte for byte, ";
 const REPETITIONS: usize = 40;
-/// So many calls at least are cut short in each row.
-const LEAST_STRIKES: u64 = 50;
+/// The minimum number of short calls in each row.
+const MIN_STRIKES: u64 = 50;
 
 #[test]
 fn short_reads_and_writes_are_completed() {
-    for_each_row(ROWS, serve_in_pieces);
+    for_each_row(ROWS, check_short_calls);
 }
 
-fn serve_in_pieces(row: &str) {
-    let result = RESULT.repeat(REPETITIONS);
+fn check_short_calls(row: &str) {
+    let result = RESULT_PART.repeat(REPETITIONS);
     let worker = || {
         let result = result.clone();
         Peer::new(move |message, stream| done(message, stream, &result))
@@ -38,13 +39,13 @@
     let workers = [worker(), worker()];
     let discovery = Discovery::new(&[("s-1", workers[0].address), ("s-2", workers[1].address)]);
     let faults = Faults::new(row);
-    let mut program = start_with_faults(&discovery, &faults, &PATIENT);
-    for number in 0..=row.matches(';').count() {
-        faults.switch(number, Switch::On);
+    let mut program = start_with_faults(&discovery, &faults, &LONG_OBJECTIVE);
+    for index in 0..=row.matches(';').count() {
+        faults.switch(index, Switch::On);
     }
     let mut reused = program.connect();
     let mut send = |id: &str| {
-        // Two on one connection, one after the other, and one on a connection of its own.
+        // Two requests in sequence on one connection, and one on a new connection.
         for class in ["transfer", "new-plate"] {
             let text = request(class, &format!("{class}-{id}")).replace("5c0f", id);
             let answer = send_on(&mut reused, &text);
@@ -62,7 +63,7 @@
         );
     };
     send("first");
-    // Changes, and the snapshot in another form, are applied as they are.
+    // A delta and an indented snapshot are applied completely.
     for (is_indented, lifecycle, ready) in [(false, "draining", 1), (true, "ready", 2)] {
         discovery.indented.store(is_indented, Ordering::SeqCst);
         discovery.set("s-1", lifecycle);
@@ -92,15 +93,16 @@
     program.signal("-TERM");
     assert_eq!(program.wait().code(), Some(0), "{row}");
     assert!(
-        faults.strikes(0) > LEAST_STRIKES,
+        faults.strikes(0) > MIN_STRIKES,
         "{row}: {} strikes",
         faults.strikes(0)
     );
 }
 
-/// A connection to a worker breaks while a request is written on it in pieces: it never ran, and another worker has it.
+/// A connection to a worker breaks while a request is written in pieces: the request did not run, and goes to another
+/// worker.
 #[test]
-fn connection_failure_during_a_request_costs_nothing() {
+fn connection_failure_during_a_request_is_invisible_to_clients() {
     for_each_row(CONNECTION_ERRORS, |error| {
         let workers = [good(), good()];
         let first = workers[0].address;
@@ -108,12 +110,12 @@
             "seed 7; send {error} 1/150 0 0 on={first}; send SHORT 1/1 0 0 on={first}"
         ));
         let discovery = Discovery::new(&[("s-1", first), ("s-2", workers[1].address)]);
-        let program = start_with_faults(&discovery, &faults, &PATIENT);
+        let program = start_with_faults(&discovery, &faults, &LONG_OBJECTIVE);
         faults.switch(1, Switch::On);
         let mut transfers = 0;
-        // The first call of the row fails before the request; the next ones, amid it.
+        // The first failure comes before the first byte of a request, the next ones come within a request.
         faults.switch(0, Switch::On);
-        until("three connections that break", || {
+        until("three broken connections", || {
             let text = request("transfer", &format!("transfer-{transfers}"));
             assert_eq!(program.send(&text).status(), 200, "{error}");
             transfers += 1;
--- a/crates/server/tests/system_calls/stalls.rs
+++ b/crates/server/tests/system_calls/stalls.rs
@@ -1,5 +1,7 @@
-//! A process that stalls for 0.15 s between reading its clock and a write: it stops right before a call, and the
-//! test has it go on. The close of a client, deadlines and the time that is forwarded allow for it.
+//! Stalls of 0.15 s between reading the clock and a write.
+//!
+//! The process is stopped right before a system call, and the test resumes it. The handling of disconnects, the
+//! deadlines, and the remaining time that is forwarded to workers must allow for such a stall.
 
 use std::io::{BufReader, Write};
 use std::net::{Shutdown, TcpStream};
@@ -9,29 +11,29 @@
 use oakshed_fault_injection::{Faults, Switch};
 use oakshed_standin::*;
 
-use super::connect::closing;
+use super::connect::closing_worker;
 use super::streams::connect_from;
-use super::{alone, for_each_row, start_with_faults, LONGEST_STALL, PATIENT};
+use super::{for_each_row, run_exclusively, start_with_faults, LONGEST_STALL, LONG_OBJECTIVE};
 
-/// Where clients call from, so that calls on their connections are known.
+/// The source address of clients, so that fault rows can select their connections.
 const CLIENT: &str = "127.0.0.9";
-/// What a worker may be given beyond what is left to the client.
+/// By how much the deadline forwarded to a worker may exceed the remaining time of the client.
 const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// What the program takes off of what it forwards: the test's own delays may be as long.
+/// What the program subtracts from the remaining time before it forwards it. Delays of the test itself may be as long.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(20);
-/// More calls of a kind than one request has.
-const MOST_CALLS: u64 = 16;
+/// An upper bound for the number of calls of one kind that a request causes.
+const MAX_CALLS: u64 = 16;
 
-/// The plan's rows, by the calls on which sockets the process stops.
+/// The call before which the process is stopped.
 #[derive(Clone, Copy, Debug)]
 enum StopAt {
-    /// The reads for the request, and of whether its client is still there.
+    /// A read of the request, or the check whether its client is still connected.
     ClientRecv,
-    /// The read for an unread change of the list, once the request is on its connection.
+    /// The check for an unread update of the list, when the request has been assigned to a connection.
     DiscoveryRecv,
-    /// The read of an idle connection to a worker.
+    /// A read from an idle connection to a worker.
     WorkerRecv,
-    /// The dial.
+    /// The connect to a worker.
     WorkerConnect,
 }
 
@@ -47,7 +49,7 @@
     }
 }
 
-fn client_of(program: &Program) -> TcpStream {
+fn connect_client(program: &Program) -> TcpStream {
     connect_from(&format!("{CLIENT}:0"), program.address)
 }
 
@@ -57,9 +59,9 @@
         .any(|message| message.field("req-id") == Some(id))
 }
 
-/// Waits until a row of the plan has had its effect so often, and the process stands still by it; or until the client
-/// has something to read, where that comes first.
-fn stops_before_an_answer(
+/// Waits until a row has had its effect `strikes` times and the process is stopped, or until the client can read an
+/// answer. Returns whether the process is stopped.
+fn wait_for_stop_or_answer(
     program: &Program,
     faults: &Faults,
     row: usize,
@@ -76,8 +78,8 @@
     is_stopped
 }
 
-/// Guards against an attempt that begins for a client whose close came while the process was stalled on the way to its
-/// first byte: at each call of a kind in turn.
+/// Guards against an attempt that begins although its client has disconnected during a stall before the first byte. The
+/// process is stopped at each call of a kind in turn.
 #[test]
 fn no_attempt_begins_after_disconnect_during_stall() {
     let rows = [
@@ -91,30 +93,30 @@
 
 fn disconnect_at_each_call(stop_at: StopAt) {
     let worker = match stop_at {
-        StopAt::WorkerConnect => closing(),
+        StopAt::WorkerConnect => closing_worker(),
         _ => good(),
     };
     let discovery = Discovery::new(&[("s-1", worker.address)]);
     let faults = Faults::new(&stop_at.row(&worker, &discovery));
-    let mut program = start_with_faults(&discovery, &faults, &PATIENT);
-    let mut left_before: Vec<String> = Vec::new();
-    for number in 0..MOST_CALLS {
-        // Its connection to the worker is idle then, where that keeps any.
+    let mut program = start_with_faults(&discovery, &faults, &LONG_OBJECTIVE);
+    let mut disconnected: Vec<String> = Vec::new();
+    for number in 0..MAX_CALLS {
+        // Leaves an idle connection to the worker, unless that closes its connections.
         let next = program.send(&request("transfer", &format!("next-{number}")));
         assert_eq!(next.status(), 200, "{stop_at:?}");
-        let id = format!("left-{number}");
-        let mut client = client_of(&program);
+        let id = format!("disconnected-{number}");
+        let mut client = connect_client(&program);
         let before = faults.strikes(0);
         faults.switch(0, Switch::On);
         client
             .write_all(request("transfer", &id).as_bytes())
             .expect("written");
         let mut strikes = before + 1;
-        let mut is_stopped = stops_before_an_answer(&program, &faults, 0, strikes, &client);
+        let mut is_stopped = wait_for_stop_or_answer(&program, &faults, 0, strikes, &client);
         while is_stopped && strikes <= before + number {
             program.signal("-CONT");
             strikes += 1;
-            is_stopped = stops_before_an_answer(&program, &faults, 0, strikes, &client);
+            is_stopped = wait_for_stop_or_answer(&program, &faults, 0, strikes, &client);
         }
         faults.switch(0, Switch::Off);
         if !is_stopped {
@@ -127,17 +129,23 @@
         if has_begun {
             break;
         }
-        left_before.push(id);
+        disconnected.push(id);
     }
     program.signal("-TERM");
     assert_eq!(program.wait().code(), Some(0));
-    assert!(!left_before.is_empty(), "{stop_at:?}: no stop before one");
-    for id in &left_before {
-        assert!(!has_arrived(&worker, id), "{stop_at:?}: {id} has begun");
+    assert!(
+        !disconnected.is_empty(),
+        "{stop_at:?}: no stop before an attempt"
+    );
+    for id in &disconnected {
+        assert!(
+            !has_arrived(&worker, id),
+            "{stop_at:?}: the attempt of {id} has begun"
+        );
     }
 }
 
-/// A worker that notes when a request came, and what time was left by its header.
+/// A worker that records the arrival time and the deadline header of each request.
 struct TimedWorker {
     worker: Peer,
     deadlines: Arc<Mutex<Vec<(Instant, Duration)>>>,
@@ -146,25 +154,28 @@
 impl TimedWorker {
     fn start() -> TimedWorker {
         let deadlines: Arc<Mutex<Vec<(Instant, Duration)>>> = Arc::default();
-        let noted = deadlines.clone();
+        let recorded = deadlines.clone();
         let worker = Peer::new(move |message, stream| {
             let ms = message.field("req-deadline-ms").expect("a time").parse();
             let ms = Duration::from_millis(ms.expect("a number"));
-            noted.lock().unwrap().push((Instant::now(), ms));
+            recorded.lock().unwrap().push((Instant::now(), ms));
             done(message, stream, "made")
         });
         TimedWorker { worker, deadlines }
     }
 
-    /// The program with this worker, which may be stopped before the read for an unread change of the list (row 0), and
-    /// before a request's bytes are written (row 1).
+    /// Starts the program with this worker. Row 0 stops it before the check for an unread update of the list, and row 1
+    /// before it writes a request.
     fn start_program(&self) -> (Program, Faults) {
         let discovery = Discovery::new(&[("s-1", self.worker.address)]);
         let faults = Faults::new(&format!(
             "recv STOP 1/1 0 0 on={}; send STOP 1/1 0 0 on={}",
             discovery.peer.address, self.worker.address
         ));
-        (start_with_faults(&discovery, &faults, &PATIENT), faults)
+        (
+            start_with_faults(&discovery, &faults, &LONG_OBJECTIVE),
+            faults,
+        )
     }
 }
 
@@ -176,17 +187,17 @@
     std::thread::sleep(at.saturating_duration_since(Instant::now()));
 }
 
-/// Guards against a deadline that was computed before the process stalled, and against one without a margin for a
-/// process that stalls right after.
+/// Guards against forwarding a deadline that was computed before a stall, and against one without a margin for a stall
+/// right after its computation.
 #[test]
 fn forwarded_deadline_allows_for_a_stall() {
     const DEADLINE: Duration = Duration::from_secs(3);
     const FIRST_STOP: Duration = Duration::from_millis(400);
-    let _alone = alone();
+    let _guard = run_exclusively();
     let timed = TimedWorker::start();
     let (program, faults) = timed.start_program();
     let mut round = 0;
-    until("a round without delays of the machine", || {
+    until("a round without delays by the machine", || {
         round += 1;
         let (mut client, strikes) = (program.connect(), [0, 1].map(|row| faults.strikes(row)));
         faults.switch(0, Switch::On);
@@ -195,7 +206,9 @@
             .write_all(with_deadline(&format!("id-{round}"), DEADLINE).as_bytes())
             .expect("written");
         let first = strikes[0] + 1;
-        assert!(stops_before_an_answer(&program, &faults, 0, first, &client));
+        assert!(wait_for_stop_or_answer(
+            &program, &faults, 0, first, &client
+        ));
         let was_read = Instant::now();
         faults.switch(0, Switch::Off);
         faults.switch(1, Switch::On);
@@ -203,7 +216,7 @@
         let resumed = Instant::now();
         program.signal("-CONT");
         let second = strikes[1] + 1;
-        assert!(stops_before_an_answer(
+        assert!(wait_for_stop_or_answer(
             &program, &faults, 1, second, &client
         ));
         faults.switch(1, Switch::Off);
@@ -211,16 +224,16 @@
         program.signal("-CONT");
         let answer = Message::read(&mut BufReader::new(client)).expect("an answer");
         assert_eq!(answer.status(), 200);
-        let (came, forwarded) = *timed.deadlines.lock().unwrap().last().expect("it came");
-        // At its write the program knows of the first stop by its clock.
+        let (arrived, forwarded) = *timed.deadlines.lock().unwrap().last().expect("a request");
+        // The deadline accounts for the first stop, which the program measures when it writes.
         assert!(
             forwarded + DEADLINE_MARGIN <= DEADLINE - (resumed - was_read),
             "{forwarded:?} after {:?}",
             resumed - was_read
         );
-        // Where it stalled for no longer than it may, what it forwarded is what is left, and the slack.
-        let in_time = (was_read - sent) + (came - resumed) <= LONGEST_STALL + DEADLINE_MARGIN;
-        let left = DEADLINE.saturating_sub(came - sent);
+        // If the stall was not longer than tolerated, the worker was given at most the remaining time and the slack.
+        let in_time = (was_read - sent) + (arrived - resumed) <= LONGEST_STALL + DEADLINE_MARGIN;
+        let left = DEADLINE.saturating_sub(arrived - sent);
         assert!(
             !in_time || forwarded <= left + DEADLINE_SLACK,
             "{forwarded:?}, {left:?} left"
@@ -229,13 +242,13 @@
     });
 }
 
-/// Guards against an attempt that begins shortly before its deadline, and, as the process stalls before its write,
-/// is written after the 0.1 s in which it still may be.
+/// Guards against an attempt that begins shortly before its deadline and, because of a stall, is written more than 0.1
+/// s after it.
 #[test]
-fn no_attempt_begins_too_late_for_a_stall() {
+fn attempt_is_not_begun_shortly_before_its_deadline() {
     const DEADLINE: Duration = Duration::from_millis(600);
-    const SHORTLY: Duration = Duration::from_millis(30);
-    let _alone = alone();
+    const REMAINING: Duration = Duration::from_millis(30);
+    let _guard = run_exclusively();
     let timed = TimedWorker::start();
     let (mut program, faults) = timed.start_program();
     let mut client = program.connect();
@@ -243,15 +256,15 @@
     client
         .write_all(with_deadline("late", DEADLINE).as_bytes())
         .expect("written");
-    assert!(stops_before_an_answer(&program, &faults, 0, 1, &client));
+    assert!(wait_for_stop_or_answer(&program, &faults, 0, 1, &client));
     let was_read = Instant::now();
     faults.switch(0, Switch::Off);
     faults.switch(1, Switch::On);
-    sleep_until(was_read + DEADLINE - SHORTLY);
+    sleep_until(was_read + DEADLINE - REMAINING);
     program.signal("-CONT");
     assert!(
-        !stops_before_an_answer(&program, &faults, 1, 1, &client),
-        "it is being written"
+        !wait_for_stop_or_answer(&program, &faults, 1, 1, &client),
+        "the request is being written"
     );
     let answer = Message::read(&mut BufReader::new(client)).expect("an answer");
     assert_eq!(answer.status(), 503);
--- a/crates/server/tests/system_calls/start.rs
+++ b/crates/server/tests/system_calls/start.rs
@@ -1,11 +1,11 @@
-//! Calls that fail while the program starts.
+//! System calls that fail during the start of the program.
 
 use oakshed_fault_injection::Faults;
 use oakshed_standin::*;
 
 use super::{for_each_row, start_at_with_faults};
 
-/// What may fail in the first 300 ms: each is there a moment later.
+/// Calls that fail in the first 300 ms of the process, with errors that may pass.
 const ROWS: [(&str, &str); 13] = [
     ("socket", "ENFILE"),
     ("socket", "EMFILE"),
@@ -22,12 +22,12 @@
     ("epoll_wait", "EINTR"),
 ];
 
-/// The program comes up, serves, and can give its place to the next process.
+/// After the fault the program becomes ready, serves requests and hands over to a successor.
 #[test]
-fn start_continues_once_the_fault_is_over() {
+fn start_succeeds_after_a_transient_fault() {
     for_each_row(ROWS, |(call, error)| {
-        let every = if call == "epoll_wait" { "1/2" } else { "1/1" };
-        let faults = Faults::new(&format!("{call} {error} {every} 0 300"));
+        let rate = if call == "epoll_wait" { "1/2" } else { "1/1" };
+        let faults = Faults::new(&format!("{call} {error} {rate} 0 300"));
         let (worker, place) = (good(), Place::new());
         let discovery = Discovery::new(&[("s-1", worker.address)]);
         let mut program = start_at_with_faults(&place, &discovery, &faults);
@@ -37,16 +37,16 @@
             200,
             "{call} {error}"
         );
-        let next = Program::start_at(&place, &discovery, 1_024, &[]);
+        let successor = Program::start_at(&place, &discovery, 1_024, &[]);
         assert!(
-            next.log().contains("took over the socket"),
+            successor.log().contains("took over the socket"),
             "{call} {error}: {}",
             program.log()
         );
         program.signal("-TERM");
         assert_eq!(program.wait().code(), Some(0), "{call} {error}");
         assert_eq!(
-            next.send(&request("transfer", "id-2")).status(),
+            successor.send(&request("transfer", "id-2")).status(),
             200,
             "{call} {error}"
         );
