--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -2,7 +2,7 @@
 //!
 //! The scheduler decides what happens to a request: each step comes from the facade's `pick` and is performed here at
 //! once. This module also reports the progress of the request's attempts to the facade and counts the request and its
-//! outcome in the ledger.
+//! outcome in the request counts.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,15 +13,15 @@
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
 
-use super::super::answers::{not_allowed, plain, rejection};
+use super::super::answers::{not_allowed, plain_text, rejection};
 use super::super::durable;
 use super::super::forwarded_request::ForwardedRequest;
 use super::super::workers::{self, Attempt, AttemptDeadlines, AttemptObserver, ClientConnection};
 use super::super::Net;
 use super::clients::Client;
 use super::request::{class_of, read_request};
-use oakshed_core::facade::{Ending, Handle, Job, Micros, Report, Seen, Step};
-use oakshed_core::figures::{End, Entry};
+use oakshed_core::facade::{Ending, Handle, Job, Micros, Observation, Report, Step};
+use oakshed_core::figures::{PendingRequest, RequestOutcome};
 
 /// Routes a request by its path, answers it, and counts its outcome.
 pub(super) async fn respond(
@@ -34,8 +34,10 @@
     let (head, body) = request.into_parts();
     if head.uri.path() == "/ready" {
         return match head.method {
-            Method::GET | Method::HEAD if net.can_serve() => plain(StatusCode::OK, "ready\n"),
-            Method::GET | Method::HEAD => plain(StatusCode::SERVICE_UNAVAILABLE, "not ready\n"),
+            Method::GET | Method::HEAD if net.can_serve() => plain_text(StatusCode::OK, "ready\n"),
+            Method::GET | Method::HEAD => {
+                plain_text(StatusCode::SERVICE_UNAVAILABLE, "not ready\n")
+            }
             _ => not_allowed("GET, HEAD"),
         };
     }
@@ -50,33 +52,33 @@
     };
     let response = answer(net, client, connection, &accounting, arrived, (head, body)).await;
     let end = match response.status() {
-        StatusCode::OK => End::Completed,
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => End::Rejected,
+        StatusCode::OK => RequestOutcome::Completed,
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE => RequestOutcome::Rejected,
         // A durable job goes on without its client; its answer is returned by later queries.
-        StatusCode::ACCEPTED => End::Abandoned,
-        _ => End::Failed,
+        StatusCode::ACCEPTED => RequestOutcome::Abandoned,
+        _ => RequestOutcome::Failed,
     };
     accounting.take_entry().end(end);
     response
 }
 
-/// Counts a request in the ledger from its complete arrival or its answer, whichever is first.
+/// Counts a request from its complete arrival or its answer, whichever is first.
 struct Accounting<'a> {
     net: &'a Net,
     class: Option<usize>,
-    entry: RefCell<Option<Entry>>,
+    entry: RefCell<Option<PendingRequest>>,
 }
 
 impl Accounting<'_> {
     fn on_arrived(&self) {
-        *self.entry.borrow_mut() = Some(self.net.ledger.take(self.class));
+        *self.entry.borrow_mut() = Some(self.net.request_counts.begin(self.class));
     }
 
-    /// Takes the ledger entry, or creates it for a request that was answered before its complete arrival.
-    fn take_entry(&self) -> Entry {
+    /// Takes the entry, or creates one for a request that was answered before its complete arrival.
+    fn take_entry(&self) -> PendingRequest {
         self.entry
             .take()
-            .unwrap_or_else(|| self.net.ledger.take(self.class))
+            .unwrap_or_else(|| self.net.request_counts.begin(self.class))
     }
 }
 
@@ -98,7 +100,7 @@
                 return error.answer(&net.config.settings, client);
             }
         };
-    client.intake.arrived();
+    client.state.arrived();
     accounting.on_arrived();
     client.has_sent_request.set(true);
     client.idle_since.set(None);
@@ -107,7 +109,7 @@
     }
     if !reservation.claim(&forwarded.id) {
         net.counters.clients.bad_requests.increment();
-        return plain(StatusCode::CONFLICT, "another open req has this Req-Id\n");
+        return plain_text(StatusCode::CONFLICT, "another open req has this Req-Id\n");
     }
     perform_steps(
         net,
@@ -157,15 +159,15 @@
     fn on_progress(self, net: &Net, started: bool) {
         let RequestAttempt(request, attempt) = self;
         net.report(if started {
-            Seen::Started(request, attempt)
+            Observation::Started(request, attempt)
         } else {
-            Seen::Progress(request, attempt)
+            Observation::Progress(request, attempt)
         });
     }
 
     fn on_ended(self, net: &Rc<Net>, ending: Ending, _: Option<Bytes>, load: Option<Report>) {
         let RequestAttempt(request, attempt) = self;
-        net.report(Seen::Ended(request, attempt, ending, load));
+        net.report(Observation::Ended(request, attempt, ending, load));
     }
 }
 
@@ -194,7 +196,7 @@
             .check_invariant(result.is_some(), "a served attempt has its result");
         match result {
             Some(result) => Response::new(Full::new(result)),
-            None => plain(StatusCode::BAD_GATEWAY, "failed\n"),
+            None => plain_text(StatusCode::BAD_GATEWAY, "failed\n"),
         }
     }
 
@@ -203,8 +205,12 @@
         if let Some(attempt) = self.attempts.get(attempt) {
             attempt.stop();
         }
-        self.net
-            .report(Seen::Ended(self.request, attempt, Ending::Revoked, None));
+        self.net.report(Observation::Ended(
+            self.request,
+            attempt,
+            Ending::Revoked,
+            None,
+        ));
     }
 }
 
@@ -222,7 +228,7 @@
         attempts: Vec::new(),
     };
     loop {
-        match net.pick(request).await {
+        match net.next_step(request).await {
             Step::Attempt {
                 attempt,
                 worker,
@@ -241,7 +247,7 @@
             }
             Step::Serve { attempt } => return handler.serve(attempt).await,
             Step::Reject { retry_after } => return rejection(retry_after),
-            Step::Fail => return plain(StatusCode::BAD_GATEWAY, "failed\n"),
+            Step::Fail => return plain_text(StatusCode::BAD_GATEWAY, "failed\n"),
             Step::Cancel { attempt } => handler.revoke(attempt),
         }
     }
