--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small harness around a scheduler: settings, a list of workers, and its actions.
+//! Harness that drives one scheduler with events in virtual time and records its actions.
 #![allow(dead_code)]
 
 use oakshed_core::interface::*;
@@ -7,6 +7,7 @@
 pub const MS: Micros = 1_000;
 pub const START: Micros = 50_000_000;
 
+/// Returns a class with a latency objective of 400 ms and a deadline of 5 s.
 pub fn class(priority_weight: f64, effect: Effect) -> Class {
     Class {
         latency_objective: Span::from_millis(400),
@@ -21,7 +22,7 @@
     }
 }
 
-/// Class 0: premium and safe; 1: basic and unsafe; 2: basic and keyed by cell.
+/// Returns settings with three classes: 0 is premium and safe, 1 is basic and unsafe, 2 is basic and keyed by cell.
 pub fn settings() -> Settings {
     let classes = vec![
         class(12.0, Effect::Safe),
@@ -34,6 +35,7 @@
     }
 }
 
+/// Returns the row of an active worker in zone 0. Each cell has three consecutive workers.
 pub fn row(worker: u32) -> Row {
     Row {
         worker: WorkerId(u64::from(worker)),
@@ -46,7 +48,7 @@
     }
 }
 
-/// A job of a class that takes one slot and has 5 s left.
+/// Returns a job that occupies one slot and has 5 s left.
 pub fn job(class: u32) -> Job {
     Job {
         class,
@@ -59,7 +61,7 @@
     }
 }
 
-/// The arrival of a request that no predecessor has tried.
+/// Returns the arrival of a request without earlier attempts.
 pub fn arrival(id: RequestId, job: Job) -> Event<'static> {
     Event::Request {
         id,
@@ -68,44 +70,48 @@
     }
 }
 
-pub struct Bench {
+/// A scheduler under test and its virtual clock.
+pub struct Harness {
     pub scheduler: Scheduler,
     pub now: Micros,
+    /// All actions so far.
     pub actions: Vec<Action>,
-    pub next: u128,
+    /// Id of the last request.
+    pub last_id: u128,
 }
 
-impl Bench {
+impl Harness {
+    /// Creates a scheduler that knows workers `0..workers` from a cached list.
     pub fn new(settings: Settings, workers: u32) -> Self {
-        Bench::seeded(settings, workers, 11)
+        Harness::with_seed(settings, workers, 11)
     }
 
-    /// One of many, each with a seed of its own.
-    pub fn seeded(settings: Settings, workers: u32, seed: u64) -> Self {
+    /// Like `new`, with the given seed of the random numbers.
+    pub fn with_seed(settings: Settings, workers: u32, seed: u64) -> Self {
         let scheduler = Scheduler::new(settings, seed).expect("usable settings");
-        let mut bench = Bench {
+        let mut harness = Harness {
             scheduler,
             now: START,
             actions: Vec::new(),
-            next: 0,
+            last_id: 0,
         };
         let rows: Vec<Row> = (0..workers).map(row).collect();
-        bench.list(ListKind::Cached, &rows);
-        bench
+        harness.list(ListKind::Cached, &rows);
+        harness
     }
 
-    /// One that knows no list yet.
-    pub fn empty(settings: Settings, seed: u64) -> Self {
+    /// Creates a scheduler that has not received an endpoint list.
+    pub fn without_list(settings: Settings, seed: u64) -> Self {
         let scheduler = Scheduler::new(settings, seed).expect("usable settings");
-        Bench {
+        Harness {
             scheduler,
             now: START,
             actions: Vec::new(),
-            next: 0,
+            last_id: 0,
         }
     }
 
-    /// One event, then the actions that it leads to.
+    /// Passes an event to the scheduler and returns the resulting actions.
     pub fn event(&mut self, event: Event<'_>) -> Vec<Action> {
         self.scheduler.on_event(self.now, event);
         let mut actions = Vec::new();
@@ -114,29 +120,30 @@
         actions
     }
 
-    /// A list or a change of it arrives.
+    /// Delivers an endpoint list or a change to it.
     pub fn list(&mut self, kind: ListKind, rows: &[Row]) -> Vec<Action> {
         self.event(Event::List { kind, rows })
     }
 
+    /// Advances the clock and triggers the timer.
     pub fn wait(&mut self, span: Micros) -> Vec<Action> {
         self.now += span;
         self.event(Event::Timer)
     }
 
-    pub fn wide_request(&mut self, class: u32, slots: f64) -> (RequestId, Vec<Action>) {
-        self.request_after(class, slots, &[])
+    pub fn request_with_slots(&mut self, class: u32, slots: f64) -> (RequestId, Vec<Action>) {
+        self.request_after_attempts(class, slots, &[])
     }
 
-    /// A request that a past life has tried.
-    pub fn request_after(
+    /// Sends a request for which a predecessor has made attempts.
+    pub fn request_after_attempts(
         &mut self,
         class: u32,
         slots: f64,
         earlier: &[Earlier],
     ) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let id = RequestId(self.next);
+        self.last_id += 1;
+        let id = RequestId(self.last_id);
         let job = Job {
             slots: Some(slots),
             ..job(class)
@@ -146,7 +153,7 @@
     }
 
     pub fn request(&mut self, class: u32) -> (RequestId, Vec<Action>) {
-        self.wide_request(class, 1.0)
+        self.request_with_slots(class, 1.0)
     }
 
     pub fn started(&mut self, id: RequestId, attempt: u32) -> Vec<Action> {
@@ -164,8 +171,8 @@
         })
     }
 
-    /// The first attempt of a request is served, and its worker reports its load.
-    pub fn served_with(&mut self, id: RequestId, report: Report) -> Vec<Action> {
+    /// Reports that the first attempt of a request was served, with the worker's load report.
+    pub fn served_with_report(&mut self, id: RequestId, report: Report) -> Vec<Action> {
         self.event(Event::Settled {
             id,
             attempt: 0,
@@ -175,11 +182,11 @@
         })
     }
 
-    /// Sends, starts and serves jobs of a class one at a time, each running for `run`.
+    /// Runs jobs of a class one at a time, each for `run`.
     pub fn serve(&mut self, class: u32, jobs: u32, run: Micros) {
         for _ in 0..jobs {
             let (id, actions) = self.request(class);
-            if sent(&actions, id).is_some() {
+            if sent_to(&actions, id).is_some() {
                 self.now += MS;
                 self.started(id, 0);
                 self.now += run;
@@ -191,7 +198,8 @@
     }
 }
 
-pub fn sent(actions: &[Action], wanted: RequestId) -> Option<WorkerId> {
+/// Returns the worker to which the actions send a request, if they do.
+pub fn sent_to(actions: &[Action], wanted: RequestId) -> Option<WorkerId> {
     actions.iter().find_map(|a| match a {
         Action::Send { id, worker, .. } if *id == wanted => Some(*worker),
         _ => None,
--- a/crates/core/tests/earlier.rs
+++ b/crates/core/tests/earlier.rs
@@ -1,4 +1,4 @@
-//! Jobs that a past life has tried: what may have run counts as an attempt.
+//! Tests of requests with attempts by a predecessor: a job that may have run is repeated only if its class allows it.
 
 mod common;
 
@@ -7,7 +7,7 @@
 
 #[test]
 fn retry_after_a_possible_run_needs_the_class_to_allow_it() {
-    for (effect, window, ago, again) in [
+    for (effect, window, ago, is_retried) in [
         (Effect::Safe, 0, 10_000_000, true),
         (Effect::Unsafe, 0, 10, false),
         (Effect::Keyed, 7_500_000, 10, true),
@@ -18,9 +18,9 @@
         settings.classes[0].effect = effect;
         settings.classes[0].window = Span::from_micros(window);
         settings.classes[0].scope = Scope::All;
-        let mut bench = Bench::new(settings, 6);
-        bench.now += 200_000_000;
-        let (_, actions) = bench.request_after(
+        let mut harness = Harness::new(settings, 6);
+        harness.now += 200_000_000;
+        let (_, actions) = harness.request_after_attempts(
             0,
             1.0,
             &[Earlier {
@@ -28,9 +28,12 @@
                 ago,
             }],
         );
-        let sent = actions.iter().any(|a| matches!(a, Action::Send { .. }));
-        assert_eq!(sent, again, "{effect:?} after {ago}: {actions:?}");
-        let failed = actions.iter().any(|a| matches!(a, Action::Fail { .. }));
-        assert_eq!(failed, effect == Effect::Unsafe, "{actions:?}");
+        let is_sent = actions.iter().any(|a| matches!(a, Action::Send { .. }));
+        assert_eq!(
+            is_sent, is_retried,
+            "{effect:?} after {ago} us: {actions:?}"
+        );
+        let is_failed = actions.iter().any(|a| matches!(a, Action::Fail { .. }));
+        assert_eq!(is_failed, effect == Effect::Unsafe, "{actions:?}");
     }
 }
--- a/crates/core/tests/mechanism/concurrency_limit.rs
+++ b/crates/core/tests/mechanism/concurrency_limit.rs
@@ -5,26 +5,26 @@
 use oakshed_core::interface::*;
 
 use crate::common::*;
-use crate::fill;
+use crate::fill_until_queued;
 
 #[test]
 fn declined_job_lowers_the_limit_and_goes_elsewhere() {
     let count = |shed: u32| {
-        let mut bench = Bench::new(settings(), 6);
+        let mut harness = Harness::new(settings(), 6);
         for _ in 0..shed {
-            let (id, actions) = bench.request(1);
-            if sent(&actions, id).is_some() {
-                bench.settled(id, 0, Ending::Declined);
+            let (id, actions) = harness.request(1);
+            if sent_to(&actions, id).is_some() {
+                harness.settled(id, 0, Ending::Declined);
             }
         }
-        fill(&mut bench, 1).len()
+        fill_until_queued(&mut harness, 1).len()
     };
     assert!(count(12) < count(0), "{} against {}", count(12), count(0));
 
-    let mut bench = Bench::new(settings(), 6);
-    let (id, actions) = bench.request(1);
-    let first = sent(&actions, id).expect("sent at once");
-    let again = sent(&bench.settled(id, 0, Ending::Declined), id)
+    let mut harness = Harness::new(settings(), 6);
+    let (id, actions) = harness.request(1);
+    let first = sent_to(&actions, id).expect("sent at once");
+    let again = sent_to(&harness.settled(id, 0, Ending::Declined), id)
         .expect("a job that never ran is sent again");
     assert_ne!(first, again);
 }
@@ -32,11 +32,11 @@
 #[test]
 fn job_handed_back_by_a_draining_worker_does_not_lower_the_limit() {
     let limit = |drained: bool| {
-        let mut bench = Bench::new(settings(), 12);
+        let mut harness = Harness::new(settings(), 12);
         let mut out = Vec::new();
         for _ in 0..20 {
-            let (id, actions) = bench.request(1);
-            if let Some(worker) = sent(&actions, id) {
+            let (id, actions) = harness.request(1);
+            if let Some(worker) = sent_to(&actions, id) {
                 out.push((id, worker));
             }
         }
@@ -44,18 +44,18 @@
             if drained {
                 let mut draining = row(worker.0 as u32);
                 draining.condition = Condition::Leaving;
-                bench.list(ListKind::Delta, &[draining]);
+                harness.list(ListKind::Delta, &[draining]);
             }
-            bench.settled(id, 0, Ending::Declined);
+            harness.settled(id, 0, Ending::Declined);
             if drained {
-                bench.list(ListKind::Delta, &[row(worker.0 as u32)]);
+                harness.list(ListKind::Delta, &[row(worker.0 as u32)]);
             }
         }
-        bench.scheduler.estimates().concurrency_limit
+        harness.scheduler.estimates().concurrency_limit
     };
     assert_eq!(
         limit(true),
-        Bench::new(settings(), 12)
+        Harness::new(settings(), 12)
             .scheduler
             .estimates()
             .concurrency_limit
@@ -71,24 +71,24 @@
 #[test]
 fn failures_of_a_dead_worker_do_not_lower_the_limit() {
     let room = |failures: u32| {
-        let mut bench = Bench::new(settings(), 12);
+        let mut harness = Harness::new(settings(), 12);
         let mut dead = None;
         let mut failed = 0;
         for _ in 0..400 {
-            let (id, actions) = bench.request(1);
-            let Some(worker) = sent(&actions, id) else {
+            let (id, actions) = harness.request(1);
+            let Some(worker) = sent_to(&actions, id) else {
                 continue;
             };
             if failed < failures && *dead.get_or_insert(worker) == worker {
-                bench.settled(id, 0, Ending::DialFailed);
+                harness.settled(id, 0, Ending::DialFailed);
                 failed += 1;
             } else {
-                bench.started(id, 0);
-                bench.now += 300 * MS;
-                bench.settled(id, 0, Ending::Delivered);
+                harness.started(id, 0);
+                harness.now += 300 * MS;
+                harness.settled(id, 0, Ending::Delivered);
             }
         }
-        bench.scheduler.estimates().concurrency_limit
+        harness.scheduler.estimates().concurrency_limit
     };
     assert!(room(6) + 2.0 >= room(0), "{} against {}", room(6), room(0));
 }
@@ -96,7 +96,7 @@
 #[test]
 fn limit_increases_on_served_jobs_where_starts_are_not_reported() {
     // Guards against checking whether the limit is in use after the served job was counted out.
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             reports_start: false,
             schedulers: 8,
@@ -107,11 +107,11 @@
     let mut out = std::collections::VecDeque::new();
     let mut most = 0;
     for _ in 0..400 {
-        let (_, mut actions) = bench.request(1);
-        actions.extend(bench.request(1).1);
-        bench.now += 50 * MS;
+        let (_, mut actions) = harness.request(1);
+        actions.extend(harness.request(1).1);
+        harness.now += 50 * MS;
         if let Some(id) = out.pop_front() {
-            actions.extend(bench.settled(id, 0, Ending::Delivered));
+            actions.extend(harness.settled(id, 0, Ending::Delivered));
         }
         out.extend(actions.iter().filter_map(|a| {
             if let Action::Send { id, .. } = a {
@@ -127,24 +127,24 @@
 
 #[test]
 fn jobs_at_an_unresponsive_worker_do_not_count_against_the_limit() {
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             schedulers: 8,
             ..settings()
         },
         4,
     );
-    bench.serve(1, 40, 100 * MS);
+    harness.serve(1, 40, 100 * MS);
     // Worker 0 swallows jobs until the limit is full of them; the others serve at once.
     let mut served_late = 0;
     for round in 0..120 {
-        bench.now += 20 * MS;
-        let (id, actions) = bench.request(1);
-        match sent(&actions, id) {
+        harness.now += 20 * MS;
+        let (id, actions) = harness.request(1);
+        match sent_to(&actions, id) {
             Some(WorkerId(0)) | None => {}
             Some(_) => {
-                bench.started(id, 0);
-                bench.settled(id, 0, Ending::Delivered);
+                harness.started(id, 0);
+                harness.settled(id, 0, Ending::Delivered);
                 served_late += u32::from(round >= 80);
             }
         }
@@ -159,7 +159,7 @@
 /// at work while they wait, not to what is out.
 #[test]
 fn overdue_start_counts_before_the_job_starts() {
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             schedulers: 100,
             ..settings()
@@ -168,11 +168,11 @@
     );
     let mut out = 0;
     for _ in 0..25 {
-        let (id, actions) = bench.request(1);
-        out += u32::from(sent(&actions, id).is_some());
-        bench.wait(240 * MS);
+        let (id, actions) = harness.request(1);
+        out += u32::from(sent_to(&actions, id).is_some());
+        harness.wait(240 * MS);
     }
-    let limit = bench.scheduler.estimates().concurrency_limit;
+    let limit = harness.scheduler.estimates().concurrency_limit;
     // Nothing was done: a job at a time is what is left, whatever comes in.
     assert!(
         limit <= 1.0 && out > 10,
@@ -183,7 +183,7 @@
 #[test]
 fn wide_job_waits_for_all_its_slots() {
     // Guards against a wide job blocking a worker's queue while it waits there for the last slot.
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             reports: Reports::Answers,
             ..settings()
@@ -198,13 +198,13 @@
         })
     };
     for n in 0..40 {
-        let (id, actions) = bench.request(0);
-        if sent(&actions, id).is_some() {
-            bench.started(id, 0);
-            bench.now += 20 * MS;
+        let (id, actions) = harness.request(0);
+        if sent_to(&actions, id).is_some() {
+            harness.started(id, 0);
+            harness.now += 20 * MS;
             let (ending, finished, report) =
                 (Ending::Delivered, true, report(2.0 + f64::from(n) / 1e3));
-            bench.event(Event::Settled {
+            harness.event(Event::Settled {
                 id,
                 attempt: 0,
                 ending,
@@ -213,22 +213,22 @@
             });
         }
     }
-    let (wide, actions) = bench.wide_request(0, 4.0);
-    assert!(sent(&actions, wide).is_none());
-    let (narrow, actions) = bench.wide_request(0, 1.0);
-    assert!(sent(&actions, narrow).is_some());
+    let (wide, actions) = harness.request_with_slots(0, 4.0);
+    assert!(sent_to(&actions, wide).is_none());
+    let (narrow, actions) = harness.request_with_slots(0, 1.0);
+    assert!(sent_to(&actions, narrow).is_some());
 }
 
 #[test]
 fn one_late_start_does_not_collapse_a_restarted_schedulers_limit() {
     // Guards against cutting the limit to the few jobs that are in flight just after a restart.
     let room = |late: bool| {
-        let mut bench = Bench::new(settings(), 12);
-        let (id, _) = bench.request(0);
-        bench.now += if late { 390 * MS } else { MS };
-        bench.started(id, 0);
-        bench.settled(id, 0, Ending::Delivered);
-        fill(&mut bench, 0).len()
+        let mut harness = Harness::new(settings(), 12);
+        let (id, _) = harness.request(0);
+        harness.now += if late { 390 * MS } else { MS };
+        harness.started(id, 0);
+        harness.settled(id, 0, Ending::Delivered);
+        fill_until_queued(&mut harness, 0).len()
     };
     assert!(
         2 * room(true) + 2 >= room(false) && room(false) > 12,
@@ -257,7 +257,7 @@
 fn limit_below_one_job_still_sends() {
     let estimates = estimates_with_small_limit();
     let sends = |seed: u64| {
-        let mut bench = Bench::seeded(
+        let mut harness = Harness::with_seed(
             Settings {
                 schedulers: 50,
                 ..settings()
@@ -265,18 +265,18 @@
             2,
             seed,
         );
-        bench.scheduler.resume_estimates(&estimates);
+        harness.scheduler.resume_estimates(&estimates);
         let mut sent = 0;
         for _ in 0..20 {
-            bench.now += 400 * MS;
-            bench.request(0);
-            let open = std::mem::take(&mut bench.actions);
+            harness.now += 400 * MS;
+            harness.request(0);
+            let open = std::mem::take(&mut harness.actions);
             for action in open {
                 let Action::Send { id, .. } = action else {
                     continue;
                 };
-                bench.started(id, 0);
-                bench.settled(id, 0, Ending::Delivered);
+                harness.started(id, 0);
+                harness.settled(id, 0, Ending::Delivered);
                 sent += 1;
             }
         }
@@ -293,24 +293,24 @@
 #[test]
 fn worker_that_declines_everything_lowers_the_limit_once() {
     let limit_after = |refusals: u32| {
-        let mut bench = Bench::new(settings(), 6);
+        let mut harness = Harness::new(settings(), 6);
         let mut left = refusals;
         while left > 0 {
-            let (id, actions) = bench.request(0);
-            bench.now += MS;
-            match sent(&actions, id) {
+            let (id, actions) = harness.request(0);
+            harness.now += MS;
+            match sent_to(&actions, id) {
                 Some(WorkerId(0)) => {
-                    bench.settled(id, 0, Ending::Declined);
-                    bench.event(Event::Cancelled { id });
+                    harness.settled(id, 0, Ending::Declined);
+                    harness.event(Event::Cancelled { id });
                     left -= 1;
                 }
-                Some(_) => _ = bench.settled(id, 0, Ending::Revoked),
+                Some(_) => _ = harness.settled(id, 0, Ending::Revoked),
                 None => {}
             }
-            bench.event(Event::Cancelled { id });
-            bench.wait(50 * MS);
+            harness.event(Event::Cancelled { id });
+            harness.wait(50 * MS);
         }
-        bench.scheduler.estimates().concurrency_limit
+        harness.scheduler.estimates().concurrency_limit
     };
     assert_eq!(limit_after(1), limit_after(6));
 }
@@ -320,7 +320,7 @@
 #[test]
 fn one_of_hundreds_serves_several_times_the_mean() {
     let tenants = vec![100.0, 1_000.0];
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             schedulers: 300,
             tenants,
@@ -330,23 +330,23 @@
     );
     let (mut out, mut ended, mut queued) = (std::collections::VecDeque::new(), 0, 0);
     for n in 0..2_000u64 {
-        bench.now += 10 * MS; // runs take 200 ms: 20 are out
-        let (id, actions) = bench.request((n % 2) as u32);
-        match sent(&actions, id) {
-            Some(_) => out.push_back((bench.now, id)),
+        harness.now += 10 * MS; // runs take 200 ms: 20 are out
+        let (id, actions) = harness.request((n % 2) as u32);
+        match sent_to(&actions, id) {
+            Some(_) => out.push_back((harness.now, id)),
             None => queued += 1,
         }
         // One of ten starts late.
         if let Some(&(at, id)) = out.get(out.len().saturating_sub(2)).filter(|_| n % 10 > 0) {
-            assert!(at <= bench.now);
-            bench.started(id, 0);
+            assert!(at <= harness.now);
+            harness.started(id, 0);
         }
         while out.front().is_some_and(|(at, _)| {
-            at + 200 * MS + 350 * MS * u64::from(ended % 10 == 0) <= bench.now
+            at + 200 * MS + 350 * MS * u64::from(ended % 10 == 0) <= harness.now
         }) {
             let (_, id) = out.pop_front().expect("seen");
-            bench.started(id, 0);
-            bench.settled(id, 0, Ending::Delivered);
+            harness.started(id, 0);
+            harness.settled(id, 0, Ending::Delivered);
             ended += 1;
         }
     }
--- a/crates/core/tests/mechanism/failing.rs
+++ b/crates/core/tests/mechanism/failing.rs
@@ -12,18 +12,18 @@
     // Guards against believing in many free slots there: a full worker was tried again at once.
     let mut waited = 0;
     for _ in 0..20 {
-        let mut bench = Bench::new(settings(), 1);
-        bench.scheduler = Scheduler::new(settings(), waited).expect("usable settings");
-        bench.list(ListKind::Cached, &[row(0)]);
-        let (id, actions) = bench.request(0);
-        assert!(sent(&actions, id).is_some());
-        bench.settled(id, 0, Ending::Declined);
-        let (id, mut actions) = bench.request(0);
-        let start = bench.now;
-        while sent(&actions, id).is_none() && bench.now < start + 400 * MS {
-            actions = bench.wait(2 * MS);
+        let mut harness = Harness::new(settings(), 1);
+        harness.scheduler = Scheduler::new(settings(), waited).expect("usable settings");
+        harness.list(ListKind::Cached, &[row(0)]);
+        let (id, actions) = harness.request(0);
+        assert!(sent_to(&actions, id).is_some());
+        harness.settled(id, 0, Ending::Declined);
+        let (id, mut actions) = harness.request(0);
+        let start = harness.now;
+        while sent_to(&actions, id).is_none() && harness.now < start + 400 * MS {
+            actions = harness.wait(2 * MS);
         }
-        waited += bench.now - start;
+        waited += harness.now - start;
     }
     assert!(waited > 20 * 35 * MS, "{} ms on average", waited / 20 / MS);
 }
@@ -32,20 +32,20 @@
 #[test]
 fn failing_worker_is_backed_off_from_after_the_second_error() {
     let sends = |errs: &dyn Fn(u32) -> bool| {
-        let mut bench = Bench::new(settings(), 4);
+        let mut harness = Harness::new(settings(), 4);
         let (mut bad, mut nth) = (0, 0);
         for _ in 0..200 {
-            let (id, actions) = bench.request(1);
-            bench.now += MS;
-            let Some(worker) = sent(&actions, id) else {
+            let (id, actions) = harness.request(1);
+            harness.now += MS;
+            let Some(worker) = sent_to(&actions, id) else {
                 continue;
             };
-            bench.started(id, 0);
+            harness.started(id, 0);
             if worker == WorkerId(0) {
                 bad += 1;
                 nth += 1;
-                bench.now += MS;
-                bench.settled(
+                harness.now += MS;
+                harness.settled(
                     id,
                     0,
                     if errs(nth) {
@@ -55,8 +55,8 @@
                     },
                 );
             } else {
-                bench.now += 100 * MS;
-                bench.settled(id, 0, Ending::Delivered);
+                harness.now += 100 * MS;
+                harness.settled(id, 0, Ending::Delivered);
             }
         }
         bad
@@ -68,7 +68,7 @@
 
 /// How many of the attempts of 40 jobs go to the own zone, each of whose workers fails a dial after so long.
 fn tries_at_a_lost_zone(fails_after: Micros) -> u32 {
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             cross_zone_cost: 0.03,
             schedulers: 300,
@@ -82,23 +82,23 @@
             ..row(w)
         })
         .collect();
-    bench.list(ListKind::Snapshot, &rows);
-    bench.serve(0, 30, 100 * MS);
+    harness.list(ListKind::Snapshot, &rows);
+    harness.serve(0, 30, 100 * MS);
     let mut home = 0;
     for _ in 0..40 {
-        let (id, actions) = bench.request(0);
-        let mut at = sent(&actions, id);
+        let (id, actions) = harness.request(0);
+        let mut at = sent_to(&actions, id);
         for attempt in 0..4 {
             let Some(worker) = at else { break };
             if worker.0 % 2 == 1 {
-                bench.started(id, attempt);
-                bench.now += 100 * MS;
-                bench.settled(id, attempt, Ending::Delivered);
+                harness.started(id, attempt);
+                harness.now += 100 * MS;
+                harness.settled(id, attempt, Ending::Delivered);
                 break;
             }
             home += 1;
-            bench.now += fails_after;
-            at = sent(&bench.settled(id, attempt, Ending::DialFailed), id);
+            harness.now += fails_after;
+            at = sent_to(&harness.settled(id, attempt, Ending::DialFailed), id);
         }
     }
     home
@@ -123,7 +123,7 @@
     for (ending, most) in [(Ending::DialFailed, 1.45), (Ending::Dropped, 1.25)] {
         let (mut sends, mut requests) = (0, 0);
         for seed in 0..50 {
-            let mut bench = Bench::seeded(
+            let mut harness = Harness::with_seed(
                 Settings {
                     schedulers: 50,
                     ..settings()
@@ -131,21 +131,21 @@
                 60,
                 seed,
             );
-            bench.serve(0, 10, 100 * MS);
+            harness.serve(0, 10, 100 * MS);
             for n in 0..100u32 {
-                let (id, actions) = bench.request(n % 2);
-                let (mut at, mut attempt) = (sent(&actions, id), 0);
+                let (id, actions) = harness.request(n % 2);
+                let (mut at, mut attempt) = (sent_to(&actions, id), 0);
                 requests += 1;
                 while let Some(worker) = at {
                     sends += 1;
                     if worker.0 < 30 {
-                        at = sent(&bench.settled(id, attempt, ending), id);
+                        at = sent_to(&harness.settled(id, attempt, ending), id);
                         attempt += 1;
                         continue;
                     }
-                    bench.started(id, attempt);
-                    bench.now += 100 * MS;
-                    bench.settled(id, attempt, Ending::Delivered);
+                    harness.started(id, attempt);
+                    harness.now += 100 * MS;
+                    harness.settled(id, attempt, Ending::Delivered);
                     break;
                 }
             }
--- a/crates/core/tests/mechanism/input.rs
+++ b/crates/core/tests/mechanism/input.rs
@@ -9,9 +9,9 @@
 
 #[test]
 fn stream_that_has_begun_belongs_to_the_client() {
-    let mut bench = Bench::new(settings(), 3);
-    let (id, _) = bench.request(0);
-    let actions = bench.event(Event::Streaming { id });
+    let mut harness = Harness::new(settings(), 3);
+    let (id, _) = harness.request(0);
+    let actions = harness.event(Event::Streaming { id });
     assert!(!actions
         .iter()
         .any(|a| matches!(a, Action::Cancel { .. } | Action::Fail { .. })));
@@ -62,21 +62,21 @@
 
 /// How many jobs of so many slots a cold worker gets within 2 s.
 fn sends_to_a_cold_worker(slots: f64) -> u32 {
-    let mut bench = Bench::new(settings(), 0);
+    let mut harness = Harness::new(settings(), 0);
     let cold = Row {
         online_since: START,
         ..row(0)
     };
-    bench.list(ListKind::Snapshot, &[cold]);
+    harness.list(ListKind::Snapshot, &[cold]);
     let mut sends = 0;
     for _ in 0..400 {
-        let (id, actions) = bench.wide_request(0, slots);
-        if sent(&actions, id).is_some() {
+        let (id, actions) = harness.request_with_slots(0, slots);
+        if sent_to(&actions, id).is_some() {
             sends += 1;
-            bench.started(id, 0);
-            bench.settled(id, 0, Ending::Delivered);
+            harness.started(id, 0);
+            harness.settled(id, 0, Ending::Delivered);
         }
-        bench.now += 5 * MS;
+        harness.now += 5 * MS;
     }
     sends
 }
@@ -97,19 +97,22 @@
 /// Guards against a job of so many slots that sums of slots lose all others.
 #[test]
 fn huge_slots_do_not_unbalance_accounts() {
-    let mut bench = bench_with_reported_slots();
-    let (huge, actions) = bench.wide_request(0, 1e300);
-    assert!(sent(&actions, huge).is_some(), "a wide job finds a worker");
-    let (small, _) = bench.request(0);
-    let in_flight = bench.scheduler.in_flight_counts().slots;
+    let mut harness = harness_with_reported_slots();
+    let (huge, actions) = harness.request_with_slots(0, 1e300);
+    assert!(
+        sent_to(&actions, huge).is_some(),
+        "a wide job finds a worker"
+    );
+    let (small, _) = harness.request(0);
+    let in_flight = harness.scheduler.in_flight_counts().slots;
     assert!(
         in_flight.is_finite() && in_flight < 1e6,
         "{in_flight} slots in flight"
     );
-    bench.settled(huge, 0, Ending::Delivered);
-    bench.settled(small, 0, Ending::Delivered);
+    harness.settled(huge, 0, Ending::Delivered);
+    harness.settled(small, 0, Ending::Delivered);
     assert_eq!(
-        bench.scheduler.in_flight_counts(),
+        harness.scheduler.in_flight_counts(),
         InFlightCounts {
             workers: 2,
             ..InFlightCounts::default()
@@ -118,8 +121,8 @@
 }
 
 /// Two workers that have reported some hundred free slots.
-fn bench_with_reported_slots() -> Bench {
-    let mut bench = Bench::new(
+fn harness_with_reported_slots() -> Harness {
+    let mut harness = Harness::new(
         Settings {
             reports: Reports::Answers,
             ..settings()
@@ -127,32 +130,32 @@
         2,
     );
     for n in 0..80 {
-        let (id, _) = bench.request(0);
-        bench.now += 10 * MS;
+        let (id, _) = harness.request(0);
+        harness.now += 10 * MS;
         let report = Report {
             free_slots: Some(30.0 + f64::from(n)),
             ..Report::default()
         };
-        bench.served_with(id, report);
+        harness.served_with_report(id, report);
     }
-    bench
+    harness
 }
 
 #[test]
 fn events_of_unknown_or_ended_requests_are_ignored() {
-    let mut bench = Bench::new(settings(), 2);
+    let mut harness = Harness::new(settings(), 2);
     let id = RequestId(999);
-    assert!(bench.started(id, 0).is_empty());
-    assert!(bench.settled(id, 0, Ending::Declined).is_empty());
-    assert!(bench.event(Event::Cancelled { id }).is_empty());
-    assert!(bench
+    assert!(harness.started(id, 0).is_empty());
+    assert!(harness.settled(id, 0, Ending::Declined).is_empty());
+    assert!(harness.event(Event::Cancelled { id }).is_empty());
+    assert!(harness
         .event(Event::Probed {
             worker: WorkerId(77),
             ending: Ending::Expired,
             report: None
         })
         .is_empty());
-    let (id, _) = bench.request(0);
-    bench.settled(id, 0, Ending::Delivered);
-    assert!(bench.settled(id, 0, Ending::Delivered).is_empty());
+    let (id, _) = harness.request(0);
+    harness.settled(id, 0, Ending::Delivered);
+    assert!(harness.settled(id, 0, Ending::Delivered).is_empty());
 }
--- a/crates/core/tests/mechanism/large.rs
+++ b/crates/core/tests/mechanism/large.rs
@@ -37,22 +37,22 @@
 }
 
 /// Serves jobs, several at a time; returns how many each worker got.
-fn serve(bench: &mut Bench, jobs: usize) -> BTreeMap<u64, u32> {
+fn serve(harness: &mut Harness, jobs: usize) -> BTreeMap<u64, u32> {
     let mut got: BTreeMap<u64, u32> = BTreeMap::new();
     for _ in 0..jobs / 8 {
         let open: Vec<_> = (0..8)
             .filter_map(|_| {
-                let (id, actions) = bench.request(0);
-                sent(&actions, id).map(|worker| (id, worker))
+                let (id, actions) = harness.request(0);
+                sent_to(&actions, id).map(|worker| (id, worker))
             })
             .collect();
-        bench.now += MS;
+        harness.now += MS;
         for (id, _) in &open {
-            _ = bench.started(*id, 0);
+            _ = harness.started(*id, 0);
         }
-        bench.now += 40 * MS;
+        harness.now += 40 * MS;
         for (id, worker) in open {
-            bench.settled(id, 0, Ending::Delivered);
+            harness.settled(id, 0, Ending::Delivered);
             *got.entry(worker.0).or_default() += 1;
         }
     }
@@ -61,10 +61,10 @@
 
 #[test]
 fn one_of_a_thousand_schedulers_uses_all_workers_but_draining_ones() {
-    let mut bench = Bench::new(fleet(), 0);
-    bench.list(ListKind::Snapshot, &rows(0..MANY, Condition::Active));
-    assert_eq!(bench.scheduler.members().listed, MANY as usize);
-    let got = serve(&mut bench, 4 * MANY as usize);
+    let mut harness = Harness::new(fleet(), 0);
+    harness.list(ListKind::Snapshot, &rows(0..MANY, Condition::Active));
+    assert_eq!(harness.scheduler.members().listed, MANY as usize);
+    let got = serve(&mut harness, 4 * MANY as usize);
     assert_eq!(got.values().sum::<u32>(), 4 * MANY, "all are sent");
     // Random picks of two leave a few out; a limit below a thousand anywhere would leave out many.
     assert!(
@@ -74,18 +74,18 @@
     );
     assert!(got.values().all(|n| *n <= 20), "{:?}", got.values().max());
     // Two in three drain, in one delta.
-    bench.list(
+    harness.list(
         ListKind::Delta,
         &rows((0..MANY).filter(|w| w % 3 > 0), Condition::Leaving),
     );
-    let got = serve(&mut bench, MANY as usize);
+    let got = serve(&mut harness, MANY as usize);
     assert!(
         got.keys().all(|w| w % 3 == 0),
         "a job went to a draining worker"
     );
     assert!(got.values().sum::<u32>() > MANY / 2);
     // They come back as others, each cold: to each at most its part.
-    let (anew, now) = ((0..MANY).filter(|w| w % 3 > 0), bench.now);
+    let (anew, now) = ((0..MANY).filter(|w| w % 3 > 0), harness.now);
     let anew: Vec<Row> = rows(anew, Condition::Active)
         .into_iter()
         .map(|r| Row {
@@ -93,8 +93,8 @@
             ..r
         })
         .collect();
-    bench.list(ListKind::Delta, &anew);
-    let got = serve(&mut bench, 256);
+    harness.list(ListKind::Delta, &anew);
+    let got = serve(&mut harness, 256);
     let (cold, most) = got
         .iter()
         .filter(|(w, _)| *w % 3 > 0)
@@ -140,19 +140,19 @@
 }
 
 /// The worker that each of some keys is at home at.
-fn homes(bench: &mut Bench) -> Vec<Option<WorkerId>> {
+fn homes(harness: &mut Harness) -> Vec<Option<WorkerId>> {
     let home = |key: u64| {
         let id = RequestId(u128::from(key) + 1);
-        bench.now += 50 * MS;
+        harness.now += 50 * MS;
         let keyed = Job {
             key: Some(key * 7_919),
             ..job(0)
         };
         let request = arrival(id, keyed);
-        let worker = sent(&bench.event(request), id);
-        bench.started(id, 0);
-        bench.now += 20 * MS;
-        bench.settled(id, 0, Ending::Delivered);
+        let worker = sent_to(&harness.event(request), id);
+        harness.started(id, 0);
+        harness.now += 20 * MS;
+        harness.settled(id, 0, Ending::Delivered);
         worker
     };
     (0..300).map(home).collect()
@@ -168,7 +168,7 @@
         settings.cold_share = 1.0;
         settings
     };
-    let mut changed = Bench::new(keyed(), 0);
+    let mut changed = Harness::new(keyed(), 0);
     changed.list(ListKind::Snapshot, &rows(0..200, Condition::Active));
     for step in 0..20 {
         homes(&mut changed);
@@ -187,7 +187,7 @@
     changed.list(ListKind::Delta, &rows(0..220, Condition::Left));
     let few = homes(&mut changed);
 
-    let mut fresh = Bench::new(keyed(), 0);
+    let mut fresh = Harness::new(keyed(), 0);
     let present = rows((0..1).chain(160..240), Condition::Active);
     fresh.list(ListKind::Snapshot, &present);
     assert_eq!(after, homes(&mut fresh));
@@ -200,20 +200,20 @@
 #[test]
 fn list_changes() {
     for n in [14, 200, MANY, 4 * MANY] {
-        let mut bench = Bench::new(fleet(), n);
+        let mut harness = Harness::new(fleet(), n);
         let all = rows(0..n, Condition::Active);
-        let time = |bench: &mut Bench, kind, rows: &[Row]| {
+        let time = |harness: &mut Harness, kind, rows: &[Row]| {
             let begin = Instant::now();
             for _ in 0..20 {
-                bench.list(kind, rows);
+                harness.list(kind, rows);
             }
             begin.elapsed().as_micros() / 20
         };
         let (whole, one) = (
-            time(&mut bench, ListKind::Snapshot, &all),
-            time(&mut bench, ListKind::Delta, &all[..1]),
+            time(&mut harness, ListKind::Snapshot, &all),
+            time(&mut harness, ListKind::Delta, &all[..1]),
         );
         println!("{n} workers: a whole list takes {whole} us, a change of one {one} us");
-        assert_eq!(bench.scheduler.members().listed, n as usize);
+        assert_eq!(harness.scheduler.members().listed, n as usize);
     }
 }
--- a/crates/core/tests/mechanism/list.rs
+++ b/crates/core/tests/mechanism/list.rs
@@ -11,21 +11,21 @@
 
 #[test]
 fn draining_worker_gets_no_jobs() {
-    let mut bench = Bench::new(settings(), 2);
+    let mut harness = Harness::new(settings(), 2);
     let leaving = Row {
         condition: Condition::Leaving,
         ..row(0)
     };
-    bench.list(ListKind::Delta, &[leaving]);
+    harness.list(ListKind::Delta, &[leaving]);
     for _ in 0..8 {
-        let (id, actions) = bench.request(0);
-        assert_ne!(sent(&actions, id), Some(WorkerId(0)));
+        let (id, actions) = harness.request(0);
+        assert_ne!(sent_to(&actions, id), Some(WorkerId(0)));
     }
     // Absent from a snapshot is departed, too.
-    bench.list(ListKind::Snapshot, &[row(2)]);
+    harness.list(ListKind::Snapshot, &[row(2)]);
     for _ in 0..8 {
-        let (id, actions) = bench.request(0);
-        assert!(matches!(sent(&actions, id), Some(WorkerId(2)) | None));
+        let (id, actions) = harness.request(0);
+        assert!(matches!(sent_to(&actions, id), Some(WorkerId(2)) | None));
     }
 }
 
@@ -33,19 +33,19 @@
 /// how often to poll: the list is pushed on the simulator's wire, and still watched on sockets.
 #[test]
 fn failed_polls_are_not_repeated_without_backoff() {
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             poll_interval: Span::ZERO,
             ..settings()
         },
         3,
     );
-    bench.list(ListKind::Failed, &[]);
+    harness.list(ListKind::Failed, &[]);
     let mut polls = 0;
     for _ in 0..1_000 {
-        if bench.wait(MS).contains(&Action::Subscribe) {
+        if harness.wait(MS).contains(&Action::Subscribe) {
             polls += 1;
-            bench.list(ListKind::Failed, &[]);
+            harness.list(ListKind::Failed, &[]);
         }
     }
     assert!((10..=100).contains(&polls), "{polls} calls in a second");
@@ -53,26 +53,26 @@
 
 #[test]
 fn failed_subscription_is_repeated_and_the_list_retained() {
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             list_on_request: true,
             ..settings()
         },
         3,
     );
-    assert!(bench.actions.contains(&Action::Subscribe));
-    bench.list(ListKind::Failed, &[]);
+    assert!(harness.actions.contains(&Action::Subscribe));
+    harness.list(ListKind::Failed, &[]);
     let mut polls = 0;
     for _ in 0..100 {
-        polls += bench
+        polls += harness
             .wait(10 * MS)
             .iter()
             .filter(|a| **a == Action::Subscribe)
             .count();
     }
     assert_eq!(polls, 1, "once within a second, not in a storm");
-    let (id, actions) = bench.request(0);
-    assert!(sent(&actions, id).is_some(), "the old list still serves");
+    let (id, actions) = harness.request(0);
+    assert!(sent_to(&actions, id).is_some(), "the old list still serves");
 }
 
 /// Guards against pauses that grow with the settings' time for polling, or the fleet, beyond the quarter that the
@@ -92,7 +92,7 @@
     for (poll_interval, schedulers) in fleets {
         for list_on_request in [poll_interval > 0, false] {
             let poll_interval = poll_interval * MS;
-            let mut bench = Bench::new(
+            let mut harness = Harness::new(
                 Settings {
                     schedulers,
                     poll_interval: Span::from_micros(poll_interval),
@@ -108,8 +108,8 @@
             };
             // The first call of a start with a list, and then one after each failure.
             for n in 0..20 {
-                if n > 0 || list_on_request && !bench.actions.contains(&Action::Subscribe) {
-                    let polls = |_: &u64| bench.wait(2 * MS).contains(&Action::Subscribe);
+                if n > 0 || list_on_request && !harness.actions.contains(&Action::Subscribe) {
+                    let polls = |_: &u64| harness.wait(2 * MS).contains(&Action::Subscribe);
                     let after = (1..10_000).find(polls).map(|n| 2 * n);
                     let in_time = after.is_some_and(|ms| ms <= most / MS + 4);
                     assert!(
@@ -117,7 +117,7 @@
                         "poll interval {poll_interval}, {schedulers}: call {n} after {after:?} ms"
                     );
                 }
-                bench.list(ListKind::Failed, &[]);
+                harness.list(ListKind::Failed, &[]);
             }
         }
     }
@@ -126,28 +126,31 @@
 /// Guards against a table of workers, and of their names, that grows for as long as machines are replaced.
 #[test]
 fn departed_workers_are_forgotten_unless_jobs_are_in_flight() {
-    let mut bench = Bench::new(settings(), 3);
-    let (id, actions) = bench.request(2);
-    let first = sent(&actions, id).expect("sent");
+    let mut harness = Harness::new(settings(), 3);
+    let (id, actions) = harness.request(2);
+    let first = sent_to(&actions, id).expect("sent");
     for n in 1..300 {
         let rows: Vec<Row> = (100 * n..100 * n + 100).map(row).collect();
-        bench.list(ListKind::Snapshot, &rows);
+        harness.list(ListKind::Snapshot, &rows);
     }
-    let counts = bench.scheduler.in_flight_counts();
+    let counts = harness.scheduler.in_flight_counts();
     assert!(counts.workers < 5_000, "{counts:?} after 29,900 workers");
     assert_eq!(
         (counts.requests, counts.attempts),
         (1, 3),
         "an attempt out, open and not started"
     );
-    let (other, actions) = bench.request(0);
-    assert!(sent(&actions, other).is_some(), "those listed serve");
-    bench.settled(other, 0, Ending::Delivered);
+    let (other, actions) = harness.request(0);
+    assert!(sent_to(&actions, other).is_some(), "those listed serve");
+    harness.settled(other, 0, Ending::Delivered);
     // What may have run stays in its cell, all of which has left.
-    let actions = bench.settled(id, 0, Ending::Dropped);
-    assert!(sent(&actions, id).is_none(), "{first:?} is not forgotten");
-    bench.wait(6_000 * MS);
-    assert_eq!(bench.scheduler.in_flight_counts().requests, 0);
+    let actions = harness.settled(id, 0, Ending::Dropped);
+    assert!(
+        sent_to(&actions, id).is_none(),
+        "{first:?} is not forgotten"
+    );
+    harness.wait(6_000 * MS);
+    assert_eq!(harness.scheduler.in_flight_counts().requests, 0);
 }
 
 /// One of the schedulers that share slow discovery.
--- a/crates/core/tests/mechanism/local_faults.rs
+++ b/crates/core/tests/mechanism/local_faults.rs
@@ -19,15 +19,15 @@
 }
 
 /// Waits until a request is sent again; returns the worker and how long that took.
-fn sent_again(bench: &mut Bench, id: RequestId) -> (WorkerId, Micros) {
-    let start = bench.now;
+fn sent_again(harness: &mut Harness, id: RequestId) -> (WorkerId, Micros) {
+    let start = harness.now;
     loop {
-        let actions = bench.wait(MS);
-        if let Some(worker) = sent(&actions, id) {
-            return (worker, bench.now - start);
+        let actions = harness.wait(MS);
+        if let Some(worker) = sent_to(&actions, id) {
+            return (worker, harness.now - start);
         }
         assert!(
-            !rejected(&actions, id) && bench.now < start + 2_000 * MS,
+            !rejected(&actions, id) && harness.now < start + 2_000 * MS,
             "it is queued"
         );
     }
@@ -35,24 +35,24 @@
 
 #[test]
 fn request_backs_off_and_is_sent_to_another_address() {
-    let mut bench = Bench::new(patient(), 3);
-    let (id, actions) = bench.request(1);
-    let mut at = sent(&actions, id).expect("sent");
+    let mut harness = Harness::new(patient(), 3);
+    let (id, actions) = harness.request(1);
+    let mut at = sent_to(&actions, id).expect("sent");
     // More often than a request has attempts: these are none of them.
-    for n in 0..2 * bench_attempts() {
-        let actions = bench.settled(id, n, Ending::LocalFault);
+    for n in 0..2 * max_attempts() {
+        let actions = harness.settled(id, n, Ending::LocalFault);
         assert!(
-            sent(&actions, id).is_none() && !rejected(&actions, id),
+            sent_to(&actions, id).is_none() && !rejected(&actions, id),
             "it backs off"
         );
-        let (next, span) = sent_again(&mut bench, id);
+        let (next, span) = sent_again(&mut harness, id);
         assert!(span >= 5 * MS, "{span}");
         assert_ne!(next, at, "another address may have ports");
         at = next;
     }
-    bench.settled(id, 2 * bench_attempts(), Ending::Delivered);
+    harness.settled(id, 2 * max_attempts(), Ending::Delivered);
     assert_eq!(
-        bench.scheduler.in_flight_counts(),
+        harness.scheduler.in_flight_counts(),
         InFlightCounts {
             workers: 3,
             ..InFlightCounts::default()
@@ -60,29 +60,29 @@
     );
 }
 
-fn bench_attempts() -> u32 {
+fn max_attempts() -> u32 {
     patient().max_attempts
 }
 
 /// Guards against effects that outlive the fault: workers were avoided, and taken to have a queue.
 #[test]
 fn local_fault_starts_no_backoff_from_the_worker() {
-    let mut bench = Bench::new(patient(), 3);
+    let mut harness = Harness::new(patient(), 3);
     for _ in 0..30 {
-        let (id, actions) = bench.request(1);
-        if sent(&actions, id).is_some() {
-            bench.settled(id, 0, Ending::LocalFault);
+        let (id, actions) = harness.request(1);
+        if sent_to(&actions, id).is_some() {
+            harness.settled(id, 0, Ending::LocalFault);
         }
-        bench.event(Event::Cancelled { id });
+        harness.event(Event::Cancelled { id });
     }
     let mut jobs_to: BTreeMap<u64, u32> = BTreeMap::new();
     for _ in 0..60 {
-        let (id, actions) = bench.request(1);
-        let worker = sent(&actions, id).expect("sent at once");
+        let (id, actions) = harness.request(1);
+        let worker = sent_to(&actions, id).expect("sent at once");
         *jobs_to.entry(worker.0).or_default() += 1;
-        bench.started(id, 0);
-        bench.now += 10 * MS;
-        bench.settled(id, 0, Ending::Delivered);
+        harness.started(id, 0);
+        harness.now += 10 * MS;
+        harness.settled(id, 0, Ending::Delivered);
     }
     assert!(
         jobs_to.len() == 3 && jobs_to.values().all(|n| *n > 8),
@@ -93,25 +93,25 @@
 /// The same of a worker that is really backed off from: a try that never left is no try.
 #[test]
 fn trial_that_was_not_sent_does_not_lengthen_the_backoff() {
-    let mut bench = Bench::new(patient(), 1);
-    bench.serve(1, 150, 10 * MS); // what it backs off for is observed first
-    let (id, actions) = bench.request(1);
-    assert!(sent(&actions, id).is_some());
-    bench.settled(id, 0, Ending::Dropped);
+    let mut harness = Harness::new(patient(), 1);
+    harness.serve(1, 150, 10 * MS); // what it backs off for is observed first
+    let (id, actions) = harness.request(1);
+    assert!(sent_to(&actions, id).is_some());
+    harness.settled(id, 0, Ending::Dropped);
     for _ in 0..6 {
-        let (id, actions) = bench.request(1);
-        if sent(&actions, id).is_none() {
-            sent_again(&mut bench, id);
+        let (id, actions) = harness.request(1);
+        if sent_to(&actions, id).is_none() {
+            sent_again(&mut harness, id);
         }
-        bench.settled(id, 0, Ending::LocalFault);
-        bench.event(Event::Cancelled { id });
+        harness.settled(id, 0, Ending::LocalFault);
+        harness.event(Event::Cancelled { id });
     }
-    let (id, actions) = bench.request(1);
+    let (id, actions) = harness.request(1);
     assert!(
-        sent(&actions, id).is_some(),
+        sent_to(&actions, id).is_some(),
         "six trials that left would be six doublings"
     );
-    bench.settled(id, 0, Ending::Delivered);
+    harness.settled(id, 0, Ending::Delivered);
 }
 
 /// How many of 40 jobs a cold worker gets after 3 s in which eight attempts at each moment fail for a fault of this
@@ -121,31 +121,31 @@
         cold_share: 0.2,
         ..settings()
     };
-    let mut bench = Bench::seeded(settings, 10, seed);
-    bench.serve(1, 50, 100 * MS);
+    let mut harness = Harness::with_seed(settings, 10, seed);
+    harness.serve(1, 50, 100 * MS);
     let restarted = Row {
-        online_since: bench.now,
+        online_since: harness.now,
         ..row(0)
     };
-    bench.list(ListKind::Delta, &[restarted]);
+    harness.list(ListKind::Delta, &[restarted]);
     for _ in 0..60 {
-        bench.wait(50 * MS);
+        harness.wait(50 * MS);
         for _ in 0..if has_faults { 8 } else { 0 } {
-            let (id, actions) = bench.request(1);
-            if sent(&actions, id).is_some() {
-                bench.settled(id, 0, Ending::LocalFault);
+            let (id, actions) = harness.request(1);
+            if sent_to(&actions, id).is_some() {
+                harness.settled(id, 0, Ending::LocalFault);
             }
-            bench.event(Event::Cancelled { id });
+            harness.event(Event::Cancelled { id });
         }
     }
     let mut to_cold = 0;
     for _ in 0..40 {
-        let (id, actions) = bench.request(1);
-        let to = sent(&actions, id);
+        let (id, actions) = harness.request(1);
+        let to = sent_to(&actions, id);
         to_cold += u32::from(to == Some(WorkerId(0)));
-        bench.event(Event::Cancelled { id });
+        harness.event(Event::Cancelled { id });
         if to.is_some() {
-            bench.settled(id, 0, Ending::Revoked);
+            harness.settled(id, 0, Ending::Revoked);
         }
     }
     to_cold
@@ -163,7 +163,7 @@
 
 /// A run in which no connection comes up for some time.
 struct FaultRun {
-    bench: Bench,
+    harness: Harness,
     fault: std::ops::Range<Micros>,
     /// The last attempt of each request.
     attempts: BTreeMap<RequestId, u32>,
@@ -177,24 +177,24 @@
 
 impl FaultRun {
     fn new() -> Self {
-        let bench = Bench::new(patient(), 20);
+        let harness = Harness::new(patient(), 20);
         FaultRun {
-            fault: bench.now + 150 * MS..bench.now + 1_500 * MS,
+            fault: harness.now + 150 * MS..harness.now + 1_500 * MS,
             attempts: BTreeMap::new(),
             running: BTreeMap::new(),
             tries: 0,
             served: 0,
-            last_served: bench.now,
-            bench,
+            last_served: harness.now,
+            harness,
         }
     }
 
     fn end_jobs(&mut self) -> Vec<Action> {
         let mut actions = Vec::new();
-        while let Some((id, attempt)) = self.running.remove(&self.bench.now) {
-            actions.extend(self.bench.settled(id, attempt, Ending::Delivered));
+        while let Some((id, attempt)) = self.running.remove(&self.harness.now) {
+            actions.extend(self.harness.settled(id, attempt, Ending::Delivered));
             self.served += 1;
-            self.last_served = self.bench.now;
+            self.last_served = self.harness.now;
         }
         actions
     }
@@ -204,7 +204,7 @@
         match action {
             Action::Send { id, .. } => self.begin_attempt(id),
             Action::Reject { .. } | Action::Fail { .. } => {
-                panic!("{action:?} at {}", self.bench.now - START)
+                panic!("{action:?} at {}", self.harness.now - START)
             }
             _ => Vec::new(),
         }
@@ -213,13 +213,13 @@
     fn begin_attempt(&mut self, id: RequestId) -> Vec<Action> {
         let last = self.attempts.entry(id);
         let attempt = *last.and_modify(|n| *n += 1).or_default();
-        if self.fault.contains(&self.bench.now) {
+        if self.fault.contains(&self.harness.now) {
             self.tries += 1;
-            return self.bench.settled(id, attempt, Ending::LocalFault);
+            return self.harness.settled(id, attempt, Ending::LocalFault);
         }
-        let actions = self.bench.started(id, attempt);
+        let actions = self.harness.started(id, attempt);
         // One an end, so that each moment has its own.
-        let mut end = self.bench.now + 10 * MS;
+        let mut end = self.harness.now + 10 * MS;
         while self.running.contains_key(&end) {
             end += MS;
         }
@@ -233,13 +233,13 @@
 #[test]
 fn requests_with_time_left_stay_queued_during_a_local_fault() {
     let mut run = FaultRun::new();
-    let began = run.bench.now;
+    let began = run.harness.now;
     let mut taken = 0;
-    while run.bench.now < began + 6_000 * MS {
-        let mut actions = VecDeque::from(run.bench.wait(MS));
-        if taken < 1_000 && (run.bench.now - began) % (5 * MS) == 0 {
+    while run.harness.now < began + 6_000 * MS {
+        let mut actions = VecDeque::from(run.harness.wait(MS));
+        if taken < 1_000 && (run.harness.now - began) % (5 * MS) == 0 {
             taken += 1;
-            let (_, more) = run.bench.request(taken % 2);
+            let (_, more) = run.harness.request(taken % 2);
             actions.extend(more);
         }
         actions.extend(run.end_jobs());
@@ -255,29 +255,29 @@
 
 #[test]
 fn expired_requests_are_rejected_during_a_local_fault() {
-    let mut bench = Bench::new(settings(), 3);
-    let (id, actions) = bench.request(0);
-    assert!(sent(&actions, id).is_some());
-    let (start, mut attempt) = (bench.now, 0);
-    let mut actions = bench.settled(id, attempt, Ending::LocalFault);
+    let mut harness = Harness::new(settings(), 3);
+    let (id, actions) = harness.request(0);
+    assert!(sent_to(&actions, id).is_some());
+    let (start, mut attempt) = (harness.now, 0);
+    let mut actions = harness.settled(id, attempt, Ending::LocalFault);
     while !rejected(&actions, id) {
         assert!(
-            bench.now < start + 1_000 * MS,
+            harness.now < start + 1_000 * MS,
             "an answer is due before the aim has passed"
         );
-        actions = bench.wait(MS);
-        if sent(&actions, id).is_some() {
+        actions = harness.wait(MS);
+        if sent_to(&actions, id).is_some() {
             attempt += 1;
-            actions = bench.settled(id, attempt, Ending::LocalFault);
+            actions = harness.settled(id, attempt, Ending::LocalFault);
         }
     }
     assert!(
-        attempt > 3 && bench.now > start + 200 * MS,
+        attempt > 3 && harness.now > start + 200 * MS,
         "{attempt} tries, {} us",
-        bench.now - start
+        harness.now - start
     );
     assert_eq!(
-        bench.scheduler.in_flight_counts(),
+        harness.scheduler.in_flight_counts(),
         InFlightCounts {
             workers: 3,
             ..InFlightCounts::default()
@@ -287,7 +287,7 @@
 
 #[test]
 fn probe_that_was_not_sent_changes_no_estimate() {
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             may_probe: true,
             reports: Reports::Probe,
@@ -295,7 +295,7 @@
         },
         3,
     );
-    let (id, actions) = bench.request(0);
+    let (id, actions) = harness.request(0);
     let probed = actions.iter().find_map(|a| {
         if let Action::Probe { worker } = a {
             Some(*worker)
@@ -304,10 +304,14 @@
         }
     });
     let worker = probed.expect("one is probed");
-    let actions = bench.event(Event::Probed {
+    let actions = harness.event(Event::Probed {
         worker,
         ending: Ending::LocalFault,
         report: None,
     });
-    assert_eq!(sent(&actions, id), Some(worker), "it is as good as before");
+    assert_eq!(
+        sent_to(&actions, id),
+        Some(worker),
+        "it is as good as before"
+    );
 }
--- a/crates/core/tests/mechanism/main.rs
+++ b/crates/core/tests/mechanism/main.rs
@@ -1,6 +1,5 @@
-//! The mechanism part by part, and one test for each failure found.
-//!
-//! It owns the folder's one binary and what its parts share. It must never hold a test itself.
+//! Tests of the scheduling algorithms against the scheduler's events and actions, with a regression test for each
+//! failure found so far.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -27,15 +26,15 @@
 use common::*;
 use oakshed_core::interface::*;
 
-/// Fills one worker with jobs until the next one is queued.
-fn fill(bench: &mut Bench, class: u32) -> Vec<RequestId> {
-    let mut out = Vec::new();
+/// Sends requests until one is queued, and returns those that were sent to a worker.
+fn fill_until_queued(harness: &mut Harness, class: u32) -> Vec<RequestId> {
+    let mut sent = Vec::new();
     for _ in 0..100 {
-        let (id, actions) = bench.request(class);
-        if sent(&actions, id).is_none() {
-            return out;
+        let (id, actions) = harness.request(class);
+        if sent_to(&actions, id).is_none() {
+            return sent;
         }
-        out.push(id);
+        sent.push(id);
     }
-    panic!("nothing was ever queued");
+    panic!("no request was queued");
 }
--- a/crates/core/tests/mechanism/probes.rs
+++ b/crates/core/tests/mechanism/probes.rs
@@ -49,84 +49,84 @@
     }
 }
 
-fn drain(bench: &mut Bench, worker: WorkerId) {
+fn drain(harness: &mut Harness, worker: WorkerId) {
     let draining = Row {
         condition: Condition::Leaving,
         ..row(worker.0 as u32)
     };
-    bench.list(ListKind::Delta, &[draining]);
+    harness.list(ListKind::Delta, &[draining]);
 }
 
 /// Has a job wait for its probe, which finds nothing queued, and serves it there.
-fn serve_after_probe(bench: &mut Bench) {
-    bench.now += 500 * MS;
-    let (id, actions) = bench.request(0);
-    assert_eq!(sent(&actions, id), None, "the job waits for the probe");
+fn serve_after_probe(harness: &mut Harness) {
+    harness.now += 500 * MS;
+    let (id, actions) = harness.request(0);
+    assert_eq!(sent_to(&actions, id), None, "the job waits for the probe");
     let worker = probed_worker(&actions);
-    bench.now += MS;
-    let actions = bench.event(answer(worker, report_of(0.0)));
-    assert_eq!(sent(&actions, id), Some(worker), "nothing waits there");
-    bench.settled(id, 0, Ending::Delivered);
+    harness.now += MS;
+    let actions = harness.event(answer(worker, report_of(0.0)));
+    assert_eq!(sent_to(&actions, id), Some(worker), "nothing waits there");
+    harness.settled(id, 0, Ending::Delivered);
 }
 
 /// Guards against picks among workers of which nothing is known: hundreds of schedulers contact each seldom, and a
 /// probe beside the way of another worker than the chosen one was of a worker that was not drawn again for seconds.
 #[test]
 fn chosen_worker_is_probed_and_avoided_if_it_has_a_queue() {
-    let mut bench = Bench::new(probing(), 60);
+    let mut harness = Harness::new(probing(), 60);
     for _ in 0..20 {
-        serve_after_probe(&mut bench);
+        serve_after_probe(&mut harness);
     }
     // A few only: of a zone in which many wait that is believed of all.
     for _ in 0..3 {
-        bench.now += 500 * MS;
-        let (id, actions) = bench.request(0);
+        harness.now += 500 * MS;
+        let (id, actions) = harness.request(0);
         let Some(&worker) = probed(&actions).first() else {
             panic!("known")
         };
-        let actions = bench.event(answer(worker, report_of(30.0)));
-        let to = sent(&actions, id).expect("sent, and not queued for a second probe");
+        let actions = harness.event(answer(worker, report_of(30.0)));
+        let to = sent_to(&actions, id).expect("sent, and not queued for a second probe");
         assert_ne!(to, worker, "thirty wait there");
         assert!(probed(&actions).is_empty(), "one probe a job");
-        bench.settled(id, 0, Ending::Delivered);
+        harness.settled(id, 0, Ending::Delivered);
     }
 }
 
 #[test]
 fn failed_probe_sends_the_job_elsewhere() {
-    let mut bench = Bench::new(probing(), 60);
-    let (id, actions) = bench.request(0);
+    let mut harness = Harness::new(probing(), 60);
+    let (id, actions) = harness.request(0);
     let worker = probed_worker(&actions);
-    let actions = bench.event(Event::Probed {
+    let actions = harness.event(Event::Probed {
         worker,
         ending: Ending::DialFailed,
         report: None,
     });
-    assert!(sent(&actions, id).is_some_and(|to| to != worker));
-    bench.settled(id, 0, Ending::Delivered);
+    assert!(sent_to(&actions, id).is_some_and(|to| to != worker));
+    harness.settled(id, 0, Ending::Delivered);
 }
 
 #[test]
 fn worker_that_drains_while_it_is_probed_does_not_get_the_job() {
-    let mut bench = Bench::new(probing(), 60);
-    let (id, actions) = bench.request(0);
+    let mut harness = Harness::new(probing(), 60);
+    let (id, actions) = harness.request(0);
     let worker = probed_worker(&actions);
-    drain(&mut bench, worker);
-    let actions = bench.event(answer(worker, report_of(0.0)));
-    assert!(sent(&actions, id).is_some_and(|to| to != worker));
-    bench.settled(id, 0, Ending::Delivered);
+    drain(&mut harness, worker);
+    let actions = harness.event(answer(worker, report_of(0.0)));
+    assert!(sent_to(&actions, id).is_some_and(|to| to != worker));
+    harness.settled(id, 0, Ending::Delivered);
 }
 
 #[test]
 fn worker_whose_load_is_known_is_not_probed() {
-    let mut one = Bench::new(probing(), 1);
+    let mut one = Harness::new(probing(), 1);
     let (id, actions) = one.request(0);
     let worker = probed_worker(&actions);
     one.event(answer(worker, report_of(0.0)));
     one.started(id, 0);
     let (id, actions) = one.request(0);
     assert!(
-        probed(&actions).is_empty() && sent(&actions, id).is_some(),
+        probed(&actions).is_empty() && sent_to(&actions, id).is_some(),
         "its load is known"
     );
 }
@@ -135,24 +135,24 @@
 /// it must leave; with so little time left that the moment would be missed, it probes nobody.
 #[test]
 fn unanswered_probe_delays_a_job_briefly() {
-    let (mut bench, mut unresponsive) = (Bench::new(probing(), 60), 0);
+    let (mut harness, mut unresponsive) = (Harness::new(probing(), 60), 0);
     for _ in 0..40 {
-        let (id, actions) = bench.request(0);
+        let (id, actions) = harness.request(0);
         let probed_workers = probed(&actions);
-        let (mut at, begun) = (sent(&actions, id), bench.now);
+        let (mut at, begun) = (sent_to(&actions, id), harness.now);
         while at.is_none() {
-            let actions = bench.wait(10 * MS);
+            let actions = harness.wait(10 * MS);
             assert!(probed(&actions).is_empty() && !rejected(&actions, id));
-            at = sent(&actions, id);
+            at = sent_to(&actions, id);
         }
         assert!(
-            bench.now - begun <= 150 * MS,
+            harness.now - begun <= 150 * MS,
             "{} ms of 800 until it is late",
-            (bench.now - begun) / MS
+            (harness.now - begun) / MS
         );
         unresponsive += u32::from(at == probed_workers.first().copied());
-        bench.started(id, 0);
-        bench.settled(id, 0, Ending::Delivered);
+        harness.started(id, 0);
+        harness.settled(id, 0, Ending::Delivered);
     }
     assert!(
         unresponsive <= 4,
@@ -164,9 +164,9 @@
         hasty.classes[0].deadline,
         hasty.classes[0].stretch,
     ) = (Span::from_millis(60), Span::from_millis(60), 10.0);
-    let (id, actions) = Bench::new(hasty, 60).request(0);
+    let (id, actions) = Harness::new(hasty, 60).request(0);
     assert!(
-        sent(&actions, id).is_some() && probed(&actions).is_empty(),
+        sent_to(&actions, id).is_some() && probed(&actions).is_empty(),
         "it has no time for a probe"
     );
 }
@@ -174,7 +174,7 @@
 /// How many of 40 jobs go to the first of two workers, where it answers probes with one report and the other with
 /// another. Each job probes at most once.
 fn sends_to_first(reports_start: bool, first: Option<Report>, other: Option<Report>) -> u32 {
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             reports_start,
             ..probing()
@@ -183,15 +183,15 @@
     );
     let mut sends = 0;
     for _ in 0..40 {
-        bench.now += 500 * MS;
-        let (id, mut actions) = bench.request(0);
+        harness.now += 500 * MS;
+        let (id, mut actions) = harness.request(0);
         if let Some(&worker) = probed(&actions).first() {
             let report = if worker.0 == 0 { first } else { other };
-            actions = bench.event(answer(worker, report));
+            actions = harness.event(answer(worker, report));
         }
-        bench.event(Event::Cancelled { id });
-        bench.settled(id, 0, Ending::Revoked);
-        sends += u32::from(sent(&actions, id) == Some(WorkerId(0)));
+        harness.event(Event::Cancelled { id });
+        harness.settled(id, 0, Ending::Revoked);
+        sends += u32::from(sent_to(&actions, id) == Some(WorkerId(0)));
     }
     sends
 }
@@ -216,7 +216,7 @@
 /// Where each worker is seldom contacted, an answer counts until the next contact.
 #[test]
 fn answer_counts_until_a_worker_is_contacted_again() {
-    let mut thin = Bench::new(
+    let mut thin = Harness::new(
         Settings {
             schedulers: 100,
             may_probe: false,
@@ -231,7 +231,7 @@
     let mut to_full = 0;
     for _ in 0..60 {
         let (id, actions) = thin.request(1);
-        to_full += u32::from(sent(&actions, id).is_some_and(|w| w.0 < 20));
+        to_full += u32::from(sent_to(&actions, id).is_some_and(|w| w.0 < 20));
         thin.now += 60 * MS; // as long as any job waits
         thin.started(id, 0);
         thin.settled(id, 0, Ending::Delivered);
@@ -254,9 +254,9 @@
 /// What a worker reports of its load while it drains does not allow a send.
 #[test]
 fn draining_worker_gets_no_jobs_whatever_it_reports() {
-    let mut one = Bench::new(probing(), 1);
+    let mut one = Harness::new(probing(), 1);
     drain(&mut one, WorkerId(0));
     one.event(answer(WorkerId(0), report_with_free_slots(6.0)));
     let (id, actions) = one.request(0);
-    assert_eq!(sent(&actions, id), None);
+    assert_eq!(sent_to(&actions, id), None);
 }
--- a/crates/core/tests/mechanism/rejection.rs
+++ b/crates/core/tests/mechanism/rejection.rs
@@ -50,7 +50,7 @@
 /// One scheduler that gets a request every now and then.
 struct Run {
     fleet: Fleet,
-    bench: Bench,
+    harness: Harness,
     began: Micros,
     /// By when it is due, the request and the number of the attempt.
     due: BTreeMap<(Micros, RequestId), (u32, Due)>,
@@ -70,12 +70,12 @@
             schedulers,
             ..settings()
         };
-        let bench = Bench::seeded(settings, fleet.workers, seed);
+        let harness = Harness::with_seed(settings, fleet.workers, seed);
         Run {
             fleet,
-            began: bench.now,
-            last_attempt: bench.now,
-            bench,
+            began: harness.now,
+            last_attempt: harness.now,
+            harness,
             due: BTreeMap::new(),
             numbers: BTreeMap::new(),
             attempts: 0,
@@ -85,10 +85,14 @@
     }
 
     fn run(&mut self) {
-        while self.bench.now < self.began + 2 * HALF {
-            let mut actions = match (self.bench.now - self.began) % ARRIVAL_GAP {
-                0 => self.bench.request(u32::from(self.bench.next % 3 == 0)).1,
-                _ => self.bench.event(Event::Timer),
+        while self.harness.now < self.began + 2 * HALF {
+            let mut actions = match (self.harness.now - self.began) % ARRIVAL_GAP {
+                0 => {
+                    self.harness
+                        .request(u32::from(self.harness.last_id % 3 == 0))
+                        .1
+                }
+                _ => self.harness.event(Event::Timer),
             };
             while let Some(more) = self.next_due() {
                 actions.extend(more);
@@ -96,14 +100,14 @@
             for action in actions {
                 self.act(action);
             }
-            self.bench.now += 10 * MS;
+            self.harness.now += 10 * MS;
         }
         self.count_gap();
     }
 
     /// Carries out what is due next, if anything is.
     fn next_due(&mut self) -> Option<Vec<Action>> {
-        let now = self.bench.now;
+        let now = self.harness.now;
         let (&(at, id), &(attempt, due)) = self.due.first_key_value()?;
         if at > now {
             return None;
@@ -113,9 +117,9 @@
             Due::Start => {
                 let end = Due::End(Ending::Delivered);
                 self.due.insert((now + RUNNING_TIME, id), (attempt, end));
-                self.bench.started(id, attempt)
+                self.harness.started(id, attempt)
             }
-            Due::End(ending) => self.bench.settled(id, attempt, ending),
+            Due::End(ending) => self.harness.settled(id, attempt, ending),
         })
     }
 
@@ -128,7 +132,7 @@
     }
 
     fn begin_attempt(&mut self, id: RequestId, worker: WorkerId) {
-        let now = self.bench.now;
+        let now = self.harness.now;
         self.attempts += 1;
         self.count_gap();
         self.last_attempt = now;
@@ -146,7 +150,7 @@
 
     fn count_gap(&mut self) {
         if self.rejected >= LEAST_REJECTED {
-            self.longest = self.longest.max(self.bench.now - self.last_attempt);
+            self.longest = self.longest.max(self.harness.now - self.last_attempt);
         }
     }
 }
--- a/crates/core/tests/mechanism/slow_start_budget.rs
+++ b/crates/core/tests/mechanism/slow_start_budget.rs
@@ -36,7 +36,7 @@
             d.on_event(now, arrival(id, job(1)));
             let mut actions = Vec::new();
             d.dispatch(now, &mut actions);
-            sent_cold += u32::from(sent(&actions, id) == Some(WorkerId(0)));
+            sent_cold += u32::from(sent_to(&actions, id) == Some(WorkerId(0)));
         }
     }
     // 180 jobs over 10 workers are 18 each; a cold one may have the multiple of its fifth.
@@ -55,20 +55,21 @@
                 cold_share: 0.2,
                 ..settings()
             };
-            let mut bench = Bench::seeded(cold, 20, seed);
+            let mut harness = Harness::with_seed(cold, 20, seed);
             let mut rows: Vec<Row> = (0..20).map(row).collect();
             for n in 0..busy + 20 {
                 if n == busy {
                     rows[..10]
                         .iter_mut()
-                        .for_each(|row| row.online_since = bench.now);
-                    bench.list(ListKind::Delta, &rows[..10]);
+                        .for_each(|row| row.online_since = harness.now);
+                    harness.list(ListKind::Delta, &rows[..10]);
                 }
-                let (id, actions) = bench.request(1);
-                sent_cold += u32::from(n >= busy && sent(&actions, id).is_some_and(|w| w.0 < 10));
-                bench.started(id, 0);
-                bench.now += 100 * MS;
-                bench.settled(id, 0, Ending::Delivered);
+                let (id, actions) = harness.request(1);
+                sent_cold +=
+                    u32::from(n >= busy && sent_to(&actions, id).is_some_and(|w| w.0 < 10));
+                harness.started(id, 0);
+                harness.now += 100 * MS;
+                harness.settled(id, 0, Ending::Delivered);
             }
         }
         sent_cold
@@ -95,43 +96,43 @@
         cold_share: 0.2,
         ..settings()
     };
-    let mut bench = Bench::seeded(settings, 40, seed);
+    let mut harness = Harness::with_seed(settings, 40, seed);
     let mut jobs = VecDeque::new();
     let mut to_cold = 0;
     for n in 0..1_000u64 {
-        bench.now += 10 * MS;
+        harness.now += 10 * MS;
         if n == 800 {
-            restart_first(&mut bench, cold_workers);
+            restart_first(&mut harness, cold_workers);
         }
-        let (id, actions) = bench.request(1);
-        if let Some(worker) = sent(&actions, id) {
+        let (id, actions) = harness.request(1);
+        if let Some(worker) = sent_to(&actions, id) {
             to_cold += u32::from(n >= 800 && worker.0 < cold_workers as u64);
-            let starts = bench.now + waits;
+            let starts = harness.now + waits;
             let ends = starts + 100 * MS;
             jobs.push_back(InFlight { id, starts, ends });
         }
-        start_and_end(&mut bench, &mut jobs);
+        start_and_end(&mut harness, &mut jobs);
     }
     to_cold
 }
 
-fn restart_first(bench: &mut Bench, workers: usize) {
+fn restart_first(harness: &mut Harness, workers: usize) {
     let mut rows: Vec<Row> = (0..workers as u32).map(row).collect();
     for row in &mut rows {
-        row.online_since = bench.now;
+        row.online_since = harness.now;
     }
-    bench.list(ListKind::Delta, &rows);
+    harness.list(ListKind::Delta, &rows);
 }
 
-fn start_and_end(bench: &mut Bench, jobs: &mut VecDeque<InFlight>) {
+fn start_and_end(harness: &mut Harness, jobs: &mut VecDeque<InFlight>) {
     for job in jobs.iter() {
-        if job.starts == bench.now {
-            bench.started(job.id, 0);
+        if job.starts == harness.now {
+            harness.started(job.id, 0);
         }
     }
-    while jobs.front().is_some_and(|job| job.ends <= bench.now) {
+    while jobs.front().is_some_and(|job| job.ends <= harness.now) {
         let job = jobs.pop_front().expect("just seen");
-        bench.settled(job.id, 0, Ending::Delivered);
+        harness.settled(job.id, 0, Ending::Delivered);
     }
 }
 
--- a/crates/core/tests/mechanism/wall_clock.rs
+++ b/crates/core/tests/mechanism/wall_clock.rs
@@ -153,7 +153,7 @@
 /// One scheduler whose jobs all run at once: how much of the work the first worker gets against a warm one shows
 /// for how warm it is taken.
 struct Scene {
-    bench: Bench,
+    harness: Harness,
     rows: Vec<Row>,
     /// The scheduler's wall clock and that of the list, less the clock of the scheduler's process.
     wall: i64,
@@ -169,9 +169,9 @@
             ..settings()
         };
         let rows = (0..4).map(row).collect();
-        let bench = Bench::empty(settings, seed);
+        let harness = Harness::without_list(settings, seed);
         let mut scene = Scene {
-            bench,
+            harness,
             rows,
             wall: RIGHT + error,
             stamps: RIGHT,
@@ -181,34 +181,34 @@
     }
 
     fn read_wall_clock(&mut self) {
-        let wall = self.bench.now.saturating_add_signed(self.wall);
-        self.bench.event(Event::WallClock { wall });
+        let wall = self.harness.now.saturating_add_signed(self.wall);
+        self.harness.event(Event::WallClock { wall });
     }
 
     /// The first worker has started so long ago by the list's clock; at 0 of that clock, long ago.
     fn start(&mut self, age: Micros) {
-        self.rows[0].online_since = self.bench.now.saturating_add_signed(self.stamps) - age;
+        self.rows[0].online_since = self.harness.now.saturating_add_signed(self.stamps) - age;
     }
 
     fn list(&mut self, kind: ListKind) {
         self.read_wall_clock();
         let rows = self.rows.clone();
-        self.bench.event(Event::List { kind, rows: &rows });
+        self.harness.event(Event::List { kind, rows: &rows });
     }
 
     /// Jobs in that time that went to the first worker, and to a warm one.
     fn work(&mut self, span: Micros) -> [u32; 2] {
         let mut jobs = [0; 2];
         for _ in 0..span / (20 * MS) {
-            let (id, actions) = self.bench.request(1);
-            match sent(&actions, id) {
+            let (id, actions) = self.harness.request(1);
+            match sent_to(&actions, id) {
                 Some(WorkerId(0)) => jobs[0] += 1,
                 Some(WorkerId(1)) => jobs[1] += 1,
                 _ => {}
             }
-            self.bench.started(id, 0);
-            self.bench.now += 20 * MS;
-            self.bench.settled(id, 0, Ending::Delivered);
+            self.harness.started(id, 0);
+            self.harness.now += 20 * MS;
+            self.harness.settled(id, 0, Ending::Delivered);
         }
         jobs
     }
@@ -279,7 +279,7 @@
             scene.start(0);
             scene.list(ListKind::Delta);
             scene.work(12_000 * MS);
-            scene.bench.list(ListKind::Delta, &[]);
+            scene.harness.list(ListKind::Delta, &[]);
             scene.work(200 * MS);
             scene.stamps += error;
             scene.start(100 * MS);
@@ -327,7 +327,7 @@
         scene.list(ListKind::Snapshot);
         scene.work(2_000 * MS);
         // One that starts in sight shows how far the list's clock is ahead.
-        scene.rows[3].online_since = scene.bench.now.saturating_add_signed(scene.stamps);
+        scene.rows[3].online_since = scene.harness.now.saturating_add_signed(scene.stamps);
         scene.list(ListKind::Delta);
         scene.work(ramp + 2_000 * MS);
         scene.start(ramp);
@@ -342,7 +342,7 @@
     });
     assert_cold_for_one_ramp("one worker's clock some seconds ahead", 0, |scene| {
         scene.rows[3].online_since = scene
-            .bench
+            .harness
             .now
             .saturating_add_signed(scene.stamps + 5 * SECOND);
         scene.list(ListKind::Snapshot);
--- a/crates/core/tests/mechanism/weights.rs
+++ b/crates/core/tests/mechanism/weights.rs
@@ -8,25 +8,25 @@
 
 /// So many jobs, one at a time; each runs as long as its worker's `run` says. Tells where the second half went.
 fn spread(weights: Weights, rows: &[Row], run: impl Fn(u64) -> Micros) -> Vec<u32> {
-    let mut bench = Bench::new(
+    let mut harness = Harness::new(
         Settings {
             weights,
             ..settings()
         },
         0,
     );
-    bench.event(Event::List {
+    harness.event(Event::List {
         kind: ListKind::Snapshot,
         rows,
     });
     let mut jobs_to = vec![0; rows.len()];
     for n in 0..2_000 {
-        bench.now += 50 * MS;
-        let (id, actions) = bench.request(0);
-        let WorkerId(w) = sent(&actions, id).expect("all are idle");
-        bench.started(id, 0);
-        bench.now += run(w);
-        bench.settled(id, 0, Ending::Delivered);
+        harness.now += 50 * MS;
+        let (id, actions) = harness.request(0);
+        let WorkerId(w) = sent_to(&actions, id).expect("all are idle");
+        harness.started(id, 0);
+        harness.now += run(w);
+        harness.settled(id, 0, Ending::Delivered);
         jobs_to[w as usize] += u32::from(n >= 1_000);
     }
     jobs_to
@@ -95,7 +95,7 @@
     let list = rows(|w| if w == 0 { 8.0 } else { 2.0 + f64::from(w % 3) }, |_| 0);
     let mut jobs_to = [0; 40];
     for seed in 0..400 {
-        let mut bench = Bench::seeded(
+        let mut harness = Harness::with_seed(
             Settings {
                 weights: Weights::Live,
                 schedulers: 400,
@@ -104,10 +104,10 @@
             0,
             seed,
         );
-        bench.list(ListKind::Snapshot, &list);
+        harness.list(ListKind::Snapshot, &list);
         for _ in 0..3 {
-            let (id, actions) = bench.request(0);
-            jobs_to[sent(&actions, id).expect("idle").0 as usize] += 1;
+            let (id, actions) = harness.request(0);
+            jobs_to[sent_to(&actions, id).expect("idle").0 as usize] += 1;
         }
     }
     // Of 1,200 jobs it has 1,200 x 8 / 125 by its weight: no more than about twice that.
--- a/crates/core/tests/mechanism/worker_selection.rs
+++ b/crates/core/tests/mechanism/worker_selection.rs
@@ -13,30 +13,30 @@
         reports: Reports::Answers,
         ..settings()
     };
-    let mut bench = Bench::new(with_reports, 2);
+    let mut harness = Harness::new(with_reports, 2);
     let report = |worker: WorkerId, more: f64| Report {
         free_slots: Some(more + if worker.0 == 0 { 6.0 } else { 1.0 }),
         outstanding: Some(1.0),
         ..Report::default()
     };
     // Both are observed once: the second job goes where the first is not.
-    let both: Vec<_> = (0..2).map(|_| bench.request(0)).collect();
+    let both: Vec<_> = (0..2).map(|_| harness.request(0)).collect();
     for (id, actions) in both {
-        let worker = sent(&actions, id).expect("sent");
-        bench.served_with(id, report(worker, 0.0));
+        let worker = sent_to(&actions, id).expect("sent");
+        harness.served_with_report(id, report(worker, 0.0));
     }
     let mut chosen = [0, 0];
     for round in 0..60 {
-        let (id, actions) = bench.request(0);
-        bench.now += 20 * MS;
-        let Some(worker) = sent(&actions, id) else {
+        let (id, actions) = harness.request(0);
+        harness.now += 20 * MS;
+        let Some(worker) = sent_to(&actions, id) else {
             continue;
         };
         if round > 20 {
             chosen[worker.0 as usize] += 1;
         }
         let jiggle = f64::from(round) / 1000.0;
-        bench.served_with(id, report(worker, jiggle));
+        harness.served_with_report(id, report(worker, jiggle));
     }
     assert!(chosen[0] > 2 * chosen[1], "{chosen:?}");
 }
@@ -47,7 +47,7 @@
 #[test]
 fn stale_reports_of_few_workers_block_no_job() {
     for free in [0.0, 0.5] {
-        let mut bench = Bench::new(
+        let mut harness = Harness::new(
             Settings {
                 reports: Reports::Answers,
                 ..settings()
@@ -61,18 +61,18 @@
         });
         let mut sent_on = 0;
         for n in 0..40 {
-            let (id, actions) = bench.request(0);
-            sent_on += u32::from(sent(&actions, id).is_some());
-            bench.now += 100 * MS;
+            let (id, actions) = harness.request(0);
+            sent_on += u32::from(sent_to(&actions, id).is_some());
+            harness.now += 100 * MS;
             let report = full.filter(|_| n < 8);
-            bench.event(Event::Settled {
+            harness.event(Event::Settled {
                 id,
                 attempt: 0,
                 ending: Ending::Delivered,
                 finished: true,
                 report,
             });
-            bench.now += 400 * MS;
+            harness.now += 400 * MS;
         }
         assert!(
             sent_on >= 38,
@@ -85,8 +85,8 @@
 /// when it has none.
 #[test]
 fn own_zone_is_preferred_where_crossings_are_charged() {
-    let bench = |cross_zone_cost: f64| {
-        let mut bench = Bench::new(
+    let harness = |cross_zone_cost: f64| {
+        let mut harness = Harness::new(
             Settings {
                 cross_zone_cost,
                 ..settings()
@@ -99,28 +99,28 @@
                 ..row(w)
             })
             .collect();
-        bench.list(ListKind::Delta, &far);
-        bench
+        harness.list(ListKind::Delta, &far);
+        harness
     };
     let near = |cross_zone_cost: f64| {
-        let mut bench = bench(cross_zone_cost);
+        let mut harness = harness(cross_zone_cost);
         let mut near = 0;
         for _ in 0..100 {
-            let (id, actions) = bench.request(0);
-            near += u32::from(sent(&actions, id).is_some_and(|w| w.0 < 3));
-            bench.started(id, 0);
-            bench.now += 20 * MS;
-            bench.settled(id, 0, Ending::Delivered);
+            let (id, actions) = harness.request(0);
+            near += u32::from(sent_to(&actions, id).is_some_and(|w| w.0 < 3));
+            harness.started(id, 0);
+            harness.now += 20 * MS;
+            harness.settled(id, 0, Ending::Delivered);
         }
         near
     };
     assert!(near(0.0) < 60, "{}", near(0.0));
     assert!(near(0.03) > 85, "{}", near(0.03));
-    let mut bench = bench(0.03);
+    let mut harness = harness(0.03);
     let mut far = 0;
     for _ in 0..48 {
-        let (id, actions) = bench.request(0);
-        far += u32::from(sent(&actions, id).is_some_and(|w| w.0 >= 3));
+        let (id, actions) = harness.request(0);
+        far += u32::from(sent_to(&actions, id).is_some_and(|w| w.0 >= 3));
     }
     assert!(far >= 10, "{far} of 48 that are all open");
 }
@@ -129,26 +129,26 @@
 fn class_kind_decides_which_workers_fit() {
     let mut with_kind = settings();
     with_kind.classes[1].kind = Some(1);
-    let mut bench = Bench::new(with_kind, 6);
+    let mut harness = Harness::new(with_kind, 6);
     let fast = Row { kind: 1, ..row(4) };
-    bench.list(ListKind::Delta, &[fast]);
+    harness.list(ListKind::Delta, &[fast]);
     for _ in 0..4 {
-        let (id, actions) = bench.request(1);
+        let (id, actions) = harness.request(1);
         assert_eq!(
-            sent(&actions, id),
+            sent_to(&actions, id),
             Some(WorkerId(4)),
             "only its kind runs it"
         );
-        bench.settled(id, 0, Ending::Delivered);
+        harness.settled(id, 0, Ending::Delivered);
     }
 }
 
 #[test]
 fn keyed_retry_stays_in_its_group() {
-    let mut bench = Bench::new(settings(), 6);
-    let (id, actions) = bench.request(2);
-    let first = sent(&actions, id).expect("sent");
-    let again = sent(&bench.settled(id, 0, Ending::Dropped), id).expect("keyed is sent again");
+    let mut harness = Harness::new(settings(), 6);
+    let (id, actions) = harness.request(2);
+    let first = sent_to(&actions, id).expect("sent");
+    let again = sent_to(&harness.settled(id, 0, Ending::Dropped), id).expect("keyed is sent again");
     assert_eq!(
         first.0 / 3,
         again.0 / 3,
@@ -162,7 +162,7 @@
     for scope in [Scope::Zone, Scope::Cell] {
         let mut unknown = settings();
         unknown.classes[2].scope = scope;
-        let mut bench = Bench::new(unknown, 0);
+        let mut harness = Harness::new(unknown, 0);
         let rows: Vec<Row> = (0..6)
             .map(|w| Row {
                 zone: UNKNOWN,
@@ -170,11 +170,11 @@
                 ..row(w)
             })
             .collect();
-        bench.list(ListKind::Snapshot, &rows);
-        let (id, actions) = bench.request(2);
-        assert!(sent(&actions, id).is_some());
+        harness.list(ListKind::Snapshot, &rows);
+        let (id, actions) = harness.request(2);
+        assert!(sent_to(&actions, id).is_some());
         assert!(
-            sent(&bench.settled(id, 0, Ending::Dropped), id).is_none(),
+            sent_to(&harness.settled(id, 0, Ending::Dropped), id).is_none(),
             "{scope:?}"
         );
     }
@@ -188,15 +188,15 @@
     all.classes[2].scope = Scope::All;
     let mut again = std::collections::HashSet::new();
     for seed in 0..40 {
-        let mut bench = Bench::seeded(all.clone(), 30, seed);
-        let (keyed, _) = bench.request(2);
+        let mut harness = Harness::with_seed(all.clone(), 30, seed);
+        let (keyed, _) = harness.request(2);
         for _ in 0..20 {
             assert!(
-                sent(&bench.wait(10 * MS), keyed).is_none(),
+                sent_to(&harness.wait(10 * MS), keyed).is_none(),
                 "a copy of what may yet start"
             );
         }
-        again.extend(sent(&bench.settled(keyed, 0, Ending::Dropped), keyed));
+        again.extend(sent_to(&harness.settled(keyed, 0, Ending::Dropped), keyed));
     }
     assert!(
         again.len() >= 15,
@@ -227,7 +227,7 @@
             d.on_event(now, arrival(id, keyed));
             let mut actions = Vec::new();
             d.dispatch(now, &mut actions);
-            used.extend(sent(&actions, id).map(|w| w.0));
+            used.extend(sent_to(&actions, id).map(|w| w.0));
             let (ending, finished, report) = (Ending::Delivered, true, None);
             d.on_event(
                 now + 20 * MS,
@@ -254,22 +254,22 @@
     // Guards against one place a worker on the ring: some were home to five times their share.
     let mut keyed = settings();
     keyed.classes[0].effect = Effect::Safe;
-    let mut bench = Bench::new(keyed, 20);
+    let mut harness = Harness::new(keyed, 20);
     let mut jobs = [0u32; 20];
     for key in 0..2_000u64 {
         let id = RequestId(u128::from(key) + 1);
-        bench.now += 10 * MS;
+        harness.now += 10 * MS;
         let keyed = Job {
             key: Some(key * 7_919),
             ..job(0)
         };
         let request = arrival(id, keyed);
-        let Some(WorkerId(worker)) = sent(&bench.event(request), id) else {
+        let Some(WorkerId(worker)) = sent_to(&harness.event(request), id) else {
             panic!("queued")
         };
         jobs[worker as usize] += 1;
-        bench.started(id, 0);
-        bench.settled(id, 0, Ending::Delivered);
+        harness.started(id, 0);
+        harness.settled(id, 0, Ending::Delivered);
     }
     assert!(jobs.iter().all(|&n| (50..200).contains(&n)), "{jobs:?}");
 }
@@ -279,7 +279,7 @@
 #[test]
 fn zone_with_late_starts_is_avoided_where_crossings_are_charged() {
     let crossed = |wait: Micros| {
-        let mut bench = Bench::new(
+        let mut harness = Harness::new(
             Settings {
                 cross_zone_cost: 0.03,
                 schedulers: 48,
@@ -293,19 +293,19 @@
                 ..row(w)
             })
             .collect();
-        bench.list(ListKind::Snapshot, &rows);
-        bench.serve(0, 30, 100 * MS); // what runs take is known
+        harness.list(ListKind::Snapshot, &rows);
+        harness.serve(0, 30, 100 * MS); // what runs take is known
         let mut crossed = 0;
         for _ in 0..40 {
-            let (id, actions) = bench.request(0);
-            let Some(worker) = sent(&actions, id) else {
+            let (id, actions) = harness.request(0);
+            let Some(worker) = sent_to(&actions, id) else {
                 continue;
             };
             let home = worker.0 % 2 == 0;
-            bench.now += if home { wait } else { MS };
-            bench.started(id, 0);
-            bench.now += 100 * MS;
-            bench.settled(id, 0, Ending::Delivered);
+            harness.now += if home { wait } else { MS };
+            harness.started(id, 0);
+            harness.now += 100 * MS;
+            harness.settled(id, 0, Ending::Delivered);
             crossed += u32::from(!home);
         }
         crossed
--- a/crates/core/tests/rules/main.rs
+++ b/crates/core/tests/rules/main.rs
@@ -1,4 +1,4 @@
-//! The four rules over random legal event sequences, with a fixed seed.
+//! Checks the scheduler's invariants over random sequences of valid events, with a fixed seed.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -11,9 +11,9 @@
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
 use steps::step;
-use world::World;
+use world::Model;
 
-fn check(settings: Settings) {
+fn check_invariants(settings: Settings) {
     let config = Config {
         cases: 300,
         failure_persistence: None,
@@ -23,34 +23,34 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     let steps = prop::collection::vec(step(), 1..150);
     let outcome = runner.run(&steps, |steps| {
-        let mut world = World::new(settings.clone());
+        let mut model = Model::new(settings.clone());
         for step in steps {
-            world.step(step);
+            model.step(step);
         }
-        let end = world.now + 20_000 * MS;
-        world.wait_until(end);
-        let counts = world.scheduler.in_flight_counts();
+        let end = model.now + 20_000 * MS;
+        model.wait_until(end);
+        let counts = model.scheduler.in_flight_counts();
         assert_eq!(
             counts,
             InFlightCounts {
                 workers: 8,
                 ..InFlightCounts::default()
             },
-            "something was not given back"
+            "requests or slots are still held"
         );
         Ok(())
     });
-    outcome.expect("the rules hold");
+    outcome.expect("the invariants hold");
 }
 
 #[test]
-fn the_rules_hold() {
-    check(settings());
+fn invariants_hold() {
+    check_invariants(settings());
 }
 
 #[test]
-fn the_rules_hold_without_starts_or_cancels() {
-    check(Settings {
+fn invariants_hold_without_starts_or_cancels() {
+    check_invariants(Settings {
         reports_start: false,
         may_cancel: false,
         list_on_request: true,
@@ -59,8 +59,8 @@
 }
 
 #[test]
-fn the_rules_hold_where_load_is_probed() {
-    check(Settings {
+fn invariants_hold_where_load_is_probed() {
+    check_invariants(Settings {
         may_probe: true,
         reports: Reports::Probe,
         reports_start: false,
@@ -71,12 +71,12 @@
 #[test]
 fn same_events_give_the_same_actions() {
     let run = || {
-        let mut bench = Bench::new(settings(), 8);
+        let mut harness = Harness::new(settings(), 8);
         for n in 0..200u32 {
-            let (id, _) = bench.request(n % 3);
-            bench.now += 20 * MS;
+            let (id, _) = harness.request(n % 3);
+            harness.now += 20 * MS;
             if n % 2 == 0 {
-                bench.settled(
+                harness.settled(
                     id,
                     0,
                     if n % 6 == 0 {
@@ -87,7 +87,7 @@
                 );
             }
         }
-        bench.actions
+        harness.actions
     };
     assert_eq!(run(), run());
 }
--- a/crates/core/tests/rules/world.rs
+++ b/crates/core/tests/rules/world.rs
@@ -1,4 +1,4 @@
-//! The world around the scheduler, which checks each action.
+//! A model of the scheduler's environment, which takes random steps and checks each action of the scheduler.
 
 use std::collections::HashMap;
 
@@ -20,85 +20,88 @@
 ];
 const CONDITIONS: [Condition; 3] = [Condition::Active, Condition::Leaving, Condition::Left];
 
-struct Sent {
+/// An attempt.
+struct Attempt {
     worker: u32,
-    at: Micros,
-    open: bool,
+    sent_at: Micros,
+    is_open: bool,
     may_have_run: bool,
     is_local_fault: bool,
-    started: bool,
+    is_started: bool,
 }
 
-struct Owed {
+/// A request and its attempts.
+struct Request {
     class: u32,
     deadline: Micros,
     answers: u32,
-    cancelled: bool,
-    sends: Vec<Sent>,
+    is_cancelled: bool,
+    attempts: Vec<Attempt>,
 }
 
-impl Owed {
-    fn first_that_may_have_run(&self) -> Option<&Sent> {
-        self.sends.iter().find(|s| s.may_have_run)
+impl Request {
+    fn first_that_may_have_run(&self) -> Option<&Attempt> {
+        self.attempts.iter().find(|a| a.may_have_run)
     }
 
-    /// What may have run is sent again only where, and as long as, the class allows it.
-    fn check_repeat(
-        &self,
-        class: &Class,
-        worker: u32,
-        write_deadline: Option<Micros>,
-        now: Micros,
-    ) {
+    /// Asserts that a request that may have run is retried only at the workers and for the time that its class allows.
+    fn check_retry(&self, class: &Class, worker: u32, write_deadline: Option<Micros>, now: Micros) {
         match (class.effect, self.first_that_may_have_run()) {
             (Effect::Unsafe, Some(_)) => panic!("an unsafe request was sent twice"),
             (Effect::Keyed, Some(first)) => {
-                assert_eq!(first.worker / 3, worker / 3, "left its group");
-                let by = write_deadline.expect("a repeat has its time");
+                assert_eq!(
+                    first.worker / 3,
+                    worker / 3,
+                    "a keyed request was retried in another cell"
+                );
+                let retry_deadline = write_deadline.expect("a retry has a write deadline");
                 assert!(
-                    now < by
-                        && by + LONGEST_STALL.as_micros() <= first.at + class.window.as_micros(),
-                    "after the window"
+                    now < retry_deadline
+                        && retry_deadline + LONGEST_STALL.as_micros()
+                            <= first.sent_at + class.window.as_micros(),
+                    "a retry after the deduplication window"
                 );
             }
             _ => assert_eq!(
                 write_deadline, None,
-                "only a keyed request's repeats are bounded"
+                "a write deadline without a keyed retry"
             ),
         }
     }
 }
 
-/// What the outside world knows, against which each action is held.
-pub struct World {
+/// The scheduler under test, and the state that its actions are checked against.
+pub struct Model {
     pub scheduler: Scheduler,
     settings: Settings,
     pub now: Micros,
-    requests: HashMap<u128, Owed>,
+    requests: HashMap<u128, Request>,
+    /// The requests in the order of arrival.
     order: Vec<u128>,
-    stopped: HashMap<u32, Micros>,
+    /// Workers that may get no jobs, and since when.
+    inactive: HashMap<u32, Micros>,
     timers: Vec<Micros>,
 }
 
-impl World {
+impl Model {
     pub fn new(settings: Settings) -> Self {
         let scheduler = Scheduler::new(settings.clone(), 5).expect("usable");
-        let (requests, stopped) = (HashMap::new(), HashMap::new());
-        let mut world = World {
+        let (requests, inactive) = (HashMap::new(), HashMap::new());
+        let mut model = Model {
             scheduler,
             settings,
             now: START,
             requests,
             order: Vec::new(),
-            stopped,
+            inactive,
             timers: Vec::new(),
         };
         let rows: Vec<Row> = (0..8).map(row).collect();
-        world.event(Event::List {
+        model.event(Event::List {
             kind: ListKind::Cached,
             rows: &rows,
         });
-        world
+        model
     }
 
     fn event(&mut self, event: Event<'_>) {
@@ -122,15 +125,15 @@
                 let class = &self.settings.classes[request.class as usize];
                 assert!(
                     class.effect == Effect::Safe || request.first_that_may_have_run().is_none(),
-                    "rejected though it may have run"
+                    "a request that may have run was rejected"
                 );
                 self.answer(id);
             }
             Action::Fail { id } => self.answer(id),
             Action::Cancel { id, attempt } => {
                 assert!(
-                    (attempt as usize) < self.requests[&id.0].sends.len(),
-                    "cancelled an attempt never made"
+                    (attempt as usize) < self.requests[&id.0].attempts.len(),
+                    "an attempt that does not exist was cancelled"
                 );
             }
             Action::Wake { after } => self.timers.push(self.now + after),
@@ -141,49 +144,52 @@
     fn check_send(&mut self, id: RequestId, worker: WorkerId, write_deadline: Option<Micros>) {
         let worker = worker.0 as u32;
         assert!(
-            !self.stopped.contains_key(&worker),
-            "sent to a draining worker"
+            !self.inactive.contains_key(&worker),
+            "an attempt to a draining worker"
         );
         let request = self.requests.get_mut(&id.0).expect("a known request");
         assert!(
-            request.answers == 0 && !request.cancelled,
-            "sent after its end"
+            request.answers == 0 && !request.is_cancelled,
+            "an attempt after the end of its request"
         );
-        let counted = request.sends.iter().filter(|s| !s.is_local_fault);
+        let counted = request.attempts.iter().filter(|a| !a.is_local_fault);
         assert!(counted.count() < self.settings.max_attempts as usize);
-        let open = request.sends.iter().filter(|s| s.open).count();
-        assert_eq!(open, 0, "two attempts at once");
+        let open = request.attempts.iter().filter(|a| a.is_open).count();
+        assert_eq!(open, 0, "two attempts in flight");
         let class = &self.settings.classes[request.class as usize];
-        request.check_repeat(class, worker, write_deadline, self.now);
-        request.sends.push(Sent {
+        request.check_retry(class, worker, write_deadline, self.now);
+        request.attempts.push(Attempt {
             worker,
-            at: self.now,
-            open: true,
+            sent_at: self.now,
+            is_open: true,
             may_have_run: true,
             is_local_fault: false,
-            started: false,
+            is_started: false,
         });
     }
 
     fn answer(&mut self, id: RequestId) {
         let request = self.requests.get_mut(&id.0).expect("a known request");
         request.answers += 1;
-        assert!(request.answers == 1 && !request.cancelled, "answered twice");
+        assert!(
+            request.answers == 1 && !request.is_cancelled,
+            "a second answer"
+        );
     }
 
     fn settle(&mut self, id: u128, n: usize, ending: Ending) {
         let r = self.requests.get_mut(&id).expect("known");
-        let proof = matches!(
+        let never_ran = matches!(
             ending,
             Ending::Declined | Ending::DialFailed | Ending::Unused | Ending::LocalFault
         );
-        r.sends[n].open = false;
-        r.sends[n].may_have_run = !proof;
-        r.sends[n].is_local_fault = ending == Ending::LocalFault;
-        if ending == Ending::Delivered && r.answers == 0 && !r.cancelled {
+        r.attempts[n].is_open = false;
+        r.attempts[n].may_have_run = !never_ran;
+        r.attempts[n].is_local_fault = ending == Ending::LocalFault;
+        if ending == Ending::Delivered && r.answers == 0 && !r.is_cancelled {
             r.answers = 1;
         }
-        let finished = r.answers > 0 || r.cancelled;
+        let finished = r.answers > 0 || r.is_cancelled;
         let id = RequestId(id);
         self.event(Event::Settled {
             id,
@@ -194,15 +200,15 @@
         });
     }
 
-    /// Time passes: timers come due, and attempts run out at their request's deadline.
+    /// Advances the clock, triggers timers when they are due, and lets attempts time out at their request's deadline.
     pub fn wait_until(&mut self, until: Micros) {
         loop {
             let timer = self.timers.iter().copied().min();
-            let open = |r: &Owed| r.sends.iter().any(|s| s.open);
+            let has_open = |r: &Request| r.attempts.iter().any(|a| a.is_open);
             let end = self
                 .requests
                 .values()
-                .filter(|r| open(r))
+                .filter(|r| has_open(r))
                 .map(|r| r.deadline)
                 .min();
             let Some(at) = timer.into_iter().chain(end).min().filter(|at| *at <= until) else {
@@ -214,38 +220,40 @@
                 self.event(Event::Timer);
                 continue;
             }
-            let due = |r: &Owed| r.deadline == at && r.sends.iter().any(|s| s.open);
+            let is_due = |r: &Request| r.deadline == at && r.attempts.iter().any(|a| a.is_open);
             let id = *self
                 .order
                 .iter()
-                .find(|id| due(&self.requests[*id]))
-                .expect("due");
+                .find(|id| is_due(&self.requests[*id]))
+                .expect("a request is due");
             let n = self.requests[&id]
-                .sends
+                .attempts
                 .iter()
-                .position(|s| s.open)
-                .expect("open");
+                .position(|a| a.is_open)
+                .expect("an attempt is in flight");
             self.settle(id, n, Ending::Expired);
         }
         self.now = until;
-        let slack = 8 * MS;
-        let owed = |r: &Owed| r.answers == 0 && !r.cancelled && r.deadline + slack < until;
+        let tolerance = 8 * MS;
+        let is_overdue =
+            |r: &Request| r.answers == 0 && !r.is_cancelled && r.deadline + tolerance < until;
         assert!(
-            !self.requests.values().any(owed),
-            "a request is past its deadline without an answer"
+            !self.requests.values().any(is_overdue),
+            "a request got no answer before its deadline"
         );
     }
 
-    fn open_send(&self, pick: usize) -> Option<(u128, usize)> {
+    /// Returns an attempt in flight, if there is one.
+    fn open_attempt(&self, pick: usize) -> Option<(u128, usize)> {
         let open: Vec<(u128, usize)> = self
             .order
             .iter()
             .flat_map(|id| {
                 self.requests[id]
-                    .sends
+                    .attempts
                     .iter()
                     .enumerate()
-                    .map(move |(n, s)| (*id, n, s.open))
+                    .map(move |(n, a)| (*id, n, a.is_open))
             })
             .filter(|(_, _, open)| *open)
             .map(|(id, n, _)| (id, n))
@@ -259,12 +267,12 @@
             Step::Wait(ms) => self.wait_until(self.now + ms * MS),
             Step::Request(class, left) => self.request(class, left * MS),
             Step::Settle(pick, ending) => {
-                if let Some((id, n)) = self.open_send(pick) {
+                if let Some((id, n)) = self.open_attempt(pick) {
                     self.settle(id, n, ENDINGS[ending as usize]);
                 }
             }
             Step::Start(pick) => {
-                if let Some((id, n)) = self.open_send(pick) {
+                if let Some((id, n)) = self.open_attempt(pick) {
                     self.start(id, n);
                 }
             }
@@ -279,12 +287,12 @@
 
     fn request(&mut self, class: u32, remaining: Micros) {
         let id = self.order.len() as u128 + 1;
-        let request = Owed {
+        let request = Request {
             class,
             deadline: self.now + remaining,
             answers: 0,
-            cancelled: false,
-            sends: Vec::new(),
+            is_cancelled: false,
+            attempts: Vec::new(),
         };
         self.requests.insert(id, request);
         self.order.push(id);
@@ -304,8 +312,8 @@
     }
 
     fn start(&mut self, id: u128, n: usize) {
-        let send = &mut self.requests.get_mut(&id).expect("known").sends[n];
-        let is_first = !std::mem::replace(&mut send.started, true);
+        let attempt = &mut self.requests.get_mut(&id).expect("known").attempts[n];
+        let is_first = !std::mem::replace(&mut attempt.is_started, true);
         if is_first {
             self.event(Event::Started {
                 id: RequestId(id),
@@ -314,22 +322,22 @@
         }
     }
 
-    /// The client of a request that has no answer yet disconnects.
+    /// Disconnects the client of an unanswered request, if there is one.
     fn cancel(&mut self, pick: usize) {
         let order = self.order.iter().copied();
-        let owed: Vec<u128> = order.filter(|id| self.requests[id].answers == 0).collect();
-        if !owed.is_empty() {
-            let id = owed[pick % owed.len()];
-            self.requests.get_mut(&id).expect("known").cancelled = true;
+        let unanswered: Vec<u128> = order.filter(|id| self.requests[id].answers == 0).collect();
+        if !unanswered.is_empty() {
+            let id = unanswered[pick % unanswered.len()];
+            self.requests.get_mut(&id).expect("known").is_cancelled = true;
             self.event(Event::Cancelled { id: RequestId(id) });
         }
     }
 
     fn list(&mut self, worker: u32, condition: Condition) {
         if condition == Condition::Active {
-            self.stopped.remove(&worker);
+            self.inactive.remove(&worker);
         } else {
-            self.stopped.insert(worker, self.now);
+            self.inactive.insert(worker, self.now);
         }
         let changed = Row {
             condition,
