--- a/crates/core/tests/mechanism/concurrency_limit.rs
+++ b/crates/core/tests/mechanism/concurrency_limit.rs
@@ -1,6 +1,4 @@
-//! The concurrency limit: what lowers it, what lifts it, and what must not change it.
-//!
-//! It owns the limit's tests. It must never set the limit: only events move it.
+//! Tests of the concurrency limit: which events increase or decrease it, and which must not change it.
 
 use oakshed_core::interface::*;
 
@@ -9,9 +7,9 @@
 
 #[test]
 fn declined_job_lowers_the_limit_and_goes_elsewhere() {
-    let count = |shed: u32| {
+    let jobs_sent = |declined: u32| {
         let mut harness = Harness::new(settings(), 6);
-        for _ in 0..shed {
+        for _ in 0..declined {
             let (id, actions) = harness.request(1);
             if sent_to(&actions, id).is_some() {
                 harness.settled(id, 0, Ending::Declined);
@@ -19,19 +17,24 @@
         }
         fill_until_queued(&mut harness, 1).len()
     };
-    assert!(count(12) < count(0), "{} against {}", count(12), count(0));
+    assert!(
+        jobs_sent(12) < jobs_sent(0),
+        "{} sent after 12 declined jobs, {} without",
+        jobs_sent(12),
+        jobs_sent(0)
+    );
 
     let mut harness = Harness::new(settings(), 6);
     let (id, actions) = harness.request(1);
-    let first = sent_to(&actions, id).expect("sent at once");
-    let again = sent_to(&harness.settled(id, 0, Ending::Declined), id)
-        .expect("a job that never ran is sent again");
-    assert_ne!(first, again);
+    let first = sent_to(&actions, id).expect("a worker is free");
+    let second = sent_to(&harness.settled(id, 0, Ending::Declined), id)
+        .expect("a job that never ran is retried");
+    assert_ne!(first, second);
 }
 
 #[test]
-fn job_handed_back_by_a_draining_worker_does_not_lower_the_limit() {
-    let limit = |drained: bool| {
+fn job_declined_by_a_draining_worker_does_not_lower_the_limit() {
+    let limit = |is_draining: bool| {
         let mut harness = Harness::new(settings(), 12);
         let mut out = Vec::new();
         for _ in 0..20 {
@@ -41,13 +44,13 @@
             }
         }
         for (id, worker) in out.drain(..10) {
-            if drained {
+            if is_draining {
                 let mut draining = row(worker.0 as u32);
                 draining.condition = Condition::Leaving;
                 harness.list(ListKind::Delta, &[draining]);
             }
             harness.settled(id, 0, Ending::Declined);
-            if drained {
+            if is_draining {
                 harness.list(ListKind::Delta, &[row(worker.0 as u32)]);
             }
         }
@@ -62,7 +65,7 @@
     );
     assert!(
         limit(false) < limit(true) - 2.0,
-        "{} against {}",
+        "a limit of {} after draining workers declined jobs, {} after active ones did",
         limit(true),
         limit(false)
     );
@@ -70,16 +73,16 @@
 
 #[test]
 fn failures_of_a_dead_worker_do_not_lower_the_limit() {
-    let room = |failures: u32| {
+    let limit = |failures: u32| {
         let mut harness = Harness::new(settings(), 12);
-        let mut dead = None;
+        let mut dead_worker = None;
         let mut failed = 0;
         for _ in 0..400 {
             let (id, actions) = harness.request(1);
             let Some(worker) = sent_to(&actions, id) else {
                 continue;
             };
-            if failed < failures && *dead.get_or_insert(worker) == worker {
+            if failed < failures && *dead_worker.get_or_insert(worker) == worker {
                 harness.settled(id, 0, Ending::DialFailed);
                 failed += 1;
             } else {
@@ -90,12 +93,17 @@
         }
         harness.scheduler.estimates().concurrency_limit
     };
-    assert!(room(6) + 2.0 >= room(0), "{} against {}", room(6), room(0));
+    assert!(
+        limit(6) + 2.0 >= limit(0),
+        "a limit of {} after 6 failures, {} without",
+        limit(6),
+        limit(0)
+    );
 }
 
 #[test]
 fn limit_increases_on_served_jobs_where_starts_are_not_reported() {
-    // Guards against checking whether the limit is in use after the served job was counted out.
+    // The limit grows only while it is in use. That check must come before the served job is subtracted.
     let mut harness = Harness::new(
         Settings {
             reports_start: false,
@@ -105,7 +113,7 @@
         4,
     );
     let mut out = std::collections::VecDeque::new();
-    let mut most = 0;
+    let mut max_in_flight = 0;
     for _ in 0..400 {
         let (_, mut actions) = harness.request(1);
         actions.extend(harness.request(1).1);
@@ -120,9 +128,12 @@
                 None
             }
         }));
-        most = most.max(out.len());
+        max_in_flight = max_in_flight.max(out.len());
     }
-    assert!(most > 6, "never more than {most} out, from a limit of 4");
+    assert!(
+        max_in_flight > 6,
+        "at most {max_in_flight} in flight, from an initial limit of 4"
+    );
 }
 
 #[test]
@@ -135,7 +146,7 @@
         4,
     );
     harness.serve(1, 40, 100 * MS);
-    // Worker 0 swallows jobs until the limit is full of them; the others serve at once.
+    // Worker 0 accepts jobs without starting them, which would use up the limit. The others serve immediately.
     let mut served_late = 0;
     for round in 0..120 {
         harness.now += 20 * MS;
@@ -151,12 +162,12 @@
     }
     assert!(
         served_late > 30,
-        "only {served_late} of 40 jobs were served once the worker was unresponsive"
+        "only {served_late} of 40 jobs were served after the worker had become unresponsive"
     );
 }
 
-/// Guards against learning of queues only at their end: jobs that should have started bring the limit to what is
-/// at work while they wait, not to what is out.
+/// Jobs whose start is overdue reduce the limit to the jobs that are running, even while they wait. Otherwise a
+/// queue would be noticed only when the jobs at its end start.
 #[test]
 fn overdue_start_counts_before_the_job_starts() {
     let mut harness = Harness::new(
@@ -173,16 +184,16 @@
         harness.wait(240 * MS);
     }
     let limit = harness.scheduler.estimates().concurrency_limit;
-    // Nothing was done: a job at a time is what is left, whatever comes in.
+    // No job has started, so the limit falls to one job whatever the arrival rate.
     assert!(
         limit <= 1.0 && out > 10,
-        "a limit of {limit}, and {out} wait"
+        "a limit of {limit}, and {out} jobs waiting"
     );
 }
 
 #[test]
 fn wide_job_waits_for_all_its_slots() {
-    // Guards against a wide job blocking a worker's queue while it waits there for the last slot.
+    // Sent too early, it would wait for its last slot at the worker and block the jobs queued behind it.
     let mut harness = Harness::new(
         Settings {
             reports: Reports::Answers,
@@ -221,24 +232,24 @@
 
 #[test]
 fn one_late_start_does_not_collapse_a_restarted_schedulers_limit() {
-    // Guards against cutting the limit to the few jobs that are in flight just after a restart.
-    let room = |late: bool| {
+    // Just after a restart, few jobs are in flight; a late start must not reduce the limit to so few.
+    let jobs_sent = |is_late: bool| {
         let mut harness = Harness::new(settings(), 12);
         let (id, _) = harness.request(0);
-        harness.now += if late { 390 * MS } else { MS };
+        harness.now += if is_late { 390 * MS } else { MS };
         harness.started(id, 0);
         harness.settled(id, 0, Ending::Delivered);
         fill_until_queued(&mut harness, 0).len()
     };
     assert!(
-        2 * room(true) + 2 >= room(false) && room(false) > 12,
-        "{} of {}",
-        room(true),
-        room(false)
+        2 * jobs_sent(true) + 2 >= jobs_sent(false) && jobs_sent(false) > 12,
+        "{} jobs sent after a late start, {} after a prompt one",
+        jobs_sent(true),
+        jobs_sent(false)
     );
 }
 
-/// What a predecessor hands over whose limit is below one job.
+/// Returns the estimates of a predecessor whose limit is below one job.
 fn estimates_with_small_limit() -> Estimates {
     let class = ClassEstimates {
         run: 400_000.0,
@@ -252,11 +263,11 @@
     }
 }
 
-/// Guards against rounding such a limit once: then it may stay at no job at all for ever.
+/// If such a limit were rounded only once, it might stay at 0 for ever.
 #[test]
 fn limit_below_one_job_still_sends() {
     let estimates = estimates_with_small_limit();
-    let sends = |seed: u64| {
+    let count_sends = |seed: u64| {
         let mut harness = Harness::with_seed(
             Settings {
                 schedulers: 50,
@@ -266,43 +277,43 @@
             seed,
         );
         harness.scheduler.resume_estimates(&estimates);
-        let mut sent = 0;
+        let mut sends = 0;
         for _ in 0..20 {
             harness.now += 400 * MS;
             harness.request(0);
-            let open = std::mem::take(&mut harness.actions);
-            for action in open {
+            let actions = std::mem::take(&mut harness.actions);
+            for action in actions {
                 let Action::Send { id, .. } = action else {
                     continue;
                 };
                 harness.started(id, 0);
                 harness.settled(id, 0, Ending::Delivered);
-                sent += 1;
+                sends += 1;
             }
         }
-        sent
+        sends
     };
-    let sends: Vec<_> = (0..20).map(sends).collect();
+    let sends: Vec<_> = (0..20).map(count_sends).collect();
     assert!(
         sends.iter().all(|&n| n > 0) && sends.iter().any(|&n| n < 18),
         "{sends:?}"
     );
 }
 
-/// Guards against a limit that falls with each job that a worker hands back as it drains unknown to the list.
+/// A worker may drain before the list shows it. The limit must not decrease with each job that it declines.
 #[test]
 fn worker_that_declines_everything_lowers_the_limit_once() {
-    let limit_after = |refusals: u32| {
+    let limit_after = |rejections: u32| {
         let mut harness = Harness::new(settings(), 6);
-        let mut left = refusals;
-        while left > 0 {
+        let mut remaining = rejections;
+        while remaining > 0 {
             let (id, actions) = harness.request(0);
             harness.now += MS;
             match sent_to(&actions, id) {
                 Some(WorkerId(0)) => {
                     harness.settled(id, 0, Ending::Declined);
                     harness.event(Event::Cancelled { id });
-                    left -= 1;
+                    remaining -= 1;
                 }
                 Some(_) => _ = harness.settled(id, 0, Ending::Revoked),
                 None => {}
@@ -315,10 +326,11 @@
     assert_eq!(limit_after(1), limit_after(6));
 }
 
-/// Guards against parts of a fleet's figures that are less than a job: of 300 schedulers, one with five times
-/// the mean traffic, and a tenant of which little comes, had their jobs rejected while the fleet had room.
+/// A scheduler's share of fleet-wide limits and quotas may be less than one job. Of 300 schedulers, one with five
+/// times the mean traffic once rejected jobs while the fleet had free capacity, as did those with a tenant that
+/// sends little.
 #[test]
-fn one_of_hundreds_serves_several_times_the_mean() {
+fn one_of_hundreds_of_schedulers_serves_several_times_the_mean() {
     let tenants = vec![100.0, 1_000.0];
     let mut harness = Harness::new(
         Settings {
@@ -328,27 +340,33 @@
         },
         180,
     );
-    let (mut out, mut ended, mut queued) = (std::collections::VecDeque::new(), 0, 0);
+    let (mut in_flight, mut ended, mut queued) = (std::collections::VecDeque::new(), 0, 0);
     for n in 0..2_000u64 {
-        harness.now += 10 * MS; // runs take 200 ms: 20 are out
+        harness.now += 10 * MS; // jobs run for 200 ms, so 20 are in flight
         let (id, actions) = harness.request((n % 2) as u32);
         match sent_to(&actions, id) {
-            Some(_) => out.push_back((harness.now, id)),
+            Some(_) => in_flight.push_back((harness.now, id)),
             None => queued += 1,
         }
-        // One of ten starts late.
-        if let Some(&(at, id)) = out.get(out.len().saturating_sub(2)).filter(|_| n % 10 > 0) {
+        // One in ten jobs starts late.
+        if let Some(&(at, id)) = in_flight
+            .get(in_flight.len().saturating_sub(2))
+            .filter(|_| n % 10 > 0)
+        {
             assert!(at <= harness.now);
             harness.started(id, 0);
         }
-        while out.front().is_some_and(|(at, _)| {
+        while in_flight.front().is_some_and(|(at, _)| {
             at + 200 * MS + 350 * MS * u64::from(ended % 10 == 0) <= harness.now
         }) {
-            let (_, id) = out.pop_front().expect("seen");
+            let (_, id) = in_flight.pop_front().expect("not empty");
             harness.started(id, 0);
             harness.settled(id, 0, Ending::Delivered);
             ended += 1;
         }
     }
-    assert!(queued < 40, "{queued} of 2000 were not sent at once");
+    assert!(
+        queued < 40,
+        "{queued} of 2,000 jobs were not sent immediately"
+    );
 }
