--- a/crates/core/tests/mechanism/failing.rs
+++ b/crates/core/tests/mechanism/failing.rs
@@ -1,6 +1,5 @@
-//! Workers that are full, err, or cannot be reached, and outages of many.
-//!
-//! It owns the tests of failing workers. It must never let the list show a failure.
+//! Tests with workers that are full, return errors or are unreachable, while the endpoint list still shows them as
+//! active.
 
 use oakshed_core::interface::*;
 use oakshed_core::Scheduler;
@@ -9,7 +8,7 @@
 
 #[test]
 fn full_worker_is_avoided_for_a_while_without_reports() {
-    // Guards against believing in many free slots there: a full worker was tried again at once.
+    // The worker was once assumed to have many free slots, and was tried again immediately.
     let mut waited = 0;
     for _ in 0..20 {
         let mut harness = Harness::new(settings(), 1);
@@ -25,15 +24,19 @@
         }
         waited += harness.now - start;
     }
-    assert!(waited > 20 * 35 * MS, "{} ms on average", waited / 20 / MS);
+    assert!(
+        waited > 20 * 35 * MS,
+        "{} ms between attempts on average",
+        waited / 20 / MS
+    );
 }
 
-/// Guards against a worker whose jobs end in errors at once: it looks free and quick, and drew a fifth of all.
+/// A worker whose jobs fail immediately looks idle and fast, and once received a fifth of all jobs.
 #[test]
 fn failing_worker_is_backed_off_from_after_the_second_error() {
-    let sends = |errs: &dyn Fn(u32) -> bool| {
+    let jobs_to_failing = |is_error: &dyn Fn(u32) -> bool| {
         let mut harness = Harness::new(settings(), 4);
-        let (mut bad, mut nth) = (0, 0);
+        let (mut jobs, mut nth) = (0, 0);
         for _ in 0..200 {
             let (id, actions) = harness.request(1);
             harness.now += MS;
@@ -42,13 +45,13 @@
             };
             harness.started(id, 0);
             if worker == WorkerId(0) {
-                bad += 1;
+                jobs += 1;
                 nth += 1;
                 harness.now += MS;
                 harness.settled(
                     id,
                     0,
-                    if errs(nth) {
+                    if is_error(nth) {
                         Ending::Error
                     } else {
                         Ending::Delivered
@@ -59,15 +62,22 @@
                 harness.settled(id, 0, Ending::Delivered);
             }
         }
-        bad
+        jobs
     };
-    let (always, seldom) = (sends(&|_| true), sends(&|n| n % 5 == 0));
-    assert!(always < 25, "{always} of 200");
-    assert!(seldom > 30, "{seldom} of 200");
+    let (always, seldom) = (jobs_to_failing(&|_| true), jobs_to_failing(&|n| n % 5 == 0));
+    assert!(
+        always < 25,
+        "{always} of 200 jobs to a worker that always fails"
+    );
+    assert!(
+        seldom > 30,
+        "{seldom} of 200 jobs to a worker that fails every fifth job"
+    );
 }
 
-/// How many of the attempts of 40 jobs go to the own zone, each of whose workers fails a dial after so long.
-fn tries_at_a_lost_zone(fails_after: Micros) -> u32 {
+/// Counts the attempts of 40 jobs at workers of the scheduler's own zone, where every connection attempt fails after
+/// the given time.
+fn attempts_in_lost_zone(fails_after: Micros) -> u32 {
     let mut harness = Harness::new(
         Settings {
             cross_zone_cost: 0.03,
@@ -84,43 +94,43 @@
         .collect();
     harness.list(ListKind::Snapshot, &rows);
     harness.serve(0, 30, 100 * MS);
-    let mut home = 0;
+    let mut in_own_zone = 0;
     for _ in 0..40 {
         let (id, actions) = harness.request(0);
-        let mut at = sent_to(&actions, id);
+        let mut worker = sent_to(&actions, id);
         for attempt in 0..4 {
-            let Some(worker) = at else { break };
-            if worker.0 % 2 == 1 {
+            let Some(to) = worker else { break };
+            if to.0 % 2 == 1 {
                 harness.started(id, attempt);
                 harness.now += 100 * MS;
                 harness.settled(id, attempt, Ending::Delivered);
                 break;
             }
-            home += 1;
+            in_own_zone += 1;
             harness.now += fails_after;
-            at = sent_to(&harness.settled(id, attempt, Ending::DialFailed), id);
+            worker = sent_to(&harness.settled(id, attempt, Ending::DialFailed), id);
         }
     }
-    home
+    in_own_zone
 }
 
-/// Guards against contacting each worker of a lost zone: hundreds of schedulers contact one some times a minute. Also
-/// where dials are rejected at once: that was taken for a prompt start.
+/// Each of hundreds of schedulers contacts a worker only a few times a minute, so it must not have to try every
+/// worker of a lost zone. This includes connections that are refused immediately, which once counted as prompt starts.
 #[test]
 fn zone_is_avoided_when_some_of_its_workers_are_unreachable() {
-    let unresponsive = tries_at_a_lost_zone(200 * MS);
-    let rejected = tries_at_a_lost_zone(0);
+    let unresponsive = attempts_in_lost_zone(200 * MS);
+    let refused = attempts_in_lost_zone(0);
     assert!(
-        unresponsive < 60 && rejected < 30,
-        "{unresponsive} and {rejected} tries at a zone that is lost"
+        unresponsive < 60 && refused < 30,
+        "{unresponsive} attempts in the lost zone if dials time out, {refused} if they are refused"
     );
 }
 
-/// Guards against an outage that grows by what is sent again: half of the workers decline at once, or reset what
-/// they took, and the list does not show it. Over all schedulers, each of which contacts a worker seldom.
+/// Half of the workers refuse connections or reset them, which the list does not show. Retries must not multiply the
+/// load during the outage, even though each scheduler contacts a worker only rarely.
 #[test]
 fn retries_in_an_outage_are_a_share_of_arrivals() {
-    for (ending, most) in [(Ending::DialFailed, 1.45), (Ending::Dropped, 1.25)] {
+    for (ending, max_ratio) in [(Ending::DialFailed, 1.45), (Ending::Dropped, 1.25)] {
         let (mut sends, mut requests) = (0, 0);
         for seed in 0..50 {
             let mut harness = Harness::with_seed(
@@ -134,12 +144,12 @@
             harness.serve(0, 10, 100 * MS);
             for n in 0..100u32 {
                 let (id, actions) = harness.request(n % 2);
-                let (mut at, mut attempt) = (sent_to(&actions, id), 0);
+                let (mut to, mut attempt) = (sent_to(&actions, id), 0);
                 requests += 1;
-                while let Some(worker) = at {
+                while let Some(worker) = to {
                     sends += 1;
                     if worker.0 < 30 {
-                        at = sent_to(&harness.settled(id, attempt, ending), id);
+                        to = sent_to(&harness.settled(id, attempt, ending), id);
                         attempt += 1;
                         continue;
                     }
@@ -150,10 +160,10 @@
                 }
             }
         }
-        let each = f64::from(sends) / f64::from(requests);
+        let ratio = f64::from(sends) / f64::from(requests);
         assert!(
-            each > 1.0 && each < most,
-            "{each} sends for each of {requests} requests where {ending:?}"
+            ratio > 1.0 && ratio < max_ratio,
+            "{ratio} attempts per request over {requests} requests that end in {ending:?}"
         );
     }
 }
