--- a/crates/core/tests/mechanism/input.rs
+++ b/crates/core/tests/mechanism/input.rs
@@ -1,6 +1,4 @@
-//! What is said to the scheduler: settings, sizes, and events that are unknown, late or not its own.
-//!
-//! It owns the tests of input. It must never expect more of what cannot be used than that it does no harm.
+//! Tests of input validation: invalid settings, malformed job sizes, and events about unknown or ended requests.
 
 use oakshed_core::interface::*;
 use oakshed_core::Scheduler;
@@ -8,7 +6,7 @@
 use crate::common::*;
 
 #[test]
-fn stream_that_has_begun_belongs_to_the_client() {
+fn streaming_attempt_is_neither_cancelled_nor_failed() {
     let mut harness = Harness::new(settings(), 3);
     let (id, _) = harness.request(0);
     let actions = harness.event(Event::Streaming { id });
@@ -18,13 +16,13 @@
 }
 
 #[test]
-fn unusable_setting_is_named() {
+fn invalid_setting_is_named() {
     let with = |change: fn(&mut Settings)| {
-        let mut wrong = settings();
-        change(&mut wrong);
-        wrong
+        let mut changed = settings();
+        change(&mut changed);
+        changed
     };
-    let wrong: [(Settings, &str); 14] = [
+    let invalid: [(Settings, &str); 14] = [
         (Settings::default(), "classes"),
         (with(|s| s.schedulers = 0), "schedulers"),
         (with(|s| s.max_attempts = 0), "max_attempts"),
@@ -52,16 +50,16 @@
         (with(|s| s.tenants = vec![1.0, -1.0]), "tenants"),
         (with(|s| s.cross_zone_cost = f64::NAN), "cross_price"),
     ];
-    for (n, (settings, name)) in wrong.into_iter().enumerate() {
+    for (n, (settings, name)) in invalid.into_iter().enumerate() {
         let error = Scheduler::new(settings, 1)
             .err()
-            .unwrap_or_else(|| panic!("{n}: {name} was taken"));
+            .unwrap_or_else(|| panic!("{n}: an invalid {name} was accepted"));
         assert_eq!(error.name, name, "{n}");
     }
 }
 
-/// How many jobs of so many slots a cold worker gets within 2 s.
-fn sends_to_a_cold_worker(slots: f64) -> u32 {
+/// Counts the jobs of the given number of slots that are sent to a cold worker within 2 s.
+fn sends_to_cold_worker(slots: f64) -> u32 {
     let mut harness = Harness::new(settings(), 0);
     let cold = Row {
         online_since: START,
@@ -81,28 +79,25 @@
     sends
 }
 
-/// Guards against a job of no slots, which neither the limit nor a slow-start budget would count.
+/// Neither the limit nor a slow-start budget would count a job of 0 slots.
 #[test]
 fn malformed_slots_count_as_one_slot() {
-    let of_one_slot = sends_to_a_cold_worker(1.0);
+    let with_one_slot = sends_to_cold_worker(1.0);
     for slots in [0.0, 1e-9, -1.0, f64::NAN] {
         assert_eq!(
-            sends_to_a_cold_worker(slots),
-            of_one_slot,
-            "sends of {slots} slots to a cold worker"
+            sends_to_cold_worker(slots),
+            with_one_slot,
+            "jobs of {slots} slots sent to a cold worker"
         );
     }
 }
 
-/// Guards against a job of so many slots that sums of slots lose all others.
+/// Added to a sum of slots, a huge number would absorb all others by rounding.
 #[test]
-fn huge_slots_do_not_unbalance_accounts() {
+fn huge_slots_do_not_corrupt_slot_counts() {
     let mut harness = harness_with_reported_slots();
     let (huge, actions) = harness.request_with_slots(0, 1e300);
-    assert!(
-        sent_to(&actions, huge).is_some(),
-        "a wide job finds a worker"
-    );
+    assert!(sent_to(&actions, huge).is_some(), "a worker fits");
     let (small, _) = harness.request(0);
     let in_flight = harness.scheduler.in_flight_counts().slots;
     assert!(
@@ -120,7 +115,7 @@
     );
 }
 
-/// Two workers that have reported some hundred free slots.
+/// Returns a harness with two workers that have reported about a hundred free slots.
 fn harness_with_reported_slots() -> Harness {
     let mut harness = Harness::new(
         Settings {
