--- a/crates/core/tests/mechanism/large.rs
+++ b/crates/core/tests/mechanism/large.rs
@@ -1,4 +1,4 @@
-//! A thousand workers and a thousand schedulers: one of these, in virtual time.
+//! Tests of one scheduler, in virtual time, in a fleet of about a thousand schedulers and a thousand workers.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -8,10 +8,11 @@
 
 use crate::common::*;
 
-const MANY: u32 = 1_024;
+/// Number of schedulers, and of workers.
+const FLEET_SIZE: u32 = 1_024;
 
-fn fleet() -> Settings {
-    let obligations = Settings {
+fn fleet_settings() -> Settings {
+    let slow_start = Settings {
         cold_share: 0.3,
         ramp: Span::from_millis(9_000),
         fall_multiple: 3.0,
@@ -19,98 +20,100 @@
         ..settings()
     };
     Settings {
-        schedulers: MANY,
+        schedulers: FLEET_SIZE,
         list_on_request: true,
         poll_interval: Span::from_millis(10_000),
         reports_start: true,
-        ..obligations
+        ..slow_start
     }
 }
 
-fn rows(of: impl Iterator<Item = u32>, condition: Condition) -> Vec<Row> {
-    of.map(|w| Row {
-        zone: w % 3,
-        condition,
-        ..row(w)
-    })
-    .collect()
+fn rows(workers: impl Iterator<Item = u32>, condition: Condition) -> Vec<Row> {
+    workers
+        .map(|w| Row {
+            zone: w % 3,
+            condition,
+            ..row(w)
+        })
+        .collect()
 }
 
-/// Serves jobs, several at a time; returns how many each worker got.
+/// Serves jobs, eight at a time, and returns the number at each worker.
 fn serve(harness: &mut Harness, jobs: usize) -> BTreeMap<u64, u32> {
-    let mut got: BTreeMap<u64, u32> = BTreeMap::new();
+    let mut jobs_at: BTreeMap<u64, u32> = BTreeMap::new();
     for _ in 0..jobs / 8 {
-        let open: Vec<_> = (0..8)
+        let sent: Vec<_> = (0..8)
             .filter_map(|_| {
                 let (id, actions) = harness.request(0);
                 sent_to(&actions, id).map(|worker| (id, worker))
             })
             .collect();
         harness.now += MS;
-        for (id, _) in &open {
+        for (id, _) in &sent {
             _ = harness.started(*id, 0);
         }
         harness.now += 40 * MS;
-        for (id, worker) in open {
+        for (id, worker) in sent {
             harness.settled(id, 0, Ending::Delivered);
-            *got.entry(worker.0).or_default() += 1;
+            *jobs_at.entry(worker.0).or_default() += 1;
         }
     }
-    got
+    jobs_at
 }
 
 #[test]
 fn one_of_a_thousand_schedulers_uses_all_workers_but_draining_ones() {
-    let mut harness = Harness::new(fleet(), 0);
-    harness.list(ListKind::Snapshot, &rows(0..MANY, Condition::Active));
-    assert_eq!(harness.scheduler.members().listed, MANY as usize);
-    let got = serve(&mut harness, 4 * MANY as usize);
-    assert_eq!(got.values().sum::<u32>(), 4 * MANY, "all are sent");
-    // Random picks of two leave a few out; a limit below a thousand anywhere would leave out many.
+    let mut harness = Harness::new(fleet_settings(), 0);
+    harness.list(ListKind::Snapshot, &rows(0..FLEET_SIZE, Condition::Active));
+    assert_eq!(harness.scheduler.members().listed, FLEET_SIZE as usize);
+    let jobs = serve(&mut harness, 4 * FLEET_SIZE as usize);
+    assert_eq!(jobs.values().sum::<u32>(), 4 * FLEET_SIZE, "all are sent");
+    // The best of two random draws leaves out a few workers. Any internal limit on the number of workers would
+    // leave out many.
     assert!(
-        got.len() > MANY as usize * 9 / 10,
+        jobs.len() > FLEET_SIZE as usize * 9 / 10,
         "{} workers are used",
-        got.len()
+        jobs.len()
     );
-    assert!(got.values().all(|n| *n <= 20), "{:?}", got.values().max());
-    // Two in three drain, in one delta.
+    assert!(jobs.values().all(|n| *n <= 20), "{jobs:?}");
+    // Two thirds of the workers drain, in one delta.
     harness.list(
         ListKind::Delta,
-        &rows((0..MANY).filter(|w| w % 3 > 0), Condition::Leaving),
+        &rows((0..FLEET_SIZE).filter(|w| w % 3 > 0), Condition::Leaving),
     );
-    let got = serve(&mut harness, MANY as usize);
+    let jobs = serve(&mut harness, FLEET_SIZE as usize);
     assert!(
-        got.keys().all(|w| w % 3 == 0),
+        jobs.keys().all(|w| w % 3 == 0),
         "a job went to a draining worker"
     );
-    assert!(got.values().sum::<u32>() > MANY / 2);
-    // They come back as others, each cold: to each at most its part.
-    let (anew, now) = ((0..MANY).filter(|w| w % 3 > 0), harness.now);
-    let anew: Vec<Row> = rows(anew, Condition::Active)
+    assert!(jobs.values().sum::<u32>() > FLEET_SIZE / 2);
+    // They are replaced by cold workers, which get no more than their slow-start budget.
+    let (replaced, now) = ((0..FLEET_SIZE).filter(|w| w % 3 > 0), harness.now);
+    let replaced: Vec<Row> = rows(replaced, Condition::Active)
         .into_iter()
         .map(|r| Row {
             online_since: now,
             ..r
         })
         .collect();
-    harness.list(ListKind::Delta, &anew);
-    let got = serve(&mut harness, 256);
-    let (cold, most) = got
+    harness.list(ListKind::Delta, &replaced);
+    let jobs = serve(&mut harness, 256);
+    let (cold_jobs, max_at_one) = jobs
         .iter()
         .filter(|(w, _)| *w % 3 > 0)
-        .fold((0, 0), |(n, most), (_, g)| (n + g, most.max(*g)));
+        .fold((0, 0), |(sum, max), (_, n)| (sum + n, max.max(*n)));
     assert!(
-        most <= 1,
-        "one of a thousand schedulers sent a cold worker {most} jobs, {cold} in all"
+        max_at_one <= 1,
+        "one of a thousand schedulers sent {max_at_one} jobs to one cold worker, {cold_jobs} to all of them"
     );
 }
 
-/// Guards against polls that come closer in a fleet of a thousand than in one of hundreds.
+/// In a fleet of a thousand, first polls must be spread as far as in one of hundreds.
 #[test]
 fn first_polls_of_a_thousand_schedulers_use_the_longest_jitter() {
-    let mut at = BTreeSet::new();
-    for seed in 0..u64::from(MANY) {
-        let mut scheduler = Scheduler::new(fleet(), seed).expect("usable settings");
+    let mut polls = BTreeSet::new();
+    for seed in 0..u64::from(FLEET_SIZE) {
+        let mut scheduler = Scheduler::new(fleet_settings(), seed).expect("usable settings");
         let (mut now, mut actions) = (START, Vec::new());
         scheduler.on_event(now, Event::Timer);
         scheduler.dispatch(now, &mut actions);
@@ -122,26 +125,34 @@
                     None
                 }
             });
-            now += after.min().expect("a timer until it polls");
+            now += after.min().expect("a timer is set until the first poll");
             actions.clear();
             scheduler.on_event(now, Event::Timer);
             scheduler.dispatch(now, &mut actions);
         }
-        at.insert((now - START, seed));
+        polls.insert((now - START, seed));
     }
-    let last = at.last().expect("some").0;
-    assert!(last <= 7_100 * MS, "the last polls after {} ms", last / MS);
-    let second = |s: u64| {
-        at.range((s * 1_000 * MS, 0)..((s + 1) * 1_000 * MS, 0))
+    let last = polls.last().expect("not empty").0;
+    assert!(
+        last <= 7_100 * MS,
+        "the last first poll comes after {} ms",
+        last / MS
+    );
+    let polls_in_second = |s: u64| {
+        polls
+            .range((s * 1_000 * MS, 0)..((s + 1) * 1_000 * MS, 0))
             .count()
     };
-    let most = (0..8).map(second).max().expect("some");
-    assert!(most <= MANY as usize / 5, "{most} poll within one second");
+    let max_per_second = (0..8).map(polls_in_second).max().expect("not empty");
+    assert!(
+        max_per_second <= FLEET_SIZE as usize / 5,
+        "{max_per_second} polls within one second"
+    );
 }
 
-/// The worker that each of some keys is at home at.
-fn homes(harness: &mut Harness) -> Vec<Option<WorkerId>> {
-    let home = |key: u64| {
+/// Returns the worker to which each of 300 keys is sent.
+fn placements(harness: &mut Harness) -> Vec<Option<WorkerId>> {
+    let placement = |key: u64| {
         let id = RequestId(u128::from(key) + 1);
         harness.now += 50 * MS;
         let keyed = Job {
@@ -155,15 +166,15 @@
         harness.settled(id, 0, Ending::Delivered);
         worker
     };
-    (0..300).map(home).collect()
+    (0..300).map(placement).collect()
 }
 
-/// Guards against a ring that is brought up to date by changes and is not the one of a scheduler that got the list at
-/// once: a key would have another home at each scheduler.
+/// A hash ring updated by deltas must equal the one built from a snapshot. Otherwise schedulers would place the same
+/// key at different workers.
 #[test]
 fn keys_have_the_same_workers_after_deltas_as_after_a_snapshot() {
     let keyed = || {
-        let mut settings = fleet();
+        let mut settings = fleet_settings();
         settings.classes[0].effect = Effect::Safe;
         settings.cold_share = 1.0;
         settings
@@ -171,7 +182,7 @@
     let mut changed = Harness::new(keyed(), 0);
     changed.list(ListKind::Snapshot, &rows(0..200, Condition::Active));
     for step in 0..20 {
-        homes(&mut changed);
+        placements(&mut changed);
         changed.list(
             ListKind::Delta,
             &rows(step * 8..step * 8 + 8, Condition::Leaving),
@@ -181,26 +192,26 @@
             &rows(200 + step * 2..202 + step * 2, Condition::Active),
         );
     }
-    // One comes back into use, and most drain at once, so that the ring is made anew.
+    // One worker becomes active again, and then most leave at once, so that the ring is rebuilt.
     changed.list(ListKind::Delta, &rows(0..1, Condition::Active));
-    let after = homes(&mut changed);
+    let after = placements(&mut changed);
     changed.list(ListKind::Delta, &rows(0..220, Condition::Left));
-    let few = homes(&mut changed);
+    let few = placements(&mut changed);
 
     let mut fresh = Harness::new(keyed(), 0);
     let present = rows((0..1).chain(160..240), Condition::Active);
     fresh.list(ListKind::Snapshot, &present);
-    assert_eq!(after, homes(&mut fresh));
+    assert_eq!(after, placements(&mut fresh));
     fresh.list(ListKind::Snapshot, &rows(220..240, Condition::Active));
-    assert_eq!(few, homes(&mut fresh));
-    assert!(after != few, "their homes do not move with the list");
+    assert_eq!(few, placements(&mut fresh));
+    assert!(after != few, "the placements do not follow the list");
 }
 
-/// Prints what a change of the list costs, by its length: a whole list, and one row of it.
+/// Prints the time that the scheduler takes to apply a complete list and a delta of one row, for several sizes.
 #[test]
-fn list_changes() {
-    for n in [14, 200, MANY, 4 * MANY] {
-        let mut harness = Harness::new(fleet(), n);
+fn print_time_of_list_changes() {
+    for n in [14, 200, FLEET_SIZE, 4 * FLEET_SIZE] {
+        let mut harness = Harness::new(fleet_settings(), n);
         let all = rows(0..n, Condition::Active);
         let time = |harness: &mut Harness, kind, rows: &[Row]| {
             let begin = Instant::now();
@@ -213,7 +224,7 @@
             time(&mut harness, ListKind::Snapshot, &all),
             time(&mut harness, ListKind::Delta, &all[..1]),
         );
-        println!("{n} workers: a whole list takes {whole} us, a change of one {one} us");
+        println!("{n} workers: a snapshot takes {whole} us, a delta of one row {one} us");
         assert_eq!(harness.scheduler.members().listed, n as usize);
     }
 }
