--- a/crates/core/tests/mechanism/list.rs
+++ b/crates/core/tests/mechanism/list.rs
@@ -1,6 +1,4 @@
-//! The list of workers: drains, calls that are rejected, slow discovery, and workers that left long ago.
-//!
-//! It owns the tests of the list. It must never poll discovery: the list comes as events.
+//! Tests of the endpoint list: draining workers, failed polls, slow discovery, and workers that left long ago.
 
 use std::collections::VecDeque;
 
@@ -21,7 +19,7 @@
         let (id, actions) = harness.request(0);
         assert_ne!(sent_to(&actions, id), Some(WorkerId(0)));
     }
-    // Absent from a snapshot is departed, too.
+    // A worker missing from a snapshot gets no jobs, either.
     harness.list(ListKind::Snapshot, &[row(2)]);
     for _ in 0..8 {
         let (id, actions) = harness.request(0);
@@ -29,8 +27,8 @@
     }
 }
 
-/// Guards against calls that chase each other at discovery that is down, where the settings say nothing of
-/// how often to poll: the list is pushed on the simulator's wire, and still watched on sockets.
+/// Where the list is pushed, the settings contain no poll interval. With sockets the list is watched by calls even
+/// then, which must not be repeated in a tight loop while discovery is down.
 #[test]
 fn failed_polls_are_not_repeated_without_backoff() {
     let mut harness = Harness::new(
@@ -48,11 +46,11 @@
             harness.list(ListKind::Failed, &[]);
         }
     }
-    assert!((10..=100).contains(&polls), "{polls} calls in a second");
+    assert!((10..=100).contains(&polls), "{polls} calls within a second");
 }
 
 #[test]
-fn failed_subscription_is_repeated_and_the_list_retained() {
+fn failed_poll_is_repeated_and_the_list_is_kept() {
     let mut harness = Harness::new(
         Settings {
             list_on_request: true,
@@ -70,14 +68,17 @@
             .filter(|a| **a == Action::Subscribe)
             .count();
     }
-    assert_eq!(polls, 1, "once within a second, not in a storm");
+    assert_eq!(polls, 1, "polls within a second after a failure");
     let (id, actions) = harness.request(0);
-    assert!(sent_to(&actions, id).is_some(), "the old list still serves");
+    assert!(
+        sent_to(&actions, id).is_some(),
+        "the previous list is still used"
+    );
 }
 
-/// Guards against pauses that grow with the settings' time for polling, or the fleet, beyond the quarter that the
-/// sum of `poll_quarter` leaves for each: what changes meanwhile counts as notified. And, where the list is pushed,
-/// against any: what discovery knows counts as notified at once.
+/// Changes count as delivered after a fixed time, even during a backoff. Whatever the poll interval and the size of
+/// the fleet, a backoff must therefore stay within the share that `Settings::poll_quarter` allows it. Where the list
+/// is pushed, changes count as delivered immediately, and no backoff beyond the minimum is allowed.
 #[test]
 fn poll_backoff_is_a_quarter_of_the_interval_at_most() {
     let fleets = [
@@ -101,20 +102,20 @@
                 },
                 3,
             );
-            let most = if list_on_request {
+            let max_backoff = if list_on_request {
                 poll_interval.min(1_500 * MS)
             } else {
                 20 * MS
             };
-            // The first call of a start with a list, and then one after each failure.
+            // The first poll follows a start with a list, each later one a failure.
             for n in 0..20 {
                 if n > 0 || list_on_request && !harness.actions.contains(&Action::Subscribe) {
-                    let polls = |_: &u64| harness.wait(2 * MS).contains(&Action::Subscribe);
-                    let after = (1..10_000).find(polls).map(|n| 2 * n);
-                    let in_time = after.is_some_and(|ms| ms <= most / MS + 4);
+                    let is_polled = |_: &u64| harness.wait(2 * MS).contains(&Action::Subscribe);
+                    let after = (1..10_000).find(is_polled).map(|n| 2 * n);
+                    let in_time = after.is_some_and(|ms| ms <= max_backoff / MS + 4);
                     assert!(
                         in_time,
-                        "poll interval {poll_interval}, {schedulers}: call {n} after {after:?} ms"
+                        "poll interval {poll_interval} us, {schedulers} schedulers: poll {n} after {after:?} ms"
                     );
                 }
                 harness.list(ListKind::Failed, &[]);
@@ -123,7 +124,7 @@
     }
 }
 
-/// Guards against a table of workers, and of their names, that grows for as long as machines are replaced.
+/// The tables of workers and names must not grow without bound as machines are replaced.
 #[test]
 fn departed_workers_are_forgotten_unless_jobs_are_in_flight() {
     let mut harness = Harness::new(settings(), 3);
@@ -134,51 +135,57 @@
         harness.list(ListKind::Snapshot, &rows);
     }
     let counts = harness.scheduler.in_flight_counts();
-    assert!(counts.workers < 5_000, "{counts:?} after 29,900 workers");
+    assert!(
+        counts.workers < 5_000,
+        "{counts:?} after 29,900 workers were listed"
+    );
     assert_eq!(
         (counts.requests, counts.attempts),
         (1, 3),
-        "an attempt out, open and not started"
+        "the attempt counts as in flight, open and unstarted"
     );
     let (other, actions) = harness.request(0);
-    assert!(sent_to(&actions, other).is_some(), "those listed serve");
+    assert!(
+        sent_to(&actions, other).is_some(),
+        "listed workers get jobs"
+    );
     harness.settled(other, 0, Ending::Delivered);
-    // What may have run stays in its cell, all of which has left.
+    // The job may have run, so it may be retried only in its cell, whose workers have all left.
     let actions = harness.settled(id, 0, Ending::Dropped);
     assert!(
         sent_to(&actions, id).is_none(),
-        "{first:?} is not forgotten"
+        "retried although the cell of {first:?} has left"
     );
     harness.wait(6_000 * MS);
     assert_eq!(harness.scheduler.in_flight_counts().requests, 0);
 }
 
-/// One of the schedulers that share slow discovery.
-struct Client {
+/// One of the schedulers that poll a slow discovery.
+struct PollingScheduler {
     scheduler: Scheduler,
     is_answered: bool,
 }
 
-impl Client {
+impl PollingScheduler {
     fn new(seed: u64) -> Self {
         let settings = Settings {
             schedulers: 48,
             list_on_request: true,
             ..settings()
         };
-        let mut client = Client {
+        let mut polling = PollingScheduler {
             scheduler: Scheduler::new(settings, seed).expect("usable"),
             is_answered: false,
         };
-        client.list(START, ListKind::Cached, &[row(0)]);
-        client
+        polling.list(START, ListKind::Cached, &[row(0)]);
+        polling
     }
 
     fn list(&mut self, now: Micros, kind: ListKind, rows: &[Row]) {
         self.scheduler.on_event(now, Event::List { kind, rows });
     }
 
-    /// Whether it polls now.
+    /// Triggers the timer and returns whether the scheduler polls.
     fn polls(&mut self, now: Micros) -> bool {
         let mut actions = Vec::new();
         self.scheduler.on_event(now, Event::Timer);
@@ -187,61 +194,64 @@
     }
 }
 
-/// Discovery that takes 110 ms a poll, one after the other; a poll that waits for 2 s has failed by then.
+/// Discovery that answers one poll at a time, 110 ms each. A poll that has waited for 2 s fails.
 #[derive(Default)]
 struct SlowDiscovery {
-    /// Who has polled, and when.
+    /// The time and the scheduler of each waiting poll.
     queue: VecDeque<(Micros, usize)>,
     busy_until: Micros,
     polls: usize,
 }
 
 impl SlowDiscovery {
-    fn poll(&mut self, now: Micros, client: usize) {
+    fn poll(&mut self, now: Micros, scheduler: usize) {
         self.polls += 1;
-        self.queue.push_back((now, client));
+        self.queue.push_back((now, scheduler));
     }
 
-    fn answer(&mut self, now: Micros, clients: &mut [Client]) {
+    fn answer(&mut self, now: Micros, schedulers: &mut [PollingScheduler]) {
         while self.busy_until <= now {
-            let Some((since, client)) = self.queue.pop_front() else {
+            let Some((since, scheduler)) = self.queue.pop_front() else {
                 return;
             };
             self.busy_until = now + 110 * MS;
-            let client = &mut clients[client];
+            let scheduler = &mut schedulers[scheduler];
             if now - since < 2_000 * MS {
-                client.list(now, ListKind::Delta, &[]);
-                client.is_answered = true;
+                scheduler.list(now, ListKind::Delta, &[]);
+                scheduler.is_answered = true;
             } else {
-                client.list(now, ListKind::Failed, &[]);
+                scheduler.list(now, ListKind::Failed, &[]);
             }
         }
     }
 }
 
-/// 48 schedulers that start at one moment, and discovery that serves calls in turn, 110 ms each, of which
-/// one that has waited for 2 s fails but takes its turn all the same. Then it goes down, and all lose their
-/// watches.
+/// 48 schedulers start at once and poll a discovery that answers calls in turn, where timed-out calls take their
+/// turn as well. Later it fails, and all schedulers lose their watches at once.
 #[test]
 fn simultaneous_starts_are_all_answered_by_slow_discovery() {
-    let mut clients: Vec<Client> = (0..48).map(Client::new).collect();
+    let mut schedulers: Vec<PollingScheduler> = (0..48).map(PollingScheduler::new).collect();
     let mut discovery = SlowDiscovery::default();
-    for was_down in [false, true] {
-        let begin = START + if was_down { 60_000 * MS } else { 0 };
-        for client in clients.iter_mut().filter(|_| was_down) {
-            client.is_answered = false;
-            client.list(begin, ListKind::Failed, &[]);
+    for is_outage in [false, true] {
+        let begin = START + if is_outage { 60_000 * MS } else { 0 };
+        for scheduler in schedulers.iter_mut().filter(|_| is_outage) {
+            scheduler.is_answered = false;
+            scheduler.list(begin, ListKind::Failed, &[]);
         }
         for now in (begin..begin + 20_000 * MS).step_by(10_000) {
-            for (n, client) in clients.iter_mut().enumerate() {
-                if client.polls(now) {
+            for (n, scheduler) in schedulers.iter_mut().enumerate() {
+                if scheduler.polls(now) {
                     discovery.poll(now, n);
                 }
             }
-            discovery.answer(now, &mut clients);
+            discovery.answer(now, &mut schedulers);
         }
-        let unanswered = clients.iter().filter(|client| !client.is_answered);
-        assert_eq!(unanswered.count(), 0, "not answered within 20 s");
+        let unanswered = schedulers.iter().filter(|scheduler| !scheduler.is_answered);
+        assert_eq!(
+            unanswered.count(),
+            0,
+            "schedulers without an answer after 20 s"
+        );
     }
     assert!(discovery.polls < 3 * 96, "{} polls", discovery.polls);
 }
