--- a/crates/core/tests/mechanism/local_faults.rs
+++ b/crates/core/tests/mechanism/local_faults.rs
@@ -1,6 +1,5 @@
-//! Attempts that were not sent for a fault of this machine: its workers have no part in it, its requests wait.
-//!
-//! It owns the tests of that ending. It must never let a worker fail.
+//! Tests of attempts that were not sent because this machine lacked a descriptor, port or memory. They must not count
+//! against the worker, and the request must be retried while it has time left.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -8,8 +7,8 @@
 
 use crate::common::*;
 
-/// Classes with so long a latency objective that what is queued has seconds left.
-fn patient() -> Settings {
+/// Returns settings with a latency objective so long that a queued request has seconds left.
+fn long_objective() -> Settings {
     let mut settings = settings();
     settings
         .classes
@@ -18,8 +17,8 @@
     settings
 }
 
-/// Waits until a request is sent again; returns the worker and how long that took.
-fn sent_again(harness: &mut Harness, id: RequestId) -> (WorkerId, Micros) {
+/// Waits until a request is retried. Returns the worker and the waiting time.
+fn wait_for_retry(harness: &mut Harness, id: RequestId) -> (WorkerId, Micros) {
     let start = harness.now;
     loop {
         let actions = harness.wait(MS);
@@ -28,27 +27,27 @@
         }
         assert!(
             !rejected(&actions, id) && harness.now < start + 2_000 * MS,
-            "it is queued"
+            "not retried within 2 s"
         );
     }
 }
 
 #[test]
 fn request_backs_off_and_is_sent_to_another_address() {
-    let mut harness = Harness::new(patient(), 3);
+    let mut harness = Harness::new(long_objective(), 3);
     let (id, actions) = harness.request(1);
-    let mut at = sent_to(&actions, id).expect("sent");
-    // More often than a request has attempts: these are none of them.
+    let mut last = sent_to(&actions, id).expect("sent");
+    // More than the maximum number of attempts, which local faults do not count towards.
     for n in 0..2 * max_attempts() {
         let actions = harness.settled(id, n, Ending::LocalFault);
         assert!(
             sent_to(&actions, id).is_none() && !rejected(&actions, id),
-            "it backs off"
+            "the request must back off"
         );
-        let (next, span) = sent_again(&mut harness, id);
-        assert!(span >= 5 * MS, "{span}");
-        assert_ne!(next, at, "another address may have ports");
-        at = next;
+        let (next, backoff) = wait_for_retry(&mut harness, id);
+        assert!(backoff >= 5 * MS, "a backoff of {backoff} us");
+        assert_ne!(next, last, "another address may still have free ports");
+        last = next;
     }
     harness.settled(id, 2 * max_attempts(), Ending::Delivered);
     assert_eq!(
@@ -61,13 +60,13 @@
 }
 
 fn max_attempts() -> u32 {
-    patient().max_attempts
+    long_objective().max_attempts
 }
 
-/// Guards against effects that outlive the fault: workers were avoided, and taken to have a queue.
+/// Local faults once had effects that outlasted them: workers were avoided and assumed to have a queue.
 #[test]
 fn local_fault_starts_no_backoff_from_the_worker() {
-    let mut harness = Harness::new(patient(), 3);
+    let mut harness = Harness::new(long_objective(), 3);
     for _ in 0..30 {
         let (id, actions) = harness.request(1);
         if sent_to(&actions, id).is_some() {
@@ -78,7 +77,7 @@
     let mut jobs_to: BTreeMap<u64, u32> = BTreeMap::new();
     for _ in 0..60 {
         let (id, actions) = harness.request(1);
-        let worker = sent_to(&actions, id).expect("sent at once");
+        let worker = sent_to(&actions, id).expect("sent immediately");
         *jobs_to.entry(worker.0).or_default() += 1;
         harness.started(id, 0);
         harness.now += 10 * MS;
@@ -90,18 +89,18 @@
     );
 }
 
-/// The same of a worker that is really backed off from: a try that never left is no try.
+/// While the scheduler backs off from a worker, a trial that was not sent must not count as a failed one.
 #[test]
 fn trial_that_was_not_sent_does_not_lengthen_the_backoff() {
-    let mut harness = Harness::new(patient(), 1);
-    harness.serve(1, 150, 10 * MS); // what it backs off for is observed first
+    let mut harness = Harness::new(long_objective(), 1);
+    harness.serve(1, 150, 10 * MS); // the length of a backoff depends on observed running times
     let (id, actions) = harness.request(1);
     assert!(sent_to(&actions, id).is_some());
     harness.settled(id, 0, Ending::Dropped);
     for _ in 0..6 {
         let (id, actions) = harness.request(1);
         if sent_to(&actions, id).is_none() {
-            sent_again(&mut harness, id);
+            wait_for_retry(&mut harness, id);
         }
         harness.settled(id, 0, Ending::LocalFault);
         harness.event(Event::Cancelled { id });
@@ -109,14 +108,14 @@
     let (id, actions) = harness.request(1);
     assert!(
         sent_to(&actions, id).is_some(),
-        "six trials that left would be six doublings"
+        "six failed trials would have doubled the backoff six times"
     );
     harness.settled(id, 0, Ending::Delivered);
 }
 
-/// How many of 40 jobs a cold worker gets after 3 s in which eight attempts at each moment fail for a fault of this
-/// machine, or none.
-fn sent_to_cold(has_faults: bool, seed: u64) -> u32 {
+/// Counts the jobs out of 40 that go to a cold worker after 3 s, during which eight attempts every 50 ms fail with a
+/// local fault, or none.
+fn jobs_to_cold_worker(has_faults: bool, seed: u64) -> u32 {
     let settings = Settings {
         cold_share: 0.2,
         ..settings()
@@ -152,37 +151,37 @@
 }
 
 #[test]
-fn slow_start_budget_is_given_back() {
-    let plain: u32 = (0..20).map(|seed| sent_to_cold(false, seed)).sum();
-    let after_faults: u32 = (0..20).map(|seed| sent_to_cold(true, seed)).sum();
+fn slow_start_budget_is_refunded() {
+    let without_faults: u32 = (0..20).map(|seed| jobs_to_cold_worker(false, seed)).sum();
+    let after_faults: u32 = (0..20).map(|seed| jobs_to_cold_worker(true, seed)).sum();
     assert!(
-        plain > 20 && 10 * after_faults >= 8 * plain,
-        "{after_faults} of {plain}"
+        without_faults > 20 && 10 * after_faults >= 8 * without_faults,
+        "{after_faults} jobs after local faults, {without_faults} without"
     );
 }
 
-/// A run in which no connection comes up for some time.
+/// A simulation in which every connection attempt fails locally during some period.
 struct FaultRun {
     harness: Harness,
     fault: std::ops::Range<Micros>,
-    /// The last attempt of each request.
+    /// Number of the last attempt of each request.
     attempts: BTreeMap<RequestId, u32>,
-    /// What runs, by its end.
+    /// Running attempts by the time of their end.
     running: BTreeMap<Micros, (RequestId, u32)>,
-    /// Attempts that failed for the fault.
-    tries: u32,
+    /// Attempts that failed with a local fault.
+    failed_attempts: u32,
     served: u32,
     last_served: Micros,
 }
 
 impl FaultRun {
     fn new() -> Self {
-        let harness = Harness::new(patient(), 20);
+        let harness = Harness::new(long_objective(), 20);
         FaultRun {
             fault: harness.now + 150 * MS..harness.now + 1_500 * MS,
             attempts: BTreeMap::new(),
             running: BTreeMap::new(),
-            tries: 0,
+            failed_attempts: 0,
             served: 0,
             last_served: harness.now,
             harness,
@@ -199,12 +198,12 @@
         actions
     }
 
-    /// Carries out an action; returns what follows from it at once.
+    /// Executes an action and returns the actions that it leads to immediately.
     fn act(&mut self, action: Action) -> Vec<Action> {
         match action {
             Action::Send { id, .. } => self.begin_attempt(id),
             Action::Reject { .. } | Action::Fail { .. } => {
-                panic!("{action:?} at {}", self.harness.now - START)
+                panic!("{action:?} after {} us", self.harness.now - START)
             }
             _ => Vec::new(),
         }
@@ -214,11 +213,11 @@
         let last = self.attempts.entry(id);
         let attempt = *last.and_modify(|n| *n += 1).or_default();
         if self.fault.contains(&self.harness.now) {
-            self.tries += 1;
+            self.failed_attempts += 1;
             return self.harness.settled(id, attempt, Ending::LocalFault);
         }
         let actions = self.harness.started(id, attempt);
-        // One an end, so that each moment has its own.
+        // `running` holds at most one attempt for each end time.
         let mut end = self.harness.now + 10 * MS;
         while self.running.contains_key(&end) {
             end += MS;
@@ -228,18 +227,18 @@
     }
 }
 
-/// 200 requests a second, and no connection comes up from 0.15 to 1.5 s: each is queued, and served after it; what is
-/// tried meanwhile is bounded.
+/// 200 requests arrive per second, and connection attempts fail locally from 0.15 to 1.5 s. All requests are queued
+/// and served afterwards, and the number of attempts during the fault is bounded.
 #[test]
 fn requests_with_time_left_stay_queued_during_a_local_fault() {
     let mut run = FaultRun::new();
     let began = run.harness.now;
-    let mut taken = 0;
+    let mut arrived = 0;
     while run.harness.now < began + 6_000 * MS {
         let mut actions = VecDeque::from(run.harness.wait(MS));
-        if taken < 1_000 && (run.harness.now - began) % (5 * MS) == 0 {
-            taken += 1;
-            let (_, more) = run.harness.request(taken % 2);
+        if arrived < 1_000 && (run.harness.now - began) % (5 * MS) == 0 {
+            arrived += 1;
+            let (_, more) = run.harness.request(arrived % 2);
             actions.extend(more);
         }
         actions.extend(run.end_jobs());
@@ -247,10 +246,17 @@
             actions.extend(run.act(action));
         }
     }
-    assert_eq!((taken, run.served), (1_000, 1_000));
+    assert_eq!((arrived, run.served), (1_000, 1_000));
     let last = run.last_served - began;
-    assert!(last < 5_300 * MS, "the last at {last}");
-    assert!(run.tries < 8_000, "{} tries in 1.35 s", run.tries);
+    assert!(
+        last < 5_300 * MS,
+        "the last request was served after {last} us"
+    );
+    assert!(
+        run.failed_attempts < 8_000,
+        "{} attempts in 1.35 s",
+        run.failed_attempts
+    );
 }
 
 #[test]
@@ -261,10 +267,7 @@
     let (start, mut attempt) = (harness.now, 0);
     let mut actions = harness.settled(id, attempt, Ending::LocalFault);
     while !rejected(&actions, id) {
-        assert!(
-            harness.now < start + 1_000 * MS,
-            "an answer is due before the aim has passed"
-        );
+        assert!(harness.now < start + 1_000 * MS, "not rejected within 1 s");
         actions = harness.wait(MS);
         if sent_to(&actions, id).is_some() {
             attempt += 1;
@@ -273,7 +276,7 @@
     }
     assert!(
         attempt > 3 && harness.now > start + 200 * MS,
-        "{attempt} tries, {} us",
+        "{attempt} retries, rejected after {} us",
         harness.now - start
     );
     assert_eq!(
@@ -291,7 +294,7 @@
         Settings {
             may_probe: true,
             reports: Reports::Probe,
-            ..patient()
+            ..long_objective()
         },
         3,
     );
@@ -303,7 +306,7 @@
             None
         }
     });
-    let worker = probed.expect("one is probed");
+    let worker = probed.expect("a worker is probed");
     let actions = harness.event(Event::Probed {
         worker,
         ending: Ending::LocalFault,
@@ -312,6 +315,6 @@
     assert_eq!(
         sent_to(&actions, id),
         Some(worker),
-        "it is as good as before"
+        "the worker is selected as if it had not been probed"
     );
 }
