--- a/crates/core/tests/mechanism/rejection.rs
+++ b/crates/core/tests/mechanism/rejection.rs
@@ -1,7 +1,6 @@
-//! A scheduler that gets requests goes on trying workers, however many of these are of no use.
+//! Tests that a scheduler keeps making attempts however many workers fail.
 //!
-//! It owns the operators' term on processes that reject everything for 4 s without an attempt. It must never help:
-//! workers do what they were set to do.
+//! The operators count a process as down if it rejects all requests for 4 s without making an attempt.
 
 use std::collections::BTreeMap;
 
@@ -9,14 +8,15 @@
 
 use crate::common::*;
 
-/// A process rejects everything that does so for so long, to so many at least.
-const LONGEST_REJECTION: Micros = 4_000 * MS;
-const LEAST_REJECTED: usize = 15;
+/// Longest permitted time without an attempt while requests are rejected.
+const MAX_REJECTION_TIME: Micros = 4_000 * MS;
+/// Minimum number of requests rejected in such a time for it to count.
+const MIN_REJECTED: usize = 15;
 const ARRIVAL_GAP: Micros = 100 * MS;
 const RUNNING_TIME: Micros = 100 * MS;
 
-/// The first half of a run, in which some workers are of no use.
-const HALF: Micros = 20_000 * MS;
+/// The time for which some workers fail, and the time without faults after it.
+const HALF_RUN: Micros = 20_000 * MS;
 const FAULTS: [Fault; 4] = [
     Fault::Full,
     Fault::Unreachable,
@@ -24,7 +24,7 @@
     Fault::Errors,
 ];
 
-/// What the workers of no use do.
+/// How workers fail.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     Full,
@@ -33,35 +33,35 @@
     Errors,
 }
 
-/// Workers of which the first ones are of no use for the first half of the run.
+/// A fleet whose first workers fail during the first half of the run.
 struct Fleet {
     fault: Fault,
     workers: u32,
-    useless: u32,
+    failing: u32,
 }
 
-/// What is to happen to an attempt.
+/// What happens next to an attempt.
 #[derive(Clone, Copy)]
 enum Due {
     Start,
     End(Ending),
 }
 
-/// One scheduler that gets a request every now and then.
+/// A simulation of one scheduler with little traffic.
 struct Run {
     fleet: Fleet,
     harness: Harness,
     began: Micros,
-    /// By when it is due, the request and the number of the attempt.
+    /// The next events of attempts, with the attempt's number, by time and request.
     due: BTreeMap<(Micros, RequestId), (u32, Due)>,
-    /// How many attempts each request had.
-    numbers: BTreeMap<RequestId, u32>,
+    /// Number of attempts of each request.
+    attempts_of: BTreeMap<RequestId, u32>,
     attempts: u32,
     last_attempt: Micros,
-    /// Since the last attempt.
+    /// Requests rejected since the last attempt.
     rejected: usize,
-    /// The longest time without an attempt in which as many as count were rejected.
-    longest: Micros,
+    /// Longest time without an attempt during which at least `MIN_REJECTED` requests were rejected.
+    longest_gap: Micros,
 }
 
 impl Run {
@@ -77,15 +77,15 @@
             last_attempt: harness.now,
             harness,
             due: BTreeMap::new(),
-            numbers: BTreeMap::new(),
+            attempts_of: BTreeMap::new(),
             attempts: 0,
             rejected: 0,
-            longest: 0,
+            longest_gap: 0,
         }
     }
 
     fn run(&mut self) {
-        while self.harness.now < self.began + 2 * HALF {
+        while self.harness.now < self.began + 2 * HALF_RUN {
             let mut actions = match (self.harness.now - self.began) % ARRIVAL_GAP {
                 0 => {
                     self.harness
@@ -105,7 +105,7 @@
         self.count_gap();
     }
 
-    /// Carries out what is due next, if anything is.
+    /// Executes the next due event and returns the resulting actions, or `None` if none is due.
     fn next_due(&mut self) -> Option<Vec<Action>> {
         let now = self.harness.now;
         let (&(at, id), &(attempt, due)) = self.due.first_key_value()?;
@@ -137,26 +137,26 @@
         self.count_gap();
         self.last_attempt = now;
         self.rejected = 0;
-        let is_useless = worker.0 < u64::from(self.fleet.useless) && now < self.began + HALF;
-        let (after, due) = if is_useless {
+        let is_failing = worker.0 < u64::from(self.fleet.failing) && now < self.began + HALF_RUN;
+        let (after, due) = if is_failing {
             self.fleet.fault.outcome()
         } else {
             (MS, Due::Start)
         };
-        let number = self.numbers.entry(id).or_insert(0);
+        let number = self.attempts_of.entry(id).or_insert(0);
         self.due.insert((now + after, id), (*number, due));
         *number += 1;
     }
 
     fn count_gap(&mut self) {
-        if self.rejected >= LEAST_REJECTED {
-            self.longest = self.longest.max(self.harness.now - self.last_attempt);
+        if self.rejected >= MIN_REJECTED {
+            self.longest_gap = self.longest_gap.max(self.harness.now - self.last_attempt);
         }
     }
 }
 
 impl Fault {
-    /// What becomes of an attempt at such a worker, and after how long.
+    /// Returns the outcome of an attempt at such a worker, and the time until then.
     fn outcome(self) -> (Micros, Due) {
         match self {
             Fault::Full => (MS, Due::End(Ending::Declined)),
@@ -167,23 +167,24 @@
     }
 }
 
-/// Guards against a limit, or a backoff, out of which a scheduler with little traffic does not come by itself.
+/// With little traffic, a low concurrency limit or long backoffs must not keep a scheduler from making attempts.
 #[test]
 fn no_scheduler_rejects_all_for_four_seconds_while_some_workers_fail() {
     for fault in FAULTS {
-        for (workers, useless, schedulers) in [(14, 7, 3), (170, 57, 300), (10, 8, 4)] {
+        for (workers, failing, schedulers) in [(14, 7, 3), (170, 57, 300), (10, 8, 4)] {
             for seed in 0..4 {
                 let fleet = Fleet {
                     fault,
                     workers,
-                    useless,
+                    failing,
                 };
                 let mut run = Run::new(fleet, schedulers, seed);
                 run.run();
-                let (longest, attempts) = (run.longest, run.attempts);
+                let (longest, attempts) = (run.longest_gap, run.attempts);
                 assert!(
-                    longest < LONGEST_REJECTION,
-                    "{fault:?}, {useless} of {workers}, {schedulers}, seed {seed}: {longest} us, {attempts} attempts"
+                    longest < MAX_REJECTION_TIME,
+                    "{fault:?} at {failing} of {workers} workers, {schedulers} schedulers, seed {seed}: \
+                     {longest} us without an attempt, {attempts} attempts in all"
                 );
             }
         }
