--- a/crates/core/tests/mechanism/wall_clock.rs
+++ b/crates/core/tests/mechanism/wall_clock.rs
@@ -1,8 +1,8 @@
-//! Slow start beside a wall clock that is wrong or stepped: what counts is the clock that is passed in, and
-//! the wall clock only for a start that was there before the process.
+//! Tests of slow start with a wall clock that is wrong or stepped.
 //!
-//! It owns these scenarios: over whole fleets, and with one scheduler, where it shows directly for how warm a
-//! worker is taken.
+//! The wall clock serves only to convert the start times in the endpoint list. Its errors must neither make a cold
+//! worker count as warm nor keep it cold for more than one ramp. Some tests simulate whole fleets. Others use one
+//! scheduler, whose distribution of jobs shows how far it assumes a worker to be warmed up.
 
 use oakshed_core::interface::*;
 
@@ -14,57 +14,57 @@
 const HOUR: i64 = 3_600_000_000;
 const SECOND: i64 = 1_000_000;
 const STEPS: [i64; 4] = [-HOUR, -5 * SECOND, 5 * SECOND, HOUR];
-/// How far the wall clock of a machine with the right time is ahead of the process's clock.
-const RIGHT: i64 = 10 * HOUR;
+/// Offset of a correct wall clock from the monotonic clock, in microseconds.
+const CORRECT_OFFSET: i64 = 10 * HOUR;
 
-/// Settings under which a cold worker that is taken for a warm one surely gets too much.
-fn sensitive(schedulers: u32) -> Plan {
-    plan(&kinds()[1], schedulers)
+/// Returns a fleet in which a cold worker that is treated as warm always exceeds its budget.
+fn sensitive_plan(schedulers: u32) -> Plan {
+    plan(&variants()[1], schedulers)
 }
 
-/// A fleet whose schedulers read a wall clock that is wrong by `error`.
+/// Returns the same fleet with a wall clock that is wrong by `error` microseconds at the schedulers.
 fn with_wall_clock(plan: &Plan, error: i64) -> Plan {
     Plan {
         wall_clock: Some(WallClock {
-            stamps: RIGHT,
-            reading: RIGHT + error,
+            list_offset: CORRECT_OFFSET,
+            scheduler_offset: CORRECT_OFFSET + error,
         }),
         ..plan.clone()
     }
 }
 
-/// Workers start anew while the schedulers run and their wall clocks are wrong from the start by as much.
+/// Workers restart while the wall clocks of all schedulers have been wrong from the beginning.
 #[test]
 fn budget_is_honoured_where_the_wall_clock_is_off_at_the_start() {
     for schedulers in SIZES {
         for error in STEPS {
-            let plan = with_wall_clock(&sensitive(schedulers), error);
+            let plan = with_wall_clock(&sensitive_plan(schedulers), error);
             let used = run_scenario("wrong wall clock", plan, |fleet, at| {
                 if at % 500 == 0 && at < 6_000 {
-                    fleet.replace(at as usize / 500);
+                    fleet.restart_worker(at as usize / 500);
                     fleet.send_list_to_all(ListKind::Delta);
                 }
             });
             assert!(
-                used > LEAST_USED,
-                "{error} us, {schedulers}: {used:.2} of what they surely could"
+                used > MIN_USED_SHARE,
+                "error of {error} us, {schedulers} schedulers: cold workers got {used:.2} of their guaranteed capacity"
             );
         }
     }
 }
 
-/// The wall clock is stepped between the lists; what was translated before the step stays as it is.
+/// A step of the wall clock between two lists must not change start times that were converted before it.
 #[test]
 fn budget_is_honoured_where_the_wall_clock_is_stepped_during_warm_up() {
     for schedulers in SIZES {
         for step in STEPS {
-            let plan = with_wall_clock(&sensitive(schedulers), 0);
+            let plan = with_wall_clock(&sensitive_plan(schedulers), 0);
             let used = run_scenario("stepped wall clock", plan, |fleet, at| {
                 if at == 1_200 {
                     fleet.step_wall_clock(step);
                 }
                 if at % 500 == 0 && at < 6_000 {
-                    fleet.replace(at as usize / 500);
+                    fleet.restart_worker(at as usize / 500);
                     fleet.send_list_to_all(if at % 1_000 == 0 {
                         ListKind::Snapshot
                     } else {
@@ -73,28 +73,28 @@
                 }
             });
             assert!(
-                used > LEAST_USED,
-                "{step} us, {schedulers}: {used:.2} of what they surely could"
+                used > MIN_USED_SHARE,
+                "step of {step} us, {schedulers} schedulers: cold workers got {used:.2} of their guaranteed capacity"
             );
         }
     }
 }
 
-/// All schedulers restart among cold workers while the wall clock is behind, or has been stepped since they
-/// began: whichever reading makes the workers colder counts.
+/// All schedulers restart while workers are cold and the wall clock is behind. The later of the possible start times of
+/// a worker counts.
 #[test]
 fn budget_is_honoured_where_schedulers_restart_with_a_wall_clock_behind() {
     for schedulers in SIZES {
         for step in STEPS.into_iter().filter(|step| *step < 0) {
-            let plan = with_wall_clock(&sensitive(schedulers), 0);
+            let plan = with_wall_clock(&sensitive_plan(schedulers), 0);
             run_scenario("restart, clock behind", plan, |fleet, at| match at {
                 0 => {
-                    (0..12).for_each(|worker| fleet.replace(worker));
+                    (0..12).for_each(|worker| fleet.restart_worker(worker));
                     fleet.send_list_to_all(ListKind::Delta);
                 }
                 1_500 => {
                     fleet.step_wall_clock(step);
-                    (0..schedulers as usize).for_each(|s| fleet.restart(s));
+                    (0..schedulers as usize).for_each(|s| fleet.restart_scheduler(s));
                 }
                 _ => {}
             });
@@ -102,21 +102,22 @@
     }
 }
 
-/// All schedulers restart with a list that was cached before the workers started, and the wall clock is stepped
-/// between their start and the first list.
+/// All schedulers restart with a list that was cached before the workers started. The wall clock is stepped before the
+/// first list from discovery.
 #[test]
 fn budget_is_honoured_where_the_wall_clock_is_stepped_before_the_first_list() {
     for schedulers in SIZES {
         for step in STEPS {
-            let plan = with_wall_clock(&sensitive(schedulers), 0);
+            let plan = with_wall_clock(&sensitive_plan(schedulers), 0);
             run_scenario(
                 "stepped before the first list",
                 plan,
                 |fleet, at| match at {
                     0 => {
                         let cached = fleet.rows.clone();
-                        (0..12).for_each(|worker| fleet.replace(worker));
-                        (0..schedulers as usize).for_each(|s| fleet.restart_from_cache(s, &cached));
+                        (0..12).for_each(|worker| fleet.restart_worker(worker));
+                        (0..schedulers as usize)
+                            .for_each(|s| fleet.restart_scheduler_from_cache(s, &cached));
                         fleet.step_wall_clock(step);
                     }
                     200 => fleet.send_list_to_all(ListKind::Snapshot),
@@ -127,42 +128,43 @@
     }
 }
 
-/// The clock by which the list stamps starts is stepped, and that of the schedulers is not.
+/// The clock with which the list stamps worker starts is stepped, while that of the schedulers is not.
 #[test]
 fn budget_is_honoured_where_the_clock_of_the_list_is_stepped() {
     for schedulers in SIZES {
         for step in STEPS {
-            let plan = with_wall_clock(&sensitive(schedulers), 0);
-            let used = run_scenario("stepped stamps", plan, |fleet, at| {
+            let plan = with_wall_clock(&sensitive_plan(schedulers), 0);
+            let used = run_scenario("stepped clock of the list", plan, |fleet, at| {
                 if at == 1_200 {
-                    fleet.step_stamps(step);
+                    fleet.step_list_clock(step);
                 }
                 if at % 500 == 0 && at < 6_000 {
-                    fleet.replace(at as usize / 500);
+                    fleet.restart_worker(at as usize / 500);
                     fleet.send_list_to_all(ListKind::Delta);
                 }
             });
             assert!(
-                used > LEAST_USED,
-                "{step} us, {schedulers}: {used:.2} of what they surely could"
+                used > MIN_USED_SHARE,
+                "step of {step} us, {schedulers} schedulers: cold workers got {used:.2} of their guaranteed capacity"
             );
         }
     }
 }
 
-/// One scheduler whose jobs all run at once: how much of the work the first worker gets against a warm one shows
-/// for how warm it is taken.
-struct Scene {
+/// One scheduler and four workers without queues. The jobs that the first worker gets, relative to a warm one, show how
+/// far the scheduler assumes it to be warmed up.
+struct Scenario {
     harness: Harness,
     rows: Vec<Row>,
-    /// The scheduler's wall clock and that of the list, less the clock of the scheduler's process.
-    wall: i64,
-    stamps: i64,
+    /// Offset of the scheduler's wall clock from its monotonic clock, in microseconds.
+    wall_offset: i64,
+    /// Offset of the clock with which the list stamps worker starts.
+    list_offset: i64,
 }
 
-impl Scene {
-    /// The wall clock is wrong by `error` as the process begins.
-    fn new(error: i64, seed: u64) -> Scene {
+impl Scenario {
+    /// Creates a scheduler whose wall clock is wrong by `error` microseconds when the process starts.
+    fn new(error: i64, seed: u64) -> Scenario {
         let settings = Settings {
             schedulers: 1,
             cold_share: 0.1,
@@ -170,24 +172,24 @@
         };
         let rows = (0..4).map(row).collect();
         let harness = Harness::without_list(settings, seed);
-        let mut scene = Scene {
+        let mut scenario = Scenario {
             harness,
             rows,
-            wall: RIGHT + error,
-            stamps: RIGHT,
+            wall_offset: CORRECT_OFFSET + error,
+            list_offset: CORRECT_OFFSET,
         };
-        scene.read_wall_clock();
-        scene
+        scenario.read_wall_clock();
+        scenario
     }
 
     fn read_wall_clock(&mut self) {
-        let wall = self.harness.now.saturating_add_signed(self.wall);
+        let wall = self.harness.now.saturating_add_signed(self.wall_offset);
         self.harness.event(Event::WallClock { wall });
     }
 
-    /// The first worker has started so long ago by the list's clock; at 0 of that clock, long ago.
-    fn start(&mut self, age: Micros) {
-        self.rows[0].online_since = self.harness.now.saturating_add_signed(self.stamps) - age;
+    /// Sets the start of the first worker to `age` ago by the clock of the list.
+    fn set_start(&mut self, age: Micros) {
+        self.rows[0].online_since = self.harness.now.saturating_add_signed(self.list_offset) - age;
     }
 
     fn list(&mut self, kind: ListKind) {
@@ -196,8 +198,8 @@
         self.harness.event(Event::List { kind, rows: &rows });
     }
 
-    /// Jobs in that time that went to the first worker, and to a warm one.
-    fn work(&mut self, span: Micros) -> [u32; 2] {
+    /// Runs jobs for a time. Returns how many went to the first worker, and to a warm one.
+    fn run_jobs(&mut self, span: Micros) -> [u32; 2] {
         let mut jobs = [0; 2];
         for _ in 0..span / (20 * MS) {
             let (id, actions) = self.harness.request(1);
@@ -214,140 +216,144 @@
     }
 }
 
-/// What the first worker gets of a warm one's work in the second after `run`, and in one a ramp later.
-fn shares(error: i64, run: impl Fn(&mut Scene)) -> [f64; 2] {
+/// Returns the jobs of the first worker relative to those of a warm one, in the second after `setup` and in a second
+/// one ramp later.
+fn relative_shares(error: i64, setup: impl Fn(&mut Scenario)) -> [f64; 2] {
     let mut jobs = [[0; 2]; 2];
     for seed in 0..20 {
-        let mut scene = Scene::new(error, seed);
-        run(&mut scene);
+        let mut scenario = Scenario::new(error, seed);
+        setup(&mut scenario);
         for second in &mut jobs {
-            let [first, warm] = scene.work(1_000 * MS);
+            let [first, warm] = scenario.run_jobs(1_000 * MS);
             *second = [second[0] + first, second[1] + warm];
-            scene.work(Settings::default().ramp.as_micros());
+            scenario.run_jobs(Settings::default().ramp.as_micros());
         }
     }
     jobs.map(|[first, warm]| f64::from(first) / f64::from(warm.max(1)))
 }
 
-fn assert_cold_for_one_ramp(what: &str, error: i64, run: impl Fn(&mut Scene)) {
-    let [first, later] = shares(error, run);
+fn assert_cold_for_one_ramp(case: &str, error: i64, setup: impl Fn(&mut Scenario)) {
+    let [first, later] = relative_shares(error, setup);
     assert!(
         first < 0.65,
-        "{what}, {error} us: {first:.2} of a warm worker's share at first"
+        "{case}, error of {error} us: {first:.2} of a warm worker's jobs at first"
     );
     assert!(
         (0.8..1.25).contains(&later),
-        "{what}, {error} us: {later:.2} of it after a ramp"
+        "{case}, error of {error} us: {later:.2} of a warm worker's jobs after a ramp"
     );
 }
 
-fn assert_warm(what: &str, run: impl Fn(&mut Scene)) {
-    let [first, _] = shares(0, run);
+fn assert_warm(case: &str, setup: impl Fn(&mut Scenario)) {
+    let [first, _] = relative_shares(0, setup);
     assert!(
         (0.8..1.25).contains(&first),
-        "{what}: {first:.2} of a warm worker's share"
+        "{case}: {first:.2} of a warm worker's jobs"
     );
 }
 
-/// A list has come, some work is done, and the worker starts.
-fn start_while_running(scene: &mut Scene) {
-    scene.list(ListKind::Snapshot);
-    scene.work(2_000 * MS);
-    scene.start(100 * MS);
-    scene.list(ListKind::Delta);
+/// The first worker restarts after the first list, while jobs are running.
+fn restart_during_service(scenario: &mut Scenario) {
+    scenario.list(ListKind::Snapshot);
+    scenario.run_jobs(2_000 * MS);
+    scenario.set_start(100 * MS);
+    scenario.list(ListKind::Delta);
 }
 
 #[test]
-fn start_during_service_is_cold_whatever_the_wall_clock() {
+fn worker_started_during_service_is_cold_whatever_the_wall_clock() {
     for error in STEPS.into_iter().chain([0]) {
-        assert_cold_for_one_ramp("wrong from the start", error, start_while_running);
-        assert_cold_for_one_ramp("stepped before it", 0, |scene| {
-            scene.list(ListKind::Snapshot);
-            scene.work(2_000 * MS);
-            scene.wall += error;
-            scene.start(100 * MS);
-            scene.list(ListKind::Delta);
+        assert_cold_for_one_ramp("wrong from the beginning", error, restart_during_service);
+        assert_cold_for_one_ramp("stepped before the worker starts", 0, |scenario| {
+            scenario.list(ListKind::Snapshot);
+            scenario.run_jobs(2_000 * MS);
+            scenario.wall_offset += error;
+            scenario.set_start(100 * MS);
+            scenario.list(ListKind::Delta);
         });
-        assert_cold_for_one_ramp("stepped after it", 0, |scene| {
-            start_while_running(scene);
-            scene.wall += error;
-            scene.list(ListKind::Snapshot);
+        assert_cold_for_one_ramp("stepped after the worker starts", 0, |scenario| {
+            restart_during_service(scenario);
+            scenario.wall_offset += error;
+            scenario.list(ListKind::Snapshot);
         });
-        assert_cold_for_one_ramp("the list's clock is stepped", 0, |scene| {
-            scene.list(ListKind::Snapshot);
-            scene.work(2_000 * MS);
-            scene.start(0);
-            scene.list(ListKind::Delta);
-            scene.work(12_000 * MS);
-            scene.harness.list(ListKind::Delta, &[]);
-            scene.work(200 * MS);
-            scene.stamps += error;
-            scene.start(100 * MS);
-            scene.list(ListKind::Delta);
+        assert_cold_for_one_ramp("the list's clock is stepped", 0, |scenario| {
+            scenario.list(ListKind::Snapshot);
+            scenario.run_jobs(2_000 * MS);
+            scenario.set_start(0);
+            scenario.list(ListKind::Delta);
+            scenario.run_jobs(12_000 * MS);
+            scenario.harness.list(ListKind::Delta, &[]);
+            scenario.run_jobs(200 * MS);
+            scenario.list_offset += error;
+            scenario.set_start(100 * MS);
+            scenario.list(ListKind::Delta);
         });
     }
 }
 
 #[test]
-fn start_in_the_first_list_is_cold_for_one_ramp_at_most() {
+fn worker_started_before_the_first_list_is_cold_for_one_ramp_at_most() {
     for error in [-HOUR, -60 * SECOND] {
-        assert_cold_for_one_ramp("the wall clock is behind", error, |scene| {
-            scene.start(10_000 * MS);
-            scene.list(ListKind::Snapshot);
+        assert_cold_for_one_ramp("the wall clock is behind", error, |scenario| {
+            scenario.set_start(10_000 * MS);
+            scenario.list(ListKind::Snapshot);
         });
     }
     for step in [-HOUR, 60 * SECOND, HOUR] {
-        assert_cold_for_one_ramp("stepped between the start and the first list", 0, |scene| {
-            scene.wall += step;
-            scene.start(100 * MS);
-            scene.list(ListKind::Snapshot);
+        assert_cold_for_one_ramp("stepped before the first list", 0, |scenario| {
+            scenario.wall_offset += step;
+            scenario.set_start(100 * MS);
+            scenario.list(ListKind::Snapshot);
         });
     }
     assert_cold_for_one_ramp(
-        "ahead, and right again before the first list",
+        "ahead, and corrected before the first list",
         HOUR,
-        |scene| {
-            scene.wall = RIGHT;
-            scene.start(100 * MS);
-            scene.list(ListKind::Snapshot);
+        |scenario| {
+            scenario.wall_offset = CORRECT_OFFSET;
+            scenario.set_start(100 * MS);
+            scenario.list(ListKind::Snapshot);
         },
     );
-    assert_warm("long up", |scene| {
-        scene.start(3_600_000 * MS);
-        scene.list(ListKind::Snapshot);
+    assert_warm("started long ago", |scenario| {
+        scenario.set_start(3_600_000 * MS);
+        scenario.list(ListKind::Snapshot);
     });
 }
 
-/// What discovery could not report for a while is as warm as it is, where all clocks agree.
+/// If all clocks agree, a worker whose start discovery reports late counts as warm from its actual start.
 #[test]
-fn start_during_a_discovery_outage_counts_from_then() {
+fn worker_started_during_a_discovery_outage_warms_up_from_its_start() {
     let ramp = Settings::default().ramp.as_micros();
-    assert_warm("started a ramp ago, listed now", |scene| {
-        scene.start(60_000 * MS);
-        scene.list(ListKind::Snapshot);
-        scene.work(2_000 * MS);
-        // One that starts in sight shows how far the list's clock is ahead.
-        scene.rows[3].online_since = scene.harness.now.saturating_add_signed(scene.stamps);
-        scene.list(ListKind::Delta);
-        scene.work(ramp + 2_000 * MS);
-        scene.start(ramp);
-        scene.list(ListKind::Delta);
+    assert_warm("started one ramp ago, listed now", |scenario| {
+        scenario.set_start(60_000 * MS);
+        scenario.list(ListKind::Snapshot);
+        scenario.run_jobs(2_000 * MS);
+        // A worker that starts during service reveals the offset of the list's clock.
+        scenario.rows[3].online_since = scenario
+            .harness
+            .now
+            .saturating_add_signed(scenario.list_offset);
+        scenario.list(ListKind::Delta);
+        scenario.run_jobs(ramp + 2_000 * MS);
+        scenario.set_start(ramp);
+        scenario.list(ListKind::Delta);
     });
-    // Where two clocks are some seconds apart, the one counts by which the worker is younger.
-    assert_cold_for_one_ramp("a wall clock some seconds ahead", 5 * SECOND, |scene| {
-        scene.list(ListKind::Snapshot);
-        scene.work(12_000 * MS);
-        scene.start(100 * MS);
-        scene.list(ListKind::Delta);
+    // If the clocks differ by some seconds, the later start time counts.
+    assert_cold_for_one_ramp("wall clock 5 s ahead", 5 * SECOND, |scenario| {
+        scenario.list(ListKind::Snapshot);
+        scenario.run_jobs(12_000 * MS);
+        scenario.set_start(100 * MS);
+        scenario.list(ListKind::Delta);
     });
-    assert_cold_for_one_ramp("one worker's clock some seconds ahead", 0, |scene| {
-        scene.rows[3].online_since = scene
+    assert_cold_for_one_ramp("clock of another worker 5 s ahead", 0, |scenario| {
+        scenario.rows[3].online_since = scenario
             .harness
             .now
-            .saturating_add_signed(scene.stamps + 5 * SECOND);
-        scene.list(ListKind::Snapshot);
-        scene.work(12_000 * MS);
-        scene.start(100 * MS);
-        scene.list(ListKind::Delta);
+            .saturating_add_signed(scenario.list_offset + 5 * SECOND);
+        scenario.list(ListKind::Snapshot);
+        scenario.run_jobs(12_000 * MS);
+        scenario.set_start(100 * MS);
+        scenario.list(ListKind::Delta);
     });
 }
