--- a/crates/core/tests/mechanism/tiers.rs
+++ b/crates/core/tests/mechanism/tiers.rs
@@ -1,6 +1,4 @@
-//! What is queued, in which order it is dispatched, and when it is rejected.
-//!
-//! It owns the queues' tests. It must never look into the scheduler: only at its actions.
+//! Tests of the tier queues: which jobs are queued, in which order they are dispatched, and when they are rejected.
 
 use oakshed_core::interface::*;
 
@@ -14,19 +12,19 @@
     let (premium, actions) = harness.request(0);
     assert!(
         sent_to(&actions, premium).is_none(),
-        "the limit holds premium jobs too"
+        "the limit applies to premium jobs as well"
     );
     let actions = harness.settled(out[0], 0, Ending::Delivered);
     assert!(
         sent_to(&actions, premium).is_some(),
-        "the freed slot goes to the top tier"
+        "the free slot goes to the top tier"
     );
-    let basics = actions
+    let sends = actions
         .iter()
         .filter(|a| matches!(a, Action::Send { .. }))
         .count();
-    assert_eq!(basics, 1, "and to nobody else");
-    // Also where a worker would take the basic one at once, and it is the worker that holds the premium one up.
+    assert_eq!(sends, 1, "only the premium job is sent");
+    // The same holds where the premium job waits for a free slot at the worker, not for the limit.
     let mut harness = Harness::new(settings(), 1);
     let out: Vec<_> = (0..)
         .map(|_| harness.request(0))
@@ -36,46 +34,46 @@
     let (basic, actions) = harness.request(1);
     assert!(
         sent_to(&actions, basic).is_none(),
-        "it waits behind the premium one"
+        "the basic job waits behind the premium one"
     );
     let actions = harness.settled(out[0].0, 0, Ending::Delivered);
     assert!(
         sent_to(&actions, basic).is_none(),
-        "and does not take its slot"
+        "the basic job does not take the free slot"
     );
     harness.event(Event::Cancelled { id: premium });
 }
 
-/// Guards against a class hardly served: what can't go anywhere for a reason of its own (a size that nobody has
-/// room for, a repeat bound to a zone that is lost) blocked all that came in lower tiers, for as long as it lasted.
+/// A job may have no fitting worker because of its own requirements, such as its size, or a retry that is bound to a
+/// lost zone. Such jobs once blocked all lower tiers while they were queued.
 #[test]
 fn jobs_without_a_fitting_worker_block_no_others() {
     let mut harness = Harness::new(settings(), 1);
     let (wide, actions) = harness.request_with_slots(0, 8.0);
     assert!(
         sent_to(&actions, wide).is_none(),
-        "no worker is known to have eight slots"
+        "no worker is known to have 8 slots"
     );
     let (basic, actions) = harness.request(1);
     assert!(
         sent_to(&actions, basic).is_some(),
-        "one slot is free, and nobody above can use it"
+        "a slot is free that the wide job cannot use"
     );
 
     let mut zoned = settings();
     (zoned.classes[0].effect, zoned.classes[0].scope) = (Effect::Keyed, Scope::Zone);
     let mut harness = Harness::new(zoned, 0);
-    let list = |lost: Condition| -> Vec<Row> {
+    let list = |zone0: Condition| -> Vec<Row> {
         (0..6)
             .map(|w| Row {
                 zone: w % 2,
-                condition: if w % 2 == 0 { lost } else { Condition::Active },
+                condition: if w % 2 == 0 { zone0 } else { Condition::Active },
                 ..row(w)
             })
             .collect()
     };
     harness.list(ListKind::Snapshot, &list(Condition::Active));
-    // Tried in the zone that is then lost, it may not be repeated in another.
+    // A keyed job that was tried in zone 0 may not be retried in another zone when zone 0 is lost.
     let (keyed, first) = (0..20)
         .map(|_| harness.request(0))
         .find_map(|(id, actions)| {
@@ -83,26 +81,26 @@
                 .filter(|w| w.0 % 2 == 0)
                 .map(|w| (id, w))
         })
-        .expect("one of them goes to the zone");
+        .expect("a job goes to zone 0");
     harness.list(ListKind::Snapshot, &list(Condition::Left));
     let actions = harness.settled(keyed, 0, Ending::Dropped);
     assert!(
         sent_to(&actions, keyed).is_none() && !rejected(&actions, keyed),
-        "queued: {first:?}'s zone may come back"
+        "not queued until the zone of {first:?} returns"
     );
     let (basic, actions) = harness.request(1);
     assert!(sent_to(&actions, basic).is_some(), "three workers are free");
 }
 
 #[test]
-fn basic_jobs_are_rejected_past_j_and_premium_jobs_are_not() {
+fn basic_jobs_are_rejected_at_queue_threshold_j_and_premium_jobs_are_not() {
     let mut harness = Harness::new(settings(), 2);
     fill_until_queued(&mut harness, 1);
-    let mut refusals = 0;
+    let mut rejections = 0;
     for _ in 0..200 {
         let (id, actions) = harness.request(1);
-        refusals += u32::from(rejected(&actions, id));
-        let with_wait = actions.iter().all(|a| {
+        rejections += u32::from(rejected(&actions, id));
+        let has_retry_after = actions.iter().all(|a| {
             !matches!(
                 a,
                 Action::Reject {
@@ -111,33 +109,34 @@
                 }
             )
         });
-        assert!(with_wait, "a refusal says when to come back");
+        assert!(has_retry_after, "a rejection without retry-after");
     }
-    assert!(refusals > 0, "j never tripped");
+    assert!(rejections > 0, "threshold j was never reached");
     let (id, actions) = harness.request(0);
-    assert!(!rejected(&actions, id), "premium is queued, not rejected");
+    assert!(!rejected(&actions, id), "a premium job was rejected");
 }
 
 #[test]
 fn unattainable_jobs_are_rejected_before_their_latency_objective() {
     let mut harness = Harness::new(settings(), 0);
     let (id, _) = harness.request(1);
-    let deadline = harness.now + 1_200 * MS; // aim and stretch times the guessed work
+    let deadline = harness.now + 1_200 * MS; // latency objective plus stretch times the estimated work
     while harness.now < deadline {
         if rejected(&harness.wait(10 * MS), id) {
             return;
         }
     }
-    panic!("queued past its latency objective");
+    panic!("still queued after its latency objective");
 }
 
 #[test]
 fn slow_fleet_does_not_extend_the_latency_objective() {
-    // Guards against rejecting later when all is slow: the objective follows the job's work.
-    let held_for = |slow: bool| {
+    // The objective depends on the job's own work. If it depended on current running times, a slow fleet would reject
+    // later.
+    let queued_for = |is_slow: bool| {
         let mut harness = Harness::new(settings(), 4);
         harness.serve(1, 200, 300 * MS);
-        if slow {
+        if is_slow {
             harness.serve(1, 20, 900 * MS);
         }
         harness.list(ListKind::Snapshot, &[]);
@@ -148,12 +147,12 @@
         }
         harness.now - start
     };
-    assert!(held_for(true) < held_for(false));
+    assert!(queued_for(true) < queued_for(false));
 }
 
 #[test]
 fn hint_decides_how_long_a_job_may_be_queued() {
-    let held_for = |hint: Micros| {
+    let queued_for = |hint: Micros| {
         let mut harness = Harness::new(settings(), 0);
         let id = RequestId(1);
         let hinted = Job {
@@ -167,7 +166,7 @@
         }
         harness.now - start
     };
-    assert!(held_for(900 * MS) > held_for(100 * MS));
+    assert!(queued_for(900 * MS) > queued_for(100 * MS));
 }
 
 #[test]
@@ -176,9 +175,9 @@
         tenants: vec![2.0, 1_000.0],
         ..settings()
     };
-    shared.classes[0].priority_weight = 1.0; // one tier within the shares, one beyond
+    shared.classes[0].priority_weight = 1.0; // one tier for requests within the share, one for those beyond
     let mut harness = Harness::new(shared, 2);
-    let mut order = fill_until_queued(&mut harness, 1); // tenant 0, and soon beyond its share
+    let mut in_flight = fill_until_queued(&mut harness, 1); // tenant 0 soon exceeds its share
     let mut of_other = Vec::new();
     for n in 0..3u32 {
         let id = RequestId(9_000 + u128::from(n));
@@ -190,7 +189,7 @@
         of_other.push(id);
     }
     let before = harness.actions.len();
-    for id in order.drain(..4) {
+    for id in in_flight.drain(..4) {
         harness.settled(id, 0, Ending::Delivered);
     }
     let at = |wanted: &RequestId| {
@@ -205,15 +204,15 @@
     let beyond = after.position(|a| matches!(a, Action::Send { id, .. } if !of_other.contains(id)));
     assert!(
         beyond.is_none_or(|p| before + p > last),
-        "the tenant within its share goes first"
+        "a request beyond its tenant's share was sent first"
     );
 }
 
 #[test]
 fn fixed_cost_of_jobs_does_not_distort_the_running_time() {
-    // Guards against learning the mean of ratios: small jobs that also pay for a fetch made all look
-    // long, so that little could be queued and much was rejected.
-    let held_for = |fetch: Micros| {
+    // The ratio of running time to hint must not be learned as a mean over jobs. With that mean, small jobs with the
+    // fixed cost of a fetch made all jobs appear long, so that few could be queued and many were rejected.
+    let queued_for = |fetch: Micros| {
         let mut harness = Harness::new(settings(), 4);
         let request = |harness: &mut Harness, n: u128, hint: Micros| {
             let id = RequestId(n);
@@ -240,6 +239,6 @@
         }
         harness.now - start
     };
-    // A fetch of 50 ms shortens what may be queued by about that much, not by several times as much.
-    assert!(held_for(0) > held_for(50 * MS) && held_for(0) - held_for(50 * MS) < 110 * MS);
+    // A fetch of 50 ms shortens the time in the queue by about 50 ms, not by a multiple of it.
+    assert!(queued_for(0) > queued_for(50 * MS) && queued_for(0) - queued_for(50 * MS) < 110 * MS);
 }
