--- a/crates/core/tests/mechanism/unresponsive.rs
+++ b/crates/core/tests/mechanism/unresponsive.rs
@@ -1,47 +1,46 @@
-//! Workers and connections of which nothing is observed: detected soon, and none for another.
-//!
-//! It owns the tests of unresponsive workers. It must never report what such a worker does.
+//! Tests that unresponsive workers are detected soon, and that neither an unresponsive connection nor a long-running
+//! job makes a worker count as unresponsive.
 
 use oakshed_core::interface::*;
 
 use crate::common::*;
 
-/// Guards against a worker that is kept from jobs, and slots that are occupied, for as long as a client
-/// waits, by a connection that has become unresponsive while its worker serves on.
+/// Only one connection to the worker hangs. Until the deadlines of its jobs, they must neither keep other jobs from
+/// the worker nor hold slots.
 #[test]
-fn unresponsive_connection_does_not_mark_its_worker() {
-    let with = Settings {
+fn unresponsive_connection_does_not_make_its_worker_unresponsive() {
+    let settings = Settings {
         fifo_workers: true,
         progress_every: Span::from_millis(200),
         ..settings()
     };
-    for starts in [false, true] {
-        let mut harness = Harness::new(with.clone(), 1);
-        // One that waits keeps others from the worker; as many that run as fill the limit do it too.
-        let lost: Vec<RequestId> = (0..if starts { 14 } else { 1 })
+    for is_started in [false, true] {
+        let mut harness = Harness::new(settings.clone(), 1);
+        // One unstarted job could keep others from the worker, and so could as many running jobs as the limit allows.
+        let lost: Vec<RequestId> = (0..if is_started { 14 } else { 1 })
             .map(|_| harness.request(0).0)
             .collect();
         lost.iter()
-            .filter(|_| starts)
+            .filter(|_| is_started)
             .for_each(|id| _ = harness.started(*id, 0));
-        let mut went = 0;
+        let mut sends = 0;
         for _ in 0..40 {
-            // Whatever is sent starts at once and is served; what is sent on such an observation, too.
+            // Every job that is sent starts and is served, including those sent in response to these events.
             let mut actions = harness.request(0).1;
             actions.extend(harness.wait(50 * MS));
             while let Some(action) = actions.pop() {
                 let Action::Send { id, .. } = action else {
                     continue;
                 };
-                went += 1;
+                sends += 1;
                 actions.extend(harness.started(id, 0));
                 harness.now += 10 * MS;
                 actions.extend(harness.settled(id, 0, Ending::Delivered));
             }
             harness.wait(100 * MS);
         }
-        assert!(went >= 25, "{went} of 40 were sent, started: {starts}");
-        // Heard of again, it counts again, and its end is its end.
+        assert!(sends >= 25, "{sends} of 40 sent, started: {is_started}");
+        // When the connection recovers, its jobs are tracked again and their ends are accepted.
         harness.event(Event::Progress {
             id: lost[0],
             attempt: 0,
@@ -61,7 +60,7 @@
     for round in 0..40 {
         let (id, actions) = harness.request(1);
         match sent_to(&actions, id) {
-            // Worker 0 takes jobs and says nothing more.
+            // Worker 0 accepts jobs and never responds.
             Some(WorkerId(0)) if round > 10 => to_unresponsive += 1,
             Some(WorkerId(1)) => {
                 harness.now += MS;
@@ -76,13 +75,13 @@
     }
     assert!(
         to_unresponsive <= 3,
-        "{to_unresponsive} jobs went to an unresponsive worker"
+        "{to_unresponsive} jobs went to the unresponsive worker"
     );
 }
 
 #[test]
 fn long_running_job_does_not_make_its_worker_unresponsive() {
-    // Guards against backing off, at many schedulers, from each worker whose only own job runs long.
+    // With many schedulers, each often has only one job at a worker. A long one must not cause a backoff.
     let mut harness = Harness::new(settings(), 1);
     harness.serve(1, 60, 100 * MS);
     let (long, _) = harness.request(1);
@@ -90,15 +89,15 @@
     harness.now += 250 * MS;
     let (id, actions) = harness.request(0);
     assert_eq!(sent_to(&actions, id), Some(WorkerId(0)));
-    harness.now += 250 * MS; // but one that should have started and has not does
+    harness.now += 250 * MS; // a job whose start is overdue does cause one
     let (id, actions) = harness.request(0);
     assert_eq!(sent_to(&actions, id), None);
 }
 
 #[test]
 fn unreachable_workers_are_detected_while_their_jobs_fill_the_limit() {
-    // Guards against looking only at workers that are drawn: with the limit full of jobs
-    // at cut-off workers none was drawn any more, and all was queued until their deadlines.
+    // Detection must not depend on worker selection, which stops once jobs at unreachable workers use up the limit.
+    // All other jobs were then queued until the deadlines of those.
     let mut harness = Harness::new(
         Settings {
             schedulers: 16,
@@ -137,6 +136,6 @@
     }
     assert!(
         served_late > 30,
-        "only {served_late} of 100 jobs were served with two thirds cut off"
+        "only {served_late} of 100 jobs were served with two thirds of the workers unreachable"
     );
 }
