--- a/crates/core/tests/mechanism/worker_selection.rs
+++ b/crates/core/tests/mechanism/worker_selection.rs
@@ -1,6 +1,5 @@
-//! Where a job goes: what fits, free slots, zones, keys, and where it may be sent again.
-//!
-//! It owns the pick's tests. It must never depend on one draw: counts over many decide.
+//! Tests of worker selection by free slots, zone, machine kind and key, and of the workers to which a job may be
+//! retried.
 
 use oakshed_core::interface::*;
 use oakshed_core::Scheduler;
@@ -14,12 +13,12 @@
         ..settings()
     };
     let mut harness = Harness::new(with_reports, 2);
-    let report = |worker: WorkerId, more: f64| Report {
-        free_slots: Some(more + if worker.0 == 0 { 6.0 } else { 1.0 }),
+    let report = |worker: WorkerId, extra: f64| Report {
+        free_slots: Some(extra + if worker.0 == 0 { 6.0 } else { 1.0 }),
         outstanding: Some(1.0),
         ..Report::default()
     };
-    // Both are observed once: the second job goes where the first is not.
+    // Both workers are observed once, as the second job goes to the one without the first.
     let both: Vec<_> = (0..2).map(|_| harness.request(0)).collect();
     for (id, actions) in both {
         let worker = sent_to(&actions, id).expect("sent");
@@ -35,15 +34,15 @@
         if round > 20 {
             chosen[worker.0 as usize] += 1;
         }
-        let jiggle = f64::from(round) / 1000.0;
-        harness.served_with_report(id, report(worker, jiggle));
+        let jitter = f64::from(round) / 1000.0;
+        harness.served_with_report(id, report(worker, jitter));
     }
     assert!(chosen[0] > 2 * chosen[1], "{chosen:?}");
 }
 
-/// Guards against a belief that keeps itself alive: among many workers that report their load in answers alone, a
-/// first answer or two with less than a slot free stood for all others, nothing was sent any more, and so nothing
-/// better was ever reported; four in ten of a customer's requests were rejected, by a tenth of the schedulers.
+/// Where workers report their load only in answers, one or two early reports of less than one free slot were assumed
+/// for all workers. As nothing was sent any more, no newer report arrived. Four in ten of a customer's requests were
+/// rejected, by a tenth of the schedulers.
 #[test]
 fn stale_reports_of_few_workers_block_no_job() {
     for free in [0.0, 0.5] {
@@ -59,10 +58,10 @@
             outstanding: Some(4.0),
             ..Report::default()
         });
-        let mut sent_on = 0;
+        let mut sends = 0;
         for n in 0..40 {
             let (id, actions) = harness.request(0);
-            sent_on += u32::from(sent_to(&actions, id).is_some());
+            sends += u32::from(sent_to(&actions, id).is_some());
             harness.now += 100 * MS;
             let report = full.filter(|_| n < 8);
             harness.event(Event::Settled {
@@ -75,16 +74,16 @@
             harness.now += 400 * MS;
         }
         assert!(
-            sent_on >= 38,
-            "{sent_on} of 40 were sent on, {free} slots free reported by a few workers"
+            sends >= 38,
+            "{sends} of 40 jobs were sent after a few workers had reported {free} free slots"
         );
     }
 }
 
-/// Guards against paying for crossings while the own zone has slots free, and against waiting for it
-/// when it has none.
+/// Other zones have a cost. Jobs go there only when the scheduler's own zone has no free slots, but do not wait for it
+/// then.
 #[test]
-fn own_zone_is_preferred_where_crossings_are_charged() {
+fn own_zone_is_preferred_where_other_zones_have_a_cost() {
     let harness = |cross_zone_cost: f64| {
         let mut harness = Harness::new(
             Settings {
@@ -93,36 +92,37 @@
             },
             9,
         );
-        let far: Vec<Row> = (3..9)
+        let other_zones: Vec<Row> = (3..9)
             .map(|w| Row {
                 zone: 1 + w / 6,
                 ..row(w)
             })
             .collect();
-        harness.list(ListKind::Delta, &far);
+        harness.list(ListKind::Delta, &other_zones);
         harness
     };
-    let near = |cross_zone_cost: f64| {
+    let jobs_in_own_zone = |cross_zone_cost: f64| {
         let mut harness = harness(cross_zone_cost);
-        let mut near = 0;
+        let mut in_own_zone = 0;
         for _ in 0..100 {
             let (id, actions) = harness.request(0);
-            near += u32::from(sent_to(&actions, id).is_some_and(|w| w.0 < 3));
+            in_own_zone += u32::from(sent_to(&actions, id).is_some_and(|w| w.0 < 3));
             harness.started(id, 0);
             harness.now += 20 * MS;
             harness.settled(id, 0, Ending::Delivered);
         }
-        near
+        in_own_zone
     };
-    assert!(near(0.0) < 60, "{}", near(0.0));
-    assert!(near(0.03) > 85, "{}", near(0.03));
+    let (free, charged) = (jobs_in_own_zone(0.0), jobs_in_own_zone(0.03));
+    assert!(free < 60, "{free} of 100 without a cost");
+    assert!(charged > 85, "{charged} of 100 with a cost");
     let mut harness = harness(0.03);
-    let mut far = 0;
+    let mut crossed = 0;
     for _ in 0..48 {
         let (id, actions) = harness.request(0);
-        far += u32::from(sent_to(&actions, id).is_some_and(|w| w.0 >= 3));
+        crossed += u32::from(sent_to(&actions, id).is_some_and(|w| w.0 >= 3));
     }
-    assert!(far >= 10, "{far} of 48 that are all open");
+    assert!(crossed >= 10, "{crossed} of 48 jobs left their zone");
 }
 
 #[test]
@@ -137,32 +137,33 @@
         assert_eq!(
             sent_to(&actions, id),
             Some(WorkerId(4)),
-            "only its kind runs it"
+            "only this worker has the kind that the class requires"
         );
         harness.settled(id, 0, Ending::Delivered);
     }
 }
 
 #[test]
-fn keyed_retry_stays_in_its_group() {
+fn keyed_retry_stays_in_its_cell() {
     let mut harness = Harness::new(settings(), 6);
     let (id, actions) = harness.request(2);
     let first = sent_to(&actions, id).expect("sent");
-    let again = sent_to(&harness.settled(id, 0, Ending::Dropped), id).expect("keyed is sent again");
+    let second =
+        sent_to(&harness.settled(id, 0, Ending::Dropped), id).expect("a keyed job is retried");
     assert_eq!(
         first.0 / 3,
-        again.0 / 3,
-        "within the cell that drops its repeats"
+        second.0 / 3,
+        "retried in another cell, which does not deduplicate it"
     );
 }
 
-/// Zones of which the settings know no name share a number, and may be two.
+/// All zones unknown to the settings share one number, so two workers with it may be in different zones.
 #[test]
-fn keyed_retry_finds_no_group_in_an_unknown_zone() {
+fn keyed_request_is_not_retried_in_an_unknown_zone() {
     for scope in [Scope::Zone, Scope::Cell] {
-        let mut unknown = settings();
-        unknown.classes[2].scope = scope;
-        let mut harness = Harness::new(unknown, 0);
+        let mut settings = settings();
+        settings.classes[2].scope = scope;
+        let mut harness = Harness::new(settings, 0);
         let rows: Vec<Row> = (0..6)
             .map(|w| Row {
                 zone: UNKNOWN,
@@ -182,35 +183,35 @@
 
 #[test]
 fn late_start_is_not_duplicated_and_retries_are_spread() {
-    // Guards against second copies that load a late fleet further, and against all schedulers sending
-    // again to the same workers: the two at the head of the list drew three times the others' jobs.
-    let mut all = settings();
-    all.classes[2].scope = Scope::All;
-    let mut again = std::collections::HashSet::new();
+    // Duplicates would add load to a slow fleet. Schedulers must not all retry at the same workers, either: the first
+    // two of the list once got three times as many jobs as the others.
+    let mut settings = settings();
+    settings.classes[2].scope = Scope::All;
+    let mut retried_at = std::collections::HashSet::new();
     for seed in 0..40 {
-        let mut harness = Harness::with_seed(all.clone(), 30, seed);
+        let mut harness = Harness::with_seed(settings.clone(), 30, seed);
         let (keyed, _) = harness.request(2);
         for _ in 0..20 {
             assert!(
                 sent_to(&harness.wait(10 * MS), keyed).is_none(),
-                "a copy of what may yet start"
+                "a duplicate of a job that may still start"
             );
         }
-        again.extend(sent_to(&harness.settled(keyed, 0, Ending::Dropped), keyed));
+        retried_at.extend(sent_to(&harness.settled(keyed, 0, Ending::Dropped), keyed));
     }
     assert!(
-        again.len() >= 15,
-        "40 that were sent again went to {} of 30 workers",
-        again.len()
+        retried_at.len() >= 15,
+        "40 retries went to {} of 30 workers",
+        retried_at.len()
     );
 }
 
 #[test]
 fn key_has_the_same_workers_at_every_scheduler() {
-    let place = |seed: u64| {
-        let mut d = Scheduler::new(settings(), seed).expect("usable");
+    let workers_of_key = |seed: u64| {
+        let mut scheduler = Scheduler::new(settings(), seed).expect("usable");
         let rows: Vec<Row> = (0..30).map(row).collect();
-        d.on_event(
+        scheduler.on_event(
             START,
             Event::List {
                 kind: ListKind::Cached,
@@ -224,12 +225,12 @@
                 key: Some(77),
                 ..job(0)
             };
-            d.on_event(now, arrival(id, keyed));
+            scheduler.on_event(now, arrival(id, keyed));
             let mut actions = Vec::new();
-            d.dispatch(now, &mut actions);
+            scheduler.dispatch(now, &mut actions);
             used.extend(sent_to(&actions, id).map(|w| w.0));
             let (ending, finished, report) = (Ending::Delivered, true, None);
-            d.on_event(
+            scheduler.on_event(
                 now + 20 * MS,
                 Event::Settled {
                     id,
@@ -244,14 +245,14 @@
         used.dedup();
         used
     };
-    let (one, other) = (place(1), place(2));
+    let (one, other) = (workers_of_key(1), workers_of_key(2));
     assert!(one.len() <= 2, "{one:?}");
     assert_eq!(one, other);
 }
 
 #[test]
 fn keys_are_spread_evenly_over_workers() {
-    // Guards against one place a worker on the ring: some were home to five times their share.
+    // With only one position for each worker on the hash ring, some got five times their share of the keys.
     let mut keyed = settings();
     keyed.classes[0].effect = Effect::Safe;
     let mut harness = Harness::new(keyed, 20);
@@ -265,7 +266,7 @@
         };
         let request = arrival(id, keyed);
         let Some(WorkerId(worker)) = sent_to(&harness.event(request), id) else {
-            panic!("queued")
+            panic!("the job is queued")
         };
         jobs[worker as usize] += 1;
         harness.started(id, 0);
@@ -274,11 +275,11 @@
     assert!(jobs.iter().all(|&n| (50..200).contains(&n)), "{jobs:?}");
 }
 
-/// Guards against staying in a zone that others fill. With one job in flight at a time, own counts show nothing of
-/// it, and a crossing costs more slots than a full worker seems to lack.
+/// Other schedulers fill the own zone. With one job in flight at a time, a scheduler's own counts do not show that, and
+/// the cost of another zone exceeds the slots that a full worker seems to lack.
 #[test]
-fn zone_with_late_starts_is_avoided_where_crossings_are_charged() {
-    let crossed = |wait: Micros| {
+fn zone_with_late_starts_is_avoided_where_other_zones_have_a_cost() {
+    let jobs_in_other_zone = |wait: Micros| {
         let mut harness = Harness::new(
             Settings {
                 cross_zone_cost: 0.03,
@@ -294,22 +295,23 @@
             })
             .collect();
         harness.list(ListKind::Snapshot, &rows);
-        harness.serve(0, 30, 100 * MS); // what runs take is known
-        let mut crossed = 0;
+        harness.serve(0, 30, 100 * MS); // running times are observed
+        let mut in_other_zone = 0;
         for _ in 0..40 {
             let (id, actions) = harness.request(0);
             let Some(worker) = sent_to(&actions, id) else {
                 continue;
             };
-            let home = worker.0 % 2 == 0;
-            harness.now += if home { wait } else { MS };
+            let is_own_zone = worker.0 % 2 == 0;
+            harness.now += if is_own_zone { wait } else { MS };
             harness.started(id, 0);
             harness.now += 100 * MS;
             harness.settled(id, 0, Ending::Delivered);
-            crossed += u32::from(!home);
+            in_other_zone += u32::from(!is_own_zone);
         }
-        crossed
+        in_other_zone
     };
-    assert_eq!(crossed(MS), 0, "home where it starts at once");
-    assert!(crossed(150 * MS) > 8, "{} of 40", crossed(150 * MS));
+    let (prompt, late) = (jobs_in_other_zone(MS), jobs_in_other_zone(150 * MS));
+    assert_eq!(prompt, 0, "jobs left a zone with prompt starts");
+    assert!(late > 8, "{late} of 40 jobs in the other zone");
 }
