--- a/crates/core/tests/model/main.rs
+++ b/crates/core/tests/model/main.rs
@@ -1,4 +1,4 @@
-//! A model of a request's and its attempts' states, against which random steps of the facade are checked.
+//! Compares the facade, over random sequences of steps, with a model of the states of requests and attempts.
 
 mod request;
 mod steps;
@@ -12,12 +12,12 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
-use request::flag;
+use request::wake_flag;
 use steps::{step, Step};
-use world::{settings, World, MS, SCHEDULERS};
+use world::{settings, Model, MS, SCHEDULERS};
 
 #[test]
-fn every_request_gets_one_answer_and_every_attempt_is_accounted_for() {
+fn every_request_gets_one_answer_and_every_attempt_one_end() {
     let config = Config {
         cases: 300,
         failure_persistence: None,
@@ -30,53 +30,53 @@
         prop::collection::vec(step(), 1..150),
     );
     let outcome = runner.run(&steps, |(schedulers, steps)| {
-        let mut world = World::new(schedulers);
+        let mut model = Model::new(schedulers);
         for step in steps {
-            world.step(step);
+            model.step(step);
         }
-        world.wait_until(world.now + 20_000 * MS);
-        check_counts(&world);
-        check_request_counts(&world);
-        let counts = world.facade.in_flight_counts();
+        model.wait_until(model.now + 20_000 * MS);
+        check_counts(&model);
+        check_request_counts(&model);
+        let counts = model.facade.in_flight_counts();
         assert_eq!(
             counts,
             InFlightCounts {
                 workers: 4,
                 ..InFlightCounts::default()
             },
-            "something was not given back"
+            "requests or slots are still held"
         );
-        assert!(world.subscriptions > 0, "the list is polled");
+        assert!(model.subscriptions > 0, "the list was never requested");
         Ok(())
     });
-    outcome.expect("the model holds");
+    outcome.expect("the facade agrees with the model");
 }
 
-/// Every request has one answer, and every attempt one end.
-fn check_counts(world: &World) {
-    assert!(world.all_answered(), "a request was left without an answer");
-    let tally = world.facade.tally();
+/// Asserts that every request got one answer and every attempt one end.
+fn check_counts(model: &Model) {
+    assert!(model.all_answered(), "a request got no answer");
+    let tally = model.facade.tally();
     let answered = tally.served + tally.rejected + tally.failed + tally.cancelled;
     assert_eq!(tally.taken, answered);
     assert_eq!(
         tally.attempts,
         tally.ended.iter().sum::<u64>(),
-        "an attempt without an end, or with two"
+        "attempts without an end or with two"
     );
     assert_eq!(
         (
-            world.facade.unanswered_requests(),
+            model.facade.unanswered_requests(),
             tally.invariant_violations
         ),
         (0, 0)
     );
 }
 
-/// The request counts agree with the facade.
-fn check_request_counts(world: &World) {
-    let tally = world.facade.tally();
+/// Asserts that the request counts agree with those of the facade.
+fn check_request_counts(model: &Model) {
+    let tally = model.facade.tally();
     let counted = |end| {
-        let by_class = (0..2).map(|class| world.request_counts.ended(Some(class), end));
+        let by_class = (0..2).map(|class| model.request_counts.ended(Some(class), end));
         by_class.sum::<u64>()
     };
     let ends = [
@@ -87,72 +87,76 @@
     ]
     .map(counted);
     assert_eq!(
-        ends.iter().sum::<u64>() + world.request_counts.pending(),
+        ends.iter().sum::<u64>() + model.request_counts.pending(),
         tally.taken
     );
-    // One that was answered in the moment in which its client disconnected counts as either.
+    // A request answered at the moment when its client disconnected may count as either.
     assert!(ends[0] <= tally.served && ends[1] <= tally.rejected && ends[2] <= tally.failed);
-    assert_eq!(world.request_counts.pending(), 0);
+    assert_eq!(model.request_counts.pending(), 0);
 }
 
-/// Guards against a timer that is lost: nobody else wakes a scheduler without traffic, nor what is queued at one
-/// whose start was quiet.
+/// Without traffic, only the timer wakes a scheduler and its queued requests, so no timer may be lost.
 #[test]
-fn a_wanted_timer_is_always_set() {
+fn required_timer_is_always_set() {
     for schedulers in SCHEDULERS {
-        let mut world = World::new(schedulers);
-        world.wait_until(world.now + 10_000 * MS);
+        let mut model = Model::new(schedulers);
+        model.wait_until(model.now + 10_000 * MS);
         assert_eq!(
-            world.subscriptions, 1,
-            "one call, within the time in which it must poll"
+            model.subscriptions, 1,
+            "polls within the longest jitter of a first poll"
+        );
+        // The poll is in flight and nothing else happens, so only the timer can lead to an answer.
+        model.step(Step::Snapshot(0, false));
+        model.step(Step::Request(0, 400));
+        model.wait_until(model.now + 400 * MS);
+        assert!(
+            model.all_answered(),
+            "the queued request was not answered by the timer"
         );
-        // The call is under way, and nothing else happens: what is queued is answered by the timer alone.
-        world.step(Step::Snapshot(0, false));
-        world.step(Step::Take(0, 400));
-        world.wait_until(world.now + 400 * MS);
-        assert!(world.all_answered(), "it is queued and nobody looks at it");
     }
 }
 
-/// Guards against hundreds that start without a list, at one moment, and all poll discovery that serves in
-/// turn: as many lists are requested a second as it can be taken to give, and the last still has its list
-/// in time.
+/// Hundreds of schedulers may start at once without a list, while discovery answers polls in turn. They must not poll
+/// faster than it can answer, and the last one must still get its list in time.
 #[test]
 fn first_polls_of_many_schedulers_are_jittered() {
-    let first_call = |seed| {
+    let first_poll = |seed| {
         let mut facade = Facade::new(settings(200), seed).expect("usable");
-        let (start, waker) = (50_000 * MS, Waker::from(flag()));
+        let (start, waker) = (50_000 * MS, Waker::from(wake_flag()));
         let mut now = start;
         loop {
             let due = facade.tick(now, &waker);
             if due.subscribe {
                 return now - start;
             }
-            now = due.next.expect("it waits for its moment");
+            now = due.next.expect("a timer is set until the first poll");
         }
     };
-    let mut calls: Vec<Micros> = (0..200).map(first_call).collect();
-    calls.sort_unstable();
-    assert!(calls[199] <= 5_000 * MS, "25 ms for each of 200");
-    let most = (0..200)
-        .map(|n| calls.partition_point(|at| *at < calls[n] + 1_000 * MS) - n)
+    let mut polls: Vec<Micros> = (0..200).map(first_poll).collect();
+    polls.sort_unstable();
+    assert!(
+        polls[199] <= 5_000 * MS,
+        "the last of 200 polls 25 ms apart is late"
+    );
+    let max_per_second = (0..200)
+        .map(|n| polls.partition_point(|at| *at < polls[n] + 1_000 * MS) - n)
         .max();
     assert!(
-        most.is_some_and(|most| most <= 60),
-        "{most:?} calls within a second"
+        max_per_second.is_some_and(|max| max <= 60),
+        "{max_per_second:?} polls within a second"
     );
 }
 
 #[test]
 fn second_end_of_an_attempt_is_ignored() {
-    let mut world = World::new(1);
+    let mut model = Model::new(1);
     let name: Rc<str> = "s-0".into();
-    world.facade.report(
-        world.now,
+    model.facade.report(
+        model.now,
         Observation::Probed(&name, true, Some(Report::default())),
     );
-    world.step(Step::Take(0, 5_000));
-    world.step(Step::End(0, 0));
-    assert_eq!(world.facade.tally().served, 1);
-    assert_eq!(world.facade.tally().ended[Ending::Delivered as usize], 1);
+    model.step(Step::Request(0, 5_000));
+    model.step(Step::End(0, 0));
+    assert_eq!(model.facade.tally().served, 1);
+    assert_eq!(model.facade.tally().ended[Ending::Delivered as usize], 1);
 }
--- a/crates/core/tests/model/request.rs
+++ b/crates/core/tests/model/request.rs
@@ -1,37 +1,39 @@
-//! What the world knows of a request and its attempts.
+//! The model's state of a request and its attempts.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::task::Wake;
 
 use oakshed_core::facade::{Ending, Micros};
-use oakshed_core::figures::PendingRequest as Owed;
+use oakshed_core::figures::PendingRequest;
 
-/// Notes that it was woken.
-pub struct Flag(pub AtomicBool);
+/// A waker that records whether it was woken.
+pub struct WakeFlag(pub AtomicBool);
 
-impl Wake for Flag {
+impl Wake for WakeFlag {
     fn wake(self: Arc<Self>) {
         self.0.store(true, Ordering::SeqCst);
     }
 }
 
-/// An attempt: in flight until it has ended.
-pub struct Out {
+/// An attempt, which is in flight until it has ended.
+pub struct Attempt {
+    /// When it times out.
     pub until: Micros,
     pub ended: Option<Ending>,
 }
 
-/// A request: waiting until it is answered or its client has disconnected.
-pub struct Waiting {
+/// A request, which is open until it is answered or its client disconnects.
+pub struct Request {
     pub class: u32,
-    pub woken: Arc<Flag>,
-    pub attempts: Vec<Out>,
-    pub over: bool,
-    pub owed: Option<Owed>,
+    pub wake_flag: Arc<WakeFlag>,
+    pub attempts: Vec<Attempt>,
+    pub is_closed: bool,
+    /// Its entry in the request counts, until it ends.
+    pub pending: Option<PendingRequest>,
 }
 
-impl Waiting {
+impl Request {
     pub fn may_have_run(&self) -> bool {
         let never_ran = [
             Ending::Declined,
@@ -40,10 +42,14 @@
             Ending::LocalFault,
         ];
         let mut attempts = self.attempts.iter();
-        attempts.any(|attempt| attempt.ended.is_none_or(|how| !never_ran.contains(&how)))
+        attempts.any(|attempt| {
+            attempt
+                .ended
+                .is_none_or(|ending| !never_ran.contains(&ending))
+        })
     }
 
-    /// The attempts that count as the request's.
+    /// Returns the number of attempts that count towards the request's maximum.
     pub fn counted_attempts(&self) -> usize {
         let attempts = self.attempts.iter();
         attempts
@@ -52,7 +58,7 @@
     }
 }
 
-/// A flag that is set.
-pub fn flag() -> Arc<Flag> {
-    Arc::new(Flag(AtomicBool::new(true)))
+/// Returns a flag that is already set, so that its owner is polled once.
+pub fn wake_flag() -> Arc<WakeFlag> {
+    Arc::new(WakeFlag(AtomicBool::new(true)))
 }
--- a/crates/core/tests/model/world.rs
+++ b/crates/core/tests/model/world.rs
@@ -1,4 +1,4 @@
-//! The world around the facade, which checks each step that the facade gives.
+//! A model of the facade's environment, which takes random steps and checks each step that the facade returns.
 
 use std::collections::HashMap;
 use std::sync::atomic::Ordering;
@@ -11,15 +11,15 @@
 use oakshed_core::figures::{RequestCounts, RequestOutcome};
 use oakshed_core::interface::{Class, Effect, Scope, Span};
 
-use crate::request::{flag, Flag, Out, Waiting};
+use crate::request::{wake_flag, Attempt, Request, WakeFlag};
 use crate::steps::{Step, ENDINGS};
 
 pub const MS: Micros = 1_000;
 
-/// One scheduler, and one among so many that its polls are jittered.
+/// Fleet sizes: a single scheduler, and so many that first polls are jittered.
 pub const SCHEDULERS: [u32; 2] = [1, 100];
 
-/// Two classes, one of which must not be repeated.
+/// Returns settings with two classes, the first of which is unsafe.
 pub fn settings(schedulers: u32) -> Settings {
     let class = |priority_weight: f64, effect: Effect| Class {
         latency_objective: Span::from_millis(150),
@@ -42,53 +42,56 @@
     }
 }
 
-/// The facade under test, and what the world around it knows.
-pub struct World {
+/// The facade under test, and the state that is expected of it.
+pub struct Model {
     pub facade: Facade,
     pub now: Micros,
-    requests: HashMap<Handle, Waiting>,
+    requests: HashMap<Handle, Request>,
+    /// The requests in the order of arrival.
     order: Vec<Handle>,
-    ready: [bool; 4],
+    active: [bool; 4],
     excluded: [bool; 4],
+    /// Start times of the workers.
     started: [Micros; 4],
-    timer: Arc<Flag>,
+    timer: Arc<WakeFlag>,
+    /// When the timer is due.
     next: Option<Micros>,
     pub subscriptions: u32,
     pub request_counts: RequestCounts,
 }
 
-impl World {
+impl Model {
     pub fn new(schedulers: u32) -> Self {
         let facade = Facade::new(settings(schedulers), 3).expect("usable");
         let (requests, order) = (HashMap::new(), Vec::new());
-        let mut world = World {
+        let mut model = Model {
             facade,
             now: 50_000 * MS,
             requests,
             order,
-            ready: [true; 4],
+            active: [true; 4],
             excluded: [false; 4],
             started: [0; 4],
-            timer: flag(),
+            timer: wake_flag(),
             next: None,
             subscriptions: 0,
             request_counts: RequestCounts::new(2),
         };
-        let all: Vec<Entry> = (0..4).map(|b| world.entry(b)).collect();
-        world
+        let all: Vec<Entry> = (0..4).map(|w| model.entry(w)).collect();
+        model
             .facade
-            .report(world.now, Observation::List(ListKind::Cached, &all));
-        world.settle();
-        world
+            .report(model.now, Observation::List(ListKind::Cached, &all));
+        model.run_handlers();
+        model
     }
 
-    /// Whether each request has its answer, or its client has disconnected.
+    /// Whether every request is answered or its client has disconnected.
     pub fn all_answered(&self) -> bool {
-        self.requests.values().all(|r| r.over)
+        self.requests.values().all(|r| r.is_closed)
     }
 
     fn entry(&self, worker: usize) -> Entry {
-        let condition = if self.ready[worker] {
+        let condition = if self.active[worker] {
             Condition::Active
         } else {
             Condition::Leaving
@@ -104,40 +107,40 @@
         }
     }
 
-    /// Runs every handler that was woken, and the timer, until nothing more is to be done. A handler
-    /// that was not woken must have nothing to do.
-    fn settle(&mut self) {
+    /// Runs the timer and every request handler until none makes progress. A handler that was not woken must have no
+    /// next step.
+    fn run_handlers(&mut self) {
         if self.timer.0.swap(false, Ordering::SeqCst) || self.next.is_some_and(|at| at <= self.now)
         {
             let due = self.facade.tick(self.now, &Waker::from(self.timer.clone()));
             assert!(
                 due.next.is_none_or(|at| at > self.now),
-                "a timer that is always due"
+                "the timer is due immediately after it has run"
             );
             self.subscriptions += u32::from(due.subscribe);
             self.next = due.next;
         }
         for request in self.order.clone() {
-            while !self.requests[&request].over {
-                let woken = self.requests[&request].woken.clone();
-                let was = woken.0.swap(false, Ordering::SeqCst);
-                match self.facade.poll_step(request, &Waker::from(woken)) {
+            while !self.requests[&request].is_closed {
+                let wake_flag = self.requests[&request].wake_flag.clone();
+                let was_woken = wake_flag.0.swap(false, Ordering::SeqCst);
+                match self.facade.poll_step(request, &Waker::from(wake_flag)) {
                     Poll::Pending => break,
                     Poll::Ready(step) => {
                         self.requests[&request]
-                            .woken
+                            .wake_flag
                             .0
                             .store(true, Ordering::SeqCst);
-                        assert!(was, "a handler was left asleep");
-                        self.take_step(request, step);
+                        assert!(was_woken, "a handler with a next step was not woken");
+                        self.handle_step(request, step);
                     }
                 }
             }
         }
     }
 
-    fn take_step(&mut self, request: Handle, step: facade::Step) {
-        let end = match step {
+    fn handle_step(&mut self, request: Handle, step: facade::Step) {
+        let outcome = match step {
             facade::Step::Attempt {
                 attempt,
                 worker,
@@ -149,7 +152,11 @@
             }
             facade::Step::Serve { attempt } => {
                 let ended = self.requests[&request].attempts[attempt].ended;
-                assert_eq!(ended, Some(Ending::Delivered), "only a result is served");
+                assert_eq!(
+                    ended,
+                    Some(Ending::Delivered),
+                    "an attempt without a result was served"
+                );
                 RequestOutcome::Completed
             }
             facade::Step::Reject { .. } => {
@@ -162,46 +169,53 @@
             }
             facade::Step::Fail => RequestOutcome::Failed,
             facade::Step::Cancel { attempt } => {
-                panic!("attempt {attempt} is to be dropped before the answer")
+                panic!("attempt {attempt} is cancelled before the answer")
             }
         };
         let r = self.requests.get_mut(&request).expect("known");
-        r.owed.take().expect("one end").end(end);
+        r.pending
+            .take()
+            .expect("the request ends once")
+            .end(outcome);
         self.close(request);
     }
 
     fn begin_attempt(&mut self, request: Handle, attempt: usize, worker: &str, until: Micros) {
         let r = self.requests.get_mut(&request).expect("known");
-        assert_eq!(attempt, r.attempts.len(), "attempts are numbered in order");
+        assert_eq!(
+            attempt,
+            r.attempts.len(),
+            "attempts are not numbered in order"
+        );
         assert!(r.counted_attempts() < 4 && until >= self.now);
         let number = worker[2..].parse::<usize>().expect("a number");
-        assert!(self.ready[number], "an attempt to a draining worker");
+        assert!(self.active[number], "an attempt to a draining worker");
         assert!(!self.excluded[number], "an attempt to an excluded worker");
         assert!(
             r.class != 0 || !r.may_have_run(),
-            "a transfer was sent twice"
+            "an unsafe request was sent twice"
         );
-        r.attempts.push(Out { until, ended: None });
+        r.attempts.push(Attempt { until, ended: None });
     }
 
     fn close(&mut self, request: Handle) {
-        let drops = self.facade.close(self.now, request);
+        let cancelled = self.facade.close(self.now, request);
         let r = self.requests.get_mut(&request).expect("known");
-        assert!(!std::mem::replace(&mut r.over, true), "ended twice");
-        r.owed = None; // where its client went away, nobody has said how it ended
-        for attempt in drops {
-            // What was decided on but never begun is not known here.
-            if let Some(out) = r.attempts.get_mut(attempt) {
+        assert!(!std::mem::replace(&mut r.is_closed, true), "ended twice");
+        r.pending = None; // dropped if the client disconnected, which counts it as abandoned
+        for attempt in cancelled {
+            // An attempt whose step was not polled yet is not in the model.
+            if let Some(attempt) = r.attempts.get_mut(attempt) {
                 assert_eq!(
-                    out.ended.replace(Ending::Revoked),
+                    attempt.ended.replace(Ending::Revoked),
                     None,
-                    "dropped after its end"
+                    "an attempt was cancelled after its end"
                 );
             }
         }
         assert!(
-            r.attempts.iter().all(|f| f.ended.is_some()),
-            "an attempt was left out"
+            r.attempts.iter().all(|a| a.ended.is_some()),
+            "an attempt in flight was not cancelled"
         );
     }
 
@@ -209,14 +223,14 @@
         self.requests.get_mut(&request).expect("known").attempts[attempt].ended = Some(ending);
         self.facade
             .report(self.now, Observation::Ended(request, attempt, ending, None));
-        // A second word on the same attempt, as when it ends while it is dropped, changes nothing.
+        // A second end of the same attempt, as when it ends while it is being cancelled, must have no effect.
         self.facade.report(
             self.now,
             Observation::Ended(request, attempt, Ending::Dropped, None),
         );
     }
 
-    /// Time passes: the timer comes due, and attempts run out.
+    /// Advances the clock, runs the timer when it is due, and lets attempts time out.
     pub fn wait_until(&mut self, until: Micros) {
         loop {
             let open = self.requests.iter().flat_map(|(request, r)| {
@@ -224,30 +238,30 @@
                     .attempts
                     .iter()
                     .enumerate()
-                    .filter(|(_, f)| f.ended.is_none());
-                open.map(|(n, f)| (f.until, Some((*request, n))))
+                    .filter(|(_, a)| a.ended.is_none());
+                open.map(|(n, a)| (a.until, Some((*request, n))))
             });
             let timer = self.next.map(|at| (at, None));
             let first = open
                 .chain(timer)
-                .min_by_key(|(at, what)| (*at, what.is_some()));
-            let Some((at, what)) = first.filter(|(at, _)| *at <= until) else {
+                .min_by_key(|(at, attempt)| (*at, attempt.is_some()));
+            let Some((at, timed_out)) = first.filter(|(at, _)| *at <= until) else {
                 break;
             };
             self.now = self.now.max(at);
-            if let Some((request, attempt)) = what {
+            if let Some((request, attempt)) = timed_out {
                 self.end(request, attempt, Ending::Expired);
             }
-            self.settle();
+            self.run_handlers();
         }
         self.now = until;
     }
 
-    /// Takes a step, and lets every handler run that has something to do.
+    /// Takes a step and runs the handlers.
     pub fn step(&mut self, step: Step) {
         match step {
             Step::Wait(ms) => self.wait_until(self.now + ms * MS),
-            Step::Take(class, left) => self.take(class, left),
+            Step::Request(class, left) => self.request(class, left),
             Step::Start(pick) => self.start(pick),
             Step::End(pick, ending) => {
                 if let Some((request, attempt)) = self.open_attempt(pick) {
@@ -255,24 +269,24 @@
                 }
             }
             Step::EndAll(ending) => {
-                // At one moment: no handler runs in between.
+                // No handler runs between these ends.
                 while let Some((request, attempt)) = self.open_attempt(0) {
                     self.end(request, attempt, ENDINGS[ending]);
                 }
             }
-            Step::Close(pick) => self.disconnect(pick),
-            Step::List(worker, ready) => self.list_one(worker, ready),
-            Step::Snapshot(mask, anew) => self.list_all(mask, anew),
+            Step::Disconnect(pick) => self.disconnect(pick),
+            Step::List(worker, is_active) => self.list_one(worker, is_active),
+            Step::Snapshot(mask, have_restarted) => self.list_all(mask, have_restarted),
             Step::Exclude(worker, is_excluded) => self.exclude(worker, is_excluded),
             Step::Failed => {
                 let failure = Observation::List(ListKind::Failed, &[]);
                 self.facade.report(self.now, failure);
             }
         }
-        self.settle();
+        self.run_handlers();
     }
 
-    /// One of the attempts that have not ended.
+    /// Returns an attempt in flight, if there is one.
     fn open_attempt(&self, pick: usize) -> Option<(Handle, usize)> {
         let mut open = Vec::new();
         for request in &self.order {
@@ -285,7 +299,7 @@
         (!open.is_empty()).then(|| open[pick % open.len()])
     }
 
-    fn take(&mut self, class: u32, left: u64) {
+    fn request(&mut self, class: u32, left: u64) {
         let job = Job {
             class,
             tenant: None,
@@ -297,13 +311,13 @@
         };
         let request = self.facade.take(self.now, &job);
         self.order.push(request);
-        let owed = Some(self.request_counts.begin(Some(class as usize)));
-        let new = Waiting {
+        let pending = Some(self.request_counts.begin(Some(class as usize)));
+        let new = Request {
             class,
-            woken: flag(),
+            wake_flag: wake_flag(),
             attempts: Vec::new(),
-            over: false,
-            owed,
+            is_closed: false,
+            pending,
         };
         self.requests.insert(request, new);
     }
@@ -318,30 +332,30 @@
         }
     }
 
-    /// The client of a request that has no answer yet disconnects.
+    /// Disconnects the client of an unanswered request, if there is one.
     fn disconnect(&mut self, pick: usize) {
         let order = self.order.iter().copied();
-        let waiting: Vec<Handle> = order.filter(|r| !self.requests[r].over).collect();
-        if !waiting.is_empty() {
-            self.close(waiting[pick % waiting.len()]);
+        let unanswered: Vec<Handle> = order.filter(|r| !self.requests[r].is_closed).collect();
+        if !unanswered.is_empty() {
+            self.close(unanswered[pick % unanswered.len()]);
         }
     }
 
-    fn list_one(&mut self, worker: usize, ready: bool) {
-        self.ready[worker] = ready;
+    fn list_one(&mut self, worker: usize, is_active: bool) {
+        self.active[worker] = is_active;
         let entry = self.entry(worker);
         self.facade
             .report(self.now, Observation::List(ListKind::Delta, &[entry]));
     }
 
-    fn list_all(&mut self, mask: u8, anew: bool) {
-        self.ready = std::array::from_fn(|b| mask & (1 << b) != 0);
-        if anew {
+    fn list_all(&mut self, mask: u8, have_restarted: bool) {
+        self.active = std::array::from_fn(|w| mask & (1 << w) != 0);
+        if have_restarted {
             self.started = [self.now; 4];
         }
         let listed: Vec<Entry> = (0..4)
-            .filter(|b| self.ready[*b])
-            .map(|b| self.entry(b))
+            .filter(|w| self.active[*w])
+            .map(|w| self.entry(w))
             .collect();
         self.facade
             .report(self.now, Observation::List(ListKind::Snapshot, &listed));
@@ -354,7 +368,7 @@
         } else {
             self.facade.include(self.now, &name)
         };
-        assert!(known, "it was listed once");
+        assert!(known, "a worker that was listed is unknown");
         assert!(!self.facade.exclude(self.now, "s-9") && !self.facade.include(self.now, "s-9"));
         self.excluded[worker] = is_excluded;
         assert_eq!(self.facade.is_excluded(&name), is_excluded);
