--- a/crates/core/tests/budget.rs
+++ b/crates/core/tests/budget.rs
@@ -1,26 +1,26 @@
-//! The limits on the size of the decision files, which `policy` in deploy/balancer.toml names.
+//! Checks that deploy/balancer.toml lists every policy file under `policy`, and that these files stay short.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-const MOST_LINES: usize = 400;
-const MOST_COLUMNS: usize = 110;
+const MAX_LINES: usize = 400;
+const MAX_COLUMNS: usize = 110;
 
 fn repository_root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// The paths that `policy` names, as they stand in the deploy file.
+/// Returns the paths under `policy` in the deploy file, relative to the root of the repository.
 fn policy_files() -> BTreeSet<String> {
-    let deploy = fs::read_to_string(repository_root().join("deploy/balancer.toml"))
+    let deploy_file = fs::read_to_string(repository_root().join("deploy/balancer.toml"))
         .expect("the deploy file can be read");
-    let (_, from_policy) = deploy
+    let (_, from_policy) = deploy_file
         .split_once("policy = [")
-        .expect("the deploy file names the policy");
+        .expect("the deploy file contains `policy`");
     let (list, _) = from_policy
         .split_once(']')
-        .expect("the list of policy files ends");
+        .expect("the list of policy files is closed");
     list.split('"')
         .skip(1)
         .step_by(2)
@@ -36,25 +36,28 @@
         let text = fs::read_to_string(repository_root().join(&file))
             .unwrap_or_else(|error| panic!("{file} cannot be read: {error}"));
         let lines = text.lines().count();
-        assert!(lines <= MOST_LINES, "{file} has {lines} lines");
+        assert!(
+            lines <= MAX_LINES,
+            "{file} has {lines} lines, more than {MAX_LINES}"
+        );
         let widest = text.lines().map(|line| line.chars().count()).max();
         let widest = widest.unwrap_or(0);
         assert!(
-            widest <= MOST_COLUMNS,
-            "{file} has a line of {widest} characters"
+            widest <= MAX_COLUMNS,
+            "{file} has a line of {widest} characters, more than {MAX_COLUMNS}"
         );
     }
 }
 
 #[test]
-fn policy_names_every_file_of_the_scheduler_and_its_state() {
-    let named = policy_files();
+fn policy_lists_every_file_of_the_scheduler_and_its_state() {
+    let listed = policy_files();
     for folder in ["crates/core/src/scheduler", "crates/core/src/state"] {
-        let entries = fs::read_dir(repository_root().join(folder)).expect("the folder is there");
+        let entries = fs::read_dir(repository_root().join(folder)).expect("the folder can be read");
         for entry in entries {
-            let name = entry.expect("its entries can be read").file_name();
+            let name = entry.expect("the entry can be read").file_name();
             let file = format!("{folder}/{}", name.to_string_lossy());
-            assert!(named.contains(&file), "policy does not name {file}");
+            assert!(listed.contains(&file), "`policy` does not list {file}");
         }
     }
 }
--- a/crates/core/tests/fingerprint.rs
+++ b/crates/core/tests/fingerprint.rs
@@ -1,8 +1,8 @@
-//! The text of settings that goes into fingerprints stays as versions in service have it.
+//! Checks that the text from which settings fingerprints are computed is the same as in released versions.
 
 use oakshed_core::interface::{Class, Effect, Reports, Scope, Settings, Span, Weights};
 
-/// As the version of 2026-12-02 wrote it, before the fields were renamed.
+/// The text as written by the version of 2026-12-02, before fields were renamed.
 const FINGERPRINT_TEXT: &str = "Settings { dispatchers: 3, zone: 2, classes: [\
     Class { aim: 400000, stretch: 2.5, deadline: 6000000, worth: 12.0, priority: -1, effect: Keyed, \
     scope: Zone, window: 4000000, kind: Some(1) }, \
@@ -25,7 +25,7 @@
         window: Span::from_micros(4_000_000),
         kind: Some(1),
     };
-    let unrepeatable = Class {
+    let non_idempotent = Class {
         latency_objective: Span::from_micros(250_000),
         stretch: 0.0,
         deadline: Span::from_micros(1_000_000),
@@ -36,7 +36,7 @@
         window: Span::from_micros(0),
         kind: None,
     };
-    vec![keyed, unrepeatable]
+    vec![keyed, non_idempotent]
 }
 
 fn settings() -> Settings {
@@ -68,13 +68,13 @@
     }
 }
 
-/// Prevents a successor of another version from taking its predecessor for one of other settings.
+/// A different text would make a successor of another version conclude that its predecessor had other settings.
 #[test]
 fn fingerprint_text_is_the_same_in_all_versions() {
     assert_eq!(settings().fingerprint_form().to_string(), FINGERPRINT_TEXT);
 }
 
-/// The rest of the words of that text: those of the enumerations.
+/// The variant names that the settings above do not contain are part of the text, too.
 #[test]
 fn fingerprint_names_of_enumerations_are_the_same_in_all_versions() {
     let names = format!(
--- a/crates/core/tests/first_poll.rs
+++ b/crates/core/tests/first_poll.rs
@@ -1,4 +1,4 @@
-//! When a start calls discovery first: with a cached list sooner than without one.
+//! Tests the time of the first poll of discovery after a start, which comes sooner with a cached endpoint list.
 
 use std::task::Waker;
 
@@ -7,10 +7,10 @@
 
 const START: Micros = 1_700_000_000_000_000;
 const MS: Micros = 1_000;
-/// A fleet whose starts without a list are spread over the most there is.
+/// So many schedulers that the first poll without a list has the longest jitter.
 const SCHEDULERS: u32 = 300;
-/// The quarter of `poll_interval` that pauses may take while there is a list.
-const QUARTER: Micros = 1_500 * MS;
+/// Longest jitter while there is a list; see `Settings::poll_quarter`.
+const POLL_QUARTER: Micros = 1_500 * MS;
 
 fn settings() -> Settings {
     let class = Class {
@@ -45,8 +45,8 @@
     }
 }
 
-/// Prevents a reading of the wall clock, which comes before the list that it is for, from setting the first poll as
-/// if there were no list: three hundred restarted schedulers were ready after up to 7 s.
+/// The wall-clock time is reported before the list whose stamps it applies to. That event once scheduled the first
+/// poll as if there were no list, so that 300 restarted schedulers were ready only after up to 7 s.
 #[test]
 fn the_wall_clock_before_a_cached_list_does_not_delay_the_first_poll() {
     for seed in 0..50 {
@@ -57,9 +57,9 @@
             Observation::List(ListKind::Cached, &[cached_worker()]),
         );
         let due = facade.tick(START, Waker::noop());
-        let first_poll = due.next.expect("a poll is planned");
+        let first_poll = due.next.expect("a poll is scheduled");
         assert!(
-            due.subscribe || first_poll <= START + QUARTER,
+            due.subscribe || first_poll <= START + POLL_QUARTER,
             "seed {seed}: first poll after {} ms",
             (first_poll - START) / MS
         );
