--- a/crates/wire/tests/edits/mod.rs
+++ b/crates/wire/tests/edits/mod.rs
@@ -1,13 +1,13 @@
-//! Edits of settings that make them invalid, each with the place that the error has to name.
+//! Edits that make valid settings invalid, each with a text that the error message must contain.
 
-/// Text of the settings, what replaces it, and the place that the error names.
+/// Text in the settings, its replacement, and a part of the error message that identifies the invalid key.
 pub type Edit = (&'static str, &'static str, &'static str);
 
-/// Settings of a class that are rejected.
+/// Invalid settings of a class.
 pub const CLASS_EDITS: &[Edit] = &[
     (
         r#""single_shot""#,
-        r#""perhaps""#,
+        r#""unknown""#,
         "categories[1].idempotency",
     ),
     (
@@ -55,7 +55,7 @@
     ),
 ];
 
-/// Settings by class, and references between lists that are rejected.
+/// Invalid settings that are given by class, and invalid references between lists.
 pub const FAMILY_EDITS: &[Edit] = &[
     ("[2.5,1.75]", "[2.5,-1.75]", "stretch"),
     ("[2.5,1.75]", "[2.5,1e9]", "stretch"),
@@ -93,7 +93,7 @@
     ),
 ];
 
-/// Settings of the fleet that are rejected.
+/// Invalid settings of the fleet.
 pub const FLEET_EDITS: &[Edit] = &[
     (r#""balancers":1"#, r#""balancers":0"#, "schedulers"),
     (
@@ -148,7 +148,7 @@
     ),
 ];
 
-/// Limits and obligations that are rejected.
+/// Invalid limits and obligations.
 pub const LIMIT_EDITS: &[Edit] = &[
     (r#""max-attempts":6"#, r#""max-attempts":0"#, "max_attempts"),
     (
--- a/crates/wire/tests/settings_keys.rs
+++ b/crates/wire/tests/settings_keys.rs
@@ -1,9 +1,9 @@
-//! Every key of the settings, by the name that customers write, read into its field.
+//! Checks that every key of the settings file is read into its field.
 
 use oakshed_core::interface::{Class, Effect, Reports, Scope, Settings, Span, Weights};
 use oakshed_wire::settings;
 
-/// Each key once, with a value that is not the default.
+/// Every key once, with a value that differs from the default.
 const EVERY_KEY: &str = r#"{
     "az": 1, "azs": ["north", "south"], "machine-types": ["small", "large"], "balancers": 7,
     "categories": [{
--- a/crates/wire/tests/wire.rs
+++ b/crates/wire/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter on wire text written for these tests.
+//! Tests of the wire adapter: batches of events in, actions out, and the settings that schedulers start with.
 
 mod edits;
 
@@ -7,21 +7,24 @@
 use edits::{CLASS_EDITS, FAMILY_EDITS, FLEET_EDITS, LIMIT_EDITS};
 use oakshed_wire::{parse_request_id, serve, settings};
 
-const BOOT: &str = r#"{"az":0,"balancers":1,"categories":[{"aim-ms":400.0,"give-up-ms":6000.0,
+/// Settings of a scheduler, including a key that the adapter does not know.
+const BOOT_INFO: &str = r#"{"az":0,"balancers":1,"categories":[{"aim-ms":400.0,"give-up-ms":6000.0,
 "idempotency":"free","importance":12.0},{"aim-ms":500,"give-up-ms":6000,"idempotency":"single_shot",
 "importance":1}],"family-info":{"tells-start":true,"class-stretch":[2.5,1.75]},"limits":{"max-attempts":6},
-"obligations":{"cold-share":0.3,"fall-ms":3000.0,"fall-multiple":3.0,"ramp-time-ms":8900.0},"unheard-of":[1]}"#;
+"obligations":{"cold-share":0.3,"fall-ms":3000.0,"fall-multiple":3.0,"ramp-time-ms":8900.0},"unknown-key":[1]}"#;
 const ID: &str = "5d3a91c4-2910-4c73-a26b-c7d7430875c9";
 
+/// Serves the lines as input and returns the output.
 fn run(lines: &[String]) -> Result<String, String> {
     let mut out = Vec::new();
     let input = lines.join("\n") + "\n";
-    serve(Cursor::new(input), &mut out).map_err(|e| e.to_string())?;
-    Ok(String::from_utf8(out).expect("text"))
+    serve(Cursor::new(input), &mut out).map_err(|error| error.to_string())?;
+    Ok(String::from_utf8(out).expect("valid UTF-8"))
 }
 
-fn opening() -> Vec<String> {
-    let boot = BOOT.replace('\n', "");
+/// Returns a batch that starts a scheduler with one worker.
+fn startup_batch() -> Vec<String> {
+    let boot = BOOT_INFO.replace('\n', "");
     vec![
         r#"{"what":"BATCH","clock-ms":1000.5}"#.into(),
         format!(r#"{{"what":"SPAWN","scheduler":"scheduler-0","rng-seed":7,"boot-info":{boot}}}"#),
@@ -31,8 +34,9 @@
     ]
 }
 
-fn batch(at: f64, events: &[&str]) -> Vec<String> {
-    let mut lines = vec![format!(r#"{{"what":"BATCH","clock-ms":{at}}}"#)];
+/// Returns a batch of events at a time in milliseconds.
+fn batch(at_ms: f64, events: &[&str]) -> Vec<String> {
+    let mut lines = vec![format!(r#"{{"what":"BATCH","clock-ms":{at_ms}}}"#)];
     lines.extend(events.iter().map(|e| e.to_string()));
     lines.push(r#"{"what":"OVER_TO_YOU"}"#.into());
     lines
@@ -40,7 +44,7 @@
 
 #[test]
 fn a_request_is_sent_and_its_id_comes_back_unchanged() {
-    let mut lines = opening();
+    let mut lines = startup_batch();
     let inbound = format!(
         r#"{{"what":"INBOUND","scheduler":"scheduler-0","req":"{ID}","class":0,"cores-needed":1,"remaining-ms":6000}}"#
     );
@@ -48,7 +52,7 @@
         1001.0,
         &[
             &inbound,
-            r#"{"what":"NEWS_OF_TOMORROW","scheduler":"scheduler-0","x":{}}"#,
+            r#"{"what":"UNKNOWN_EVENT","scheduler":"scheduler-0","x":{}}"#,
         ],
     ));
     let out = run(&lines).expect("served");
@@ -60,7 +64,7 @@
 }
 
 #[test]
-fn every_ending_and_a_crash_are_understood() {
+fn every_ending_and_a_crash_are_accepted() {
     for ending in [
         "delivered",
         "app_error",
@@ -71,7 +75,7 @@
         "revoked",
         "unused",
     ] {
-        let mut lines = opening();
+        let mut lines = startup_batch();
         let inbound = format!(
             r#"{{"what":"INBOUND","scheduler":"scheduler-0","req":"{ID}","class":1,"cores-needed":1,"remaining-ms":6000}}"#
         );
@@ -96,9 +100,9 @@
 }
 
 #[test]
-fn malformed_lines_are_named() {
+fn malformed_lines_are_reported() {
     let cases = [
-        ("{nonsense", "line 7"),
+        ("{malformed", "line 7"),
         (
             r#"{"what":"INBOUND","scheduler":"scheduler-0","class":0,"remaining-ms":5}"#,
             "'req'",
@@ -108,7 +112,7 @@
             "'req'",
         ),
         (
-            r#"{"what":"TOPOLOGY","scheduler":"scheduler-0","kind":"sideways","slot":3}"#,
+            r#"{"what":"TOPOLOGY","scheduler":"scheduler-0","kind":"unknown","slot":3}"#,
             "'kind'",
         ),
         (
@@ -117,17 +121,17 @@
         ),
         (r#"{"what":"DIRECTORY","slot":99,"rows-in":[]}"#, "slot"),
     ];
-    for (line, named) in cases {
-        let mut lines = opening();
+    for (line, expected) in cases {
+        let mut lines = startup_batch();
         lines.extend(batch(1001.0, &[line]));
         let error = run(&lines).expect_err(line);
-        assert!(error.contains(named), "{error}");
+        assert!(error.contains(expected), "{error}");
     }
 }
 
 #[test]
 fn settings_are_read_with_absent_and_unknown_keys() {
-    let read = settings(BOOT).expect("usable");
+    let read = settings(BOOT_INFO).expect("usable");
     assert_eq!(read.classes.len(), 2);
     assert_eq!(read.classes[0].latency_objective.as_micros(), 400_000);
     assert_eq!(read.classes[1].stretch, 1.75);
@@ -135,59 +139,61 @@
     assert!(!read.may_probe);
 }
 
-/// Guards against settings under which an invariant could be violated, or a sum of times overflow: each is
-/// rejected, in one line that names its place.
+/// Invalid settings could violate an invariant or overflow a sum of times. Each must be rejected with a message of one
+/// line that identifies the key.
 #[test]
-fn invalid_settings_are_rejected_with_their_place() {
+fn invalid_settings_are_rejected_with_their_key() {
     let edits = [CLASS_EDITS, FAMILY_EDITS, FLEET_EDITS, LIMIT_EDITS];
-    for &(from, to, place) in edits.into_iter().flatten() {
-        assert!(BOOT.contains(from), "{from}");
-        let error = settings(&BOOT.replacen(from, to, 1))
+    for &(from, to, key) in edits.into_iter().flatten() {
+        assert!(BOOT_INFO.contains(from), "{from}");
+        let error = settings(&BOOT_INFO.replacen(from, to, 1))
             .expect_err(to)
             .to_string();
         assert!(
-            error.contains(place) && error.lines().count() == 1,
+            error.contains(key) && error.lines().count() == 1,
             "{to}: {error}"
         );
     }
-    let none = r#"{"balancers":1,"categories":[],"limits":{"max-attempts":6},"obligations":{"cold-share":0.3,"fall-ms":3000,"fall-multiple":3,"ramp-time-ms":8900}}"#;
-    assert!(settings(none)
+    let no_classes = r#"{"balancers":1,"categories":[],"limits":{"max-attempts":6},"obligations":{"cold-share":0.3,"fall-ms":3000,"fall-multiple":3,"ramp-time-ms":8900}}"#;
+    assert!(settings(no_classes)
         .expect_err("no classes")
         .to_string()
         .contains("classes"));
-    let double = BOOT.replace(r#""importance":12.0"#, r#""importance":12.0,"name":"a""#);
-    let double = double.replace("\"importance\":1}", "\"importance\":1,\"name\":\"a\"}");
-    assert!(settings(&double)
-        .expect_err("a name twice")
+    let duplicate_name =
+        BOOT_INFO.replace(r#""importance":12.0"#, r#""importance":12.0,"name":"a""#);
+    let duplicate_name =
+        duplicate_name.replace("\"importance\":1}", "\"importance\":1,\"name\":\"a\"}");
+    assert!(settings(&duplicate_name)
+        .expect_err("a duplicate name")
         .to_string()
         .contains("categories"));
 }
 
 #[test]
-fn only_the_wires_form_of_an_id_is_taken() {
+fn only_the_wire_format_of_an_id_is_accepted() {
     assert!(parse_request_id(ID).is_some());
-    for wrong in [
+    for invalid in [
         "",
         "5D3A91C4-2910-4c73-a26b-c7d7430875c9",
         "5d3a91c4_2910-4c73-a26b-c7d7430875c9",
     ] {
-        assert!(parse_request_id(wrong).is_none(), "{wrong}");
+        assert!(parse_request_id(invalid).is_none(), "{invalid}");
     }
 }
 
 #[test]
-fn malformed_extras_of_a_request_are_taken_as_absent() {
-    let answer = |extras: &str| {
-        let mut lines = opening();
+fn malformed_optional_fields_of_a_request_are_ignored() {
+    let output = |fields: &str| {
+        let mut lines = startup_batch();
         let inbound = format!(
-            r#"{{"what":"INBOUND","scheduler":"scheduler-0","req":"{ID}","class":0,"remaining-ms":6000{extras}}}"#
+            r#"{{"what":"INBOUND","scheduler":"scheduler-0","req":"{ID}","class":0,"remaining-ms":6000{fields}}}"#
         );
         lines.extend(batch(1001.0, &[&inbound]));
         run(&lines).expect("served")
     };
-    let plain = answer("");
-    assert!(plain.contains("FORWARD"), "{plain}");
-    for extras in [
+    let without_fields = output("");
+    assert!(without_fields.contains("FORWARD"), "{without_fields}");
+    for fields in [
         r#","estimate-ms":"soon""#,
         r#","estimate-ms":-4"#,
         r#","estimate-ms":null"#,
@@ -200,13 +206,13 @@
         r#","cores-needed":"many""#,
         r#","cores-needed":-1"#,
     ] {
-        assert_eq!(answer(extras), plain, "{extras}");
+        assert_eq!(output(fields), without_fields, "{fields}");
     }
 }
 
-/// The settings and endpoint lists of two schedulers, `s-0` and `s-1`, that differ in both.
+/// Returns a batch that starts two schedulers, `s-0` and `s-1`, with different settings and endpoint lists.
 fn two_schedulers() -> Vec<String> {
-    let boot = BOOT.replace('\n', "");
+    let boot = BOOT_INFO.replace('\n', "");
     let other = boot
         .replace("400.0", "60.0")
         .replace("6000", "900")
@@ -238,11 +244,11 @@
     lines
 }
 
-/// The batch of one step: a request, the start and the end of an earlier one, and a timer, for one of the
-/// two schedulers. `random` draws which, and how it goes.
-fn drawn_batch(step: u32, random: u32) -> Vec<String> {
+/// Returns the batch of one step for one of the two schedulers: a request, the start and end of an earlier one, and a
+/// timer. `random` determines the scheduler and the details.
+fn random_batch(step: u32, random: u32) -> Vec<String> {
     let (n, class, wait) = (random >> 30 & 1, random >> 29 & 1, random >> 20 & 63);
-    let about = |what: &str, step: u32| {
+    let event = |what: &str, step: u32| {
         format!(
             r#"{{"what":"{what}","scheduler":"s-{n}","req":"00000000-0000-0000-0000-{step:012x}""#
         )
@@ -251,14 +257,14 @@
     let finished = ending == "delivered";
     let request = format!(
         r#"{},"class":{class},"tenant":0,"remaining-ms":900}}"#,
-        about("INBOUND", step)
+        event("INBOUND", step)
     );
-    // One of an earlier step, which may be the other's: unknown to this one then.
+    // The earlier request may be one of the other scheduler, which is unknown to this one.
     let earlier = step.saturating_sub(1 + (random >> 16 & 3));
-    let start = format!(r#"{},"trial":0,"topic":1}}"#, about("INTERIM", earlier));
+    let start = format!(r#"{},"trial":0,"topic":1}}"#, event("INTERIM", earlier));
     let end = format!(
         r#"{},"trial":0,"ending":"{ending}","finished":{finished}}}"#,
-        about("SETTLED", earlier)
+        event("SETTLED", earlier)
     );
     let tick = format!(r#"{{"what":"TICK_DUE","scheduler":"s-{n}","tag":0}}"#);
     batch(
@@ -267,7 +273,7 @@
     )
 }
 
-/// The lines that name scheduler `n`.
+/// Returns the output lines of scheduler `n`.
 fn lines_of(n: u32, out: &str) -> Vec<String> {
     let own = format!(r#""scheduler":"s-{n}""#);
     out.lines()
@@ -276,16 +282,16 @@
         .collect()
 }
 
-/// Guards against state that the schedulers of one process share: each acts byte for byte as it does alone,
-/// whichever other scheduler with other settings is hosted beside it.
+/// Schedulers in one process must not share state. The output for each must be identical to the output when it is the
+/// only one.
 #[test]
 fn schedulers_of_one_process_share_nothing() {
     let mut lines = two_schedulers();
     let mut random = 7u32;
     for step in 0..600u32 {
-        // A plain linear congruential generator: the same sequence each time.
+        // A linear congruential generator, for the same sequence in each run.
         random = random.wrapping_mul(1_664_525).wrapping_add(1_013_904_223);
-        lines.extend(drawn_batch(step, random));
+        lines.extend(random_batch(step, random));
     }
     let both = run(&lines).expect("served");
     for n in 0..2 {
@@ -296,12 +302,15 @@
             .cloned()
             .collect();
         let alone = lines_of(n, &run(&alone).expect("served"));
-        let beside = lines_of(n, &both);
+        let together = lines_of(n, &both);
         assert!(
             alone.len() > 300 && alone.iter().any(|l| l.contains("SAY_NO")),
-            "{} lines",
+            "too few lines or no rejection in {} lines",
             alone.len()
         );
-        assert_eq!(alone, beside, "s-{n} acts otherwise beside another");
+        assert_eq!(
+            alone, together,
+            "s-{n} acts differently beside another scheduler"
+        );
     }
 }
