--- a/crates/jobs/src/machine/mod.rs
+++ b/crates/jobs/src/machine/mod.rs
@@ -7,9 +7,9 @@
 //!
 //! # Usage
 //!
-//! The caller reports events (`submit`, `on_alive`, `on_ended`, `on_fenced`, `on_list`, `tick`), appends
-//! [`records`](Jobs::records) to the log, performs the [`effects`](Jobs::effect), and reports each sync with
-//! `on_synced`.
+//! The caller reports events (`submit`, `on_heartbeat`, `on_ended`, `on_fence_reply`, `on_endpoint_list`,
+//! `tick`), appends [`records`](Jobs::records) to the log, performs the [`effects`](Jobs::effect), and reports
+//! each sync with `on_synced`.
 //!
 //! # Time
 //!
@@ -41,7 +41,8 @@
 
 use job::Job;
 pub use types::{
-    Boot, Counts, Effect, End, FenceReply, FenceStatus, Limits, Names, Sizes, Submitted, View,
+    AttemptEnd, Boot, Counts, Effect, FenceReply, FenceStatus, JobStatus, Limits, Names, Sizes,
+    Submitted,
 };
 
 /// Maximum number of finished jobs removed by one call of [`Jobs::tick`], which bounds its duration.
--- a/crates/jobs/src/machine/network.rs
+++ b/crates/jobs/src/machine/network.rs
@@ -8,7 +8,7 @@
 use oakshed_core::facade::{Ending, Facade, Micros, Observation, Report};
 
 use super::job::{Attempt, AttemptState, Stage, INITIAL_FENCE_INTERVAL};
-use super::{Effect, End, FenceReply, FenceStatus, Jobs, Pending};
+use super::{AttemptEnd, Effect, FenceReply, FenceStatus, Jobs, Pending};
 use crate::record::{Answer, JobId, Lease, Outcome, UNCONFIRMED_START};
 
 /// Maximum interval between two fences of an attempt: 60 s.
@@ -25,7 +25,7 @@
     /// Reports a new endpoint list. `starts` yields the start time of each worker in it, in Unix milliseconds.
     /// A list that is not `confirmed` was cached before this process started: its workers may have restarted
     /// since, and its addresses may belong to other workers by now.
-    pub fn on_list<'a>(
+    pub fn on_endpoint_list<'a>(
         &mut self,
         now: Micros,
         starts: impl Iterator<Item = (&'a Rc<str>, u64)>,
@@ -75,7 +75,7 @@
     }
 
     /// Reports a heartbeat of an attempt's worker: the job has `started`, or is still running.
-    pub fn on_alive(
+    pub fn on_heartbeat(
         &mut self,
         now: Micros,
         id: JobId,
@@ -114,7 +114,7 @@
         now: Micros,
         id: JobId,
         token: u64,
-        end: End,
+        end: AttemptEnd,
         load: Option<Report>,
         facade: &mut Facade,
     ) {
@@ -130,23 +130,23 @@
             return;
         }
         match end {
-            End::Result(result) => self.accept_result(id, token, result, load, facade),
-            End::Other(
+            AttemptEnd::Result(result) => self.accept_result(id, token, result, load, facade),
+            AttemptEnd::NoResult(
                 ending @ (Ending::Declined
                 | Ending::DialFailed
                 | Ending::Unused
                 | Ending::LocalFault),
             ) => self.record_never_ran(id, token, ending, load, facade),
-            End::Other(Ending::Error) => {
+            AttemptEnd::NoResult(Ending::Error) => {
                 self.end_attempt(id, token, AttemptState::Ended, Ending::Error, load, facade);
             }
             // The worker may know the outcome, and is fenced until the client's deadline.
-            End::Other(_) if self.limits.leases && client_waits => {
+            AttemptEnd::NoResult(_) if self.limits.leases && client_waits => {
                 attempt.state = AttemptState::Fencing;
                 attempt.fence_at = now;
                 self.process_due(id, facade);
             }
-            End::Other(ending) => {
+            AttemptEnd::NoResult(ending) => {
                 let ending = if ending == Ending::Delivered {
                     Ending::Dropped
                 } else {
@@ -161,7 +161,7 @@
 
     /// Reports a worker's reply to a fence, or `None` if there was no reply. `confirmed` is the value from
     /// [`Effect::Fence`].
-    pub fn on_fenced(
+    pub fn on_fence_reply(
         &mut self,
         now: Micros,
         id: JobId,
@@ -253,7 +253,11 @@
         if matches!(stage, Some(Stage::Finished(Answer::Rejected(_), _))) {
             self.retain_finished(id, Answer::Served(result));
         }
-        self.after_sync(Pending::Effect(Effect::Safe { id, token, worker }));
+        self.after_sync(Pending::Effect(Effect::NotifyResultStored {
+            id,
+            token,
+            worker,
+        }));
     }
 
     /// Schedules the next fence after one that yielded no outcome.
--- a/crates/jobs/tests/log_model/mod.rs
+++ b/crates/jobs/tests/log_model/mod.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use fastrand::Rng;
-use oakshed_jobs::fault::{Faulty, Operation, Outage};
-use oakshed_jobs::log::{encode_all, read_all, Backlog, Files, Log, LogError, Recovered};
+use oakshed_jobs::fault::{FaultyDirectory, Operation, Outage};
+use oakshed_jobs::log::{encode_all, read_all, Backlog, Log, LogDirectory, LogError, Recovered};
 use oakshed_jobs::record::{JobId, Record};
 
 /// The size of a segment: small, so that there are many.
@@ -34,7 +34,7 @@
     backlog.push(frames, lengths, first + records.len() as u64 - 1);
 }
 
-pub fn segments(disk: &Faulty) -> Vec<String> {
+pub fn segments(disk: &FaultyDirectory) -> Vec<String> {
     let mut names = disk.list().expect("names");
     names.retain(|name| name.len() == 24);
     names
@@ -43,7 +43,7 @@
 /// What was confirmed over all processes.
 pub struct Model {
     rng: Rng,
-    disk: Faulty,
+    disk: FaultyDirectory,
     process: u64,
     confirmed: BTreeMap<u64, Record>,
     trimmed: u64,
@@ -55,7 +55,7 @@
     pub fn run(seed: u64) -> Result<Model, String> {
         let mut model = Model {
             rng: Rng::with_seed(seed),
-            disk: Faulty::default(),
+            disk: FaultyDirectory::default(),
             process: 0,
             confirmed: BTreeMap::new(),
             trimmed: 0,
@@ -85,7 +85,7 @@
     }
 
     /// Opens the log, again and again where the system fails; nothing where it goes on failing.
-    fn open(&mut self) -> Result<Option<Log<Faulty>>, String> {
+    fn open(&mut self) -> Result<Option<Log<FaultyDirectory>>, String> {
         for _ in 0..20 {
             match Log::open(self.disk.clone(), SIZE) {
                 Ok((log, recovered)) => {
@@ -102,7 +102,7 @@
         Ok(None)
     }
 
-    fn check(&mut self, log: &Log<Faulty>, recovered: &Recovered) -> Result<(), String> {
+    fn check(&mut self, log: &Log<FaultyDirectory>, recovered: &Recovered) -> Result<(), String> {
         let read: BTreeMap<u64, &Record> = recovered.records.iter().map(|(n, r)| (*n, r)).collect();
         if read.len() != recovered.records.len() {
             return Err(format!("process {}: a record was read twice", self.process));
@@ -120,11 +120,14 @@
         if numbers.windows(2).any(|two| two[0] + 1 != two[1]) {
             return Err(format!("process {}: a hole in {numbers:?}", self.process));
         }
-        if numbers.last().is_some_and(|last| last + 1 != log.next()) {
+        if numbers
+            .last()
+            .is_some_and(|last| last + 1 != log.next_record())
+        {
             return Err(format!(
                 "process {}: {numbers:?}, and then {}",
                 self.process,
-                log.next()
+                log.next_record()
             ));
         }
         // The machine acts on what was read back: from here on it is confirmed.
@@ -144,7 +147,7 @@
                 2 | 3 => _ = self.disk.set_outage(None),
                 4 if self.rng.u32(0..3) == 0 => self.disk.stop_after(self.rng.u32(0..10)),
                 5 => {
-                    let low = log.next() - self.rng.u64(0..log.next().min(60));
+                    let low = log.next_record() - self.rng.u64(0..log.next_record().min(60));
                     // The end of the log goes only once all before it is durable.
                     if waiting.is_empty() {
                         self.trimmed = self.trimmed.max(low);
@@ -156,17 +159,17 @@
             if self.disk.has_stopped() {
                 return Ok(());
             }
-            let synced = log.next() - 1;
+            let synced = log.next_record() - 1;
             let first = waiting
                 .last_key_value()
-                .map_or(log.next(), |(number, _)| number + 1);
+                .map_or(log.next_record(), |(number, _)| number + 1);
             let records: Vec<Record> = (first..first + self.rng.u64(1..12))
                 .map(|number| record(number, self.process))
                 .collect();
             waiting.extend((first..).zip(records.iter().cloned()));
             enqueue(&mut backlog, first, synced, &records);
             let outcome = backlog.flush(&mut log);
-            let rest = waiting.split_off(&log.next());
+            let rest = waiting.split_off(&log.next_record());
             self.confirmed.append(&mut waiting);
             waiting = rest;
             if outcome.is_ok() != waiting.is_empty() || backlog.len() != waiting.len() {
@@ -186,7 +189,7 @@
 }
 
 /// Whether two segments contain the same record, or one of them the rest of a failed write.
-fn overlaps(disk: &Faulty) -> bool {
+fn overlaps(disk: &FaultyDirectory) -> bool {
     let outage = disk.set_outage(None);
     let names = segments(disk);
     let firsts: Vec<u64> = names
@@ -194,7 +197,7 @@
         .filter_map(|name| name[..20].parse().ok())
         .collect();
     let next = |first: u64, name: &String| {
-        let copy = Faulty::default();
+        let copy = FaultyDirectory::default();
         let bytes = disk.read(name).expect("there");
         copy.create(name, bytes.len()).expect("made");
         let file = copy.open(name).expect("there");
--- a/crates/server/src/net/hot_restart/mod.rs
+++ b/crates/server/src/net/hot_restart/mod.rs
@@ -27,7 +27,7 @@
 use tokio::net::UnixStream;
 use tracing::{info, warn};
 
-use super::transient::SteadyStream;
+use super::transient::RetryingStream;
 use super::Net;
 pub(super) use directory::SharedDirectory;
 use error::HotRestartError;
@@ -68,12 +68,12 @@
     }
 
     /// Whether this process may report readiness: it has no predecessor, or has notified it.
-    pub(super) fn replaces_predecessor(&self) -> bool {
+    pub(super) fn may_report_ready(&self) -> bool {
         !self.predecessor_unnotified.get()
     }
 
     /// Drops the duplicate of the listening socket, so that no successor gets it once this process stops accepting.
-    pub(super) fn stop_donating(&self) {
+    pub(super) fn drop_listener(&self) {
         self.listener.take();
     }
 
@@ -119,7 +119,7 @@
     link: BlockingStream,
 ) -> Result<(), HotRestartError> {
     link.set_nonblocking(true)?;
-    let mut link = SteadyStream::new(UnixStream::from_std(link)?);
+    let mut link = RetryingStream::new(UnixStream::from_std(link)?);
     while !net.can_serve() {
         tokio::time::sleep(POLL_PERIOD).await;
     }
--- a/crates/server/src/net/hot_restart/predecessor.rs
+++ b/crates/server/src/net/hot_restart/predecessor.rs
@@ -14,7 +14,7 @@
 use tokio::net::UnixStream;
 use tracing::info;
 
-use super::super::transient::{retry_until, SteadyStream};
+use super::super::transient::{retry_until, RetryingStream};
 use super::super::Net;
 use super::error::HotRestartError;
 use super::fingerprint::configuration_fingerprint;
@@ -32,7 +32,7 @@
     net: &Rc<Net>,
     link: UnixStream,
 ) -> Result<(), HotRestartError> {
-    let mut link = BufReader::new(SteadyStream::new(link));
+    let mut link = BufReader::new(RetryingStream::new(link));
     let mut greeting = String::new();
     let mut limited = (&mut link).take(MAX_LINE_LENGTH);
     let read = tokio::time::timeout(EXCHANGE_TIMEOUT, limited.read_line(&mut greeting)).await;
@@ -58,7 +58,7 @@
 /// Sends the socket and the message, then waits for the successor to report readiness and to exit.
 async fn pass_socket(
     net: &Rc<Net>,
-    mut link: BufReader<SteadyStream>,
+    mut link: BufReader<RetryingStream>,
     listener: &OwnedFd,
 ) -> Result<(), HotRestartError> {
     let text = message_text(net)?;
