--- a/crates/server/src/operator/jobs.rs
+++ b/crates/server/src/operator/jobs.rs
@@ -29,11 +29,11 @@
     #[schemars(range(min = 1, max = 1_000_000))]
     pub max_open: usize,
     /// The maximum number of retained jobs, including finished ones. Further jobs get 503.
-    #[serde(default = "default_max_kept")]
+    #[serde(default = "default_max_retained")]
     #[schemars(range(min = 1, max = 100_000_000))]
     pub max_kept: usize,
     /// The maximum total size of retained payloads and answers, in MiB. Further jobs get 503.
-    #[serde(default = "default_max_kept_mb")]
+    #[serde(default = "default_max_retained_mb")]
     #[schemars(range(min = 1, max = 1_048_576))]
     pub max_kept_mb: usize,
     /// The maximum payload size of a job, in KiB. Larger jobs get 413.
@@ -56,10 +56,10 @@
 fn default_max_open() -> usize {
     10_000
 }
-fn default_max_kept() -> usize {
+fn default_max_retained() -> usize {
     1_000_000
 }
-fn default_max_kept_mb() -> usize {
+fn default_max_retained_mb() -> usize {
     256
 }
 fn default_max_payload_kb() -> usize {
