--- a/crates/jobs/tests/common/mod.rs
+++ b/crates/jobs/tests/common/mod.rs
@@ -1,22 +1,29 @@
-//! A machine of durable jobs with one class, for tests that feed it by hand.
+//! Fixture for tests that drive the state machine of durable jobs directly, with a single request class.
 
 use oakshed_core::facade::{Facade, Micros, Settings};
-use oakshed_core::interface::{Class, Effect as Kind, Scope, Span};
+use oakshed_core::interface::{Class, Effect as ClassEffect, Scope, Span};
 use oakshed_jobs::machine::{Boot, Jobs, Limits, Names};
 use oakshed_jobs::record::Record;
 
+/// Time at which the tests start, in microseconds of Unix time.
 pub const NOW: Micros = 1_700_000_000_000_000;
+/// One second.
 pub const S: Micros = 1_000_000;
 
-/// A machine restored from these records, the next of which has the number `next`.
-pub fn machine(limits: Limits, records: Vec<(u64, Record)>, next: u64) -> (Jobs, Facade) {
+/// Restores the state machine from a log's records, and creates a facade for it. `next_record` is the number of
+/// the record that the state machine writes next.
+pub fn restore_jobs(
+    limits: Limits,
+    records: Vec<(u64, Record)>,
+    next_record: u64,
+) -> (Jobs, Facade) {
     let class = Class {
         latency_objective: Span::from_micros(S),
         stretch: 2.0,
         deadline: Span::from_micros(5 * S),
         priority_weight: 1.0,
         priority: 0,
-        effect: Kind::Unsafe,
+        effect: ClassEffect::Unsafe,
         scope: Scope::All,
         window: Span::ZERO,
         kind: None,
@@ -30,7 +37,7 @@
         tenants: Vec::new(),
     };
     let boot = Boot { id: 1, uptime: S };
-    let jobs = Jobs::restore(limits, names, records, next, NOW, boot);
-    let facade = Facade::new(settings, 1).expect("usable settings");
+    let jobs = Jobs::restore(limits, names, records, next_record, NOW, boot);
+    let facade = Facade::new(settings, 1).expect("the settings are valid");
     (jobs, facade)
 }
--- a/crates/jobs/tests/settled.rs
+++ b/crates/jobs/tests/settled.rs
@@ -1,4 +1,5 @@
-//! A job that an operator settles: its answer stays as it was, and as durable.
+//! Settlement of a job by an operator: the job's answer does not change, and stays available while the record of
+//! the settlement is not durable yet.
 
 mod common;
 
@@ -6,7 +7,7 @@
 use oakshed_jobs::machine::{Jobs, Limits, Submitted};
 use oakshed_jobs::record::{Answer, JobId, JobPayload, Key, Lease, Outcome, Record};
 
-use common::{machine, NOW, S};
+use common::{restore_jobs, NOW, S};
 
 fn payload() -> JobPayload {
     JobPayload {
@@ -16,8 +17,9 @@
     }
 }
 
-/// A machine with one job whose answer is durable, and of which nobody knows whether it ran.
-fn machine_with_an_indeterminate_job(id: JobId) -> (Jobs, Facade) {
+/// Restores the state machine with one failed job whose answer is durable and whose only attempt is
+/// indeterminate.
+fn restore_indeterminate_job(id: JobId) -> (Jobs, Facade) {
     let limits = Limits {
         leases: false,
         lease: S,
@@ -40,15 +42,15 @@
         indeterminate: vec![lease],
         outcome: None,
     };
-    machine(limits, vec![(2, finished)], 3)
+    restore_jobs(limits, vec![(2, finished)], 3)
 }
 
-/// Prevents a client that comes back between the settling and its sync from waiting for an answer that was
-/// given out long before, and is not given out again.
+/// Guards against a client that resubmits its job between the settlement and its sync, and then waits for an
+/// answer that is never sent, because the answer was already sent before the settlement.
 #[test]
-fn a_settled_job_has_its_answer_while_the_settling_is_not_durable() {
+fn a_settled_job_keeps_its_answer_while_the_settlement_is_not_durable() {
     let id = JobId::of(b"", Key::Idempotency(b"k-1"));
-    let (mut jobs, mut facade) = machine_with_an_indeterminate_job(id);
+    let (mut jobs, mut facade) = restore_indeterminate_job(id);
     let submit = |jobs: &mut Jobs, facade: &mut Facade| {
         jobs.submit(NOW, id, payload(), 5 * S, false, facade)
     };
@@ -57,7 +59,10 @@
         Submitted::Finished(Answer::Failed)
     );
     assert!(jobs.settle(NOW, id, Outcome::Ran));
-    assert!(!jobs.is_durable(id), "the settling has a record of its own");
+    assert!(
+        !jobs.is_durable(id),
+        "the settlement's record is not synced yet"
+    );
     assert_eq!(
         submit(&mut jobs, &mut facade),
         Submitted::Finished(Answer::Failed)
--- a/crates/jobs/tests/unsynced_limit.rs
+++ b/crates/jobs/tests/unsynced_limit.rs
@@ -1,4 +1,5 @@
-//! The jobs that are accepted while nothing becomes durable are bounded, until the disk works again.
+//! Limit on accepted jobs whose records are not durable yet. It bounds the memory that a scheduler uses while its
+//! disk is slow or failing.
 
 mod common;
 
@@ -6,9 +7,10 @@
 use oakshed_jobs::machine::{Effect, Jobs, Limits, Submitted};
 use oakshed_jobs::record::{JobId, JobPayload, Key};
 
-use common::{machine, NOW, S};
+use common::{restore_jobs, NOW, S};
 
-const BODY: usize = 60 << 10;
+/// Length of each request body in bytes.
+const BODY_LENGTH: usize = 60 << 10;
 
 fn limits() -> Limits {
     Limits {
@@ -21,10 +23,11 @@
     }
 }
 
+/// Submits the job with the key `n`.
 fn submit(jobs: &mut Jobs, facade: &mut Facade, n: u32) -> Submitted {
     let payload = JobPayload {
         class: "transfer".into(),
-        body: vec![7; BODY],
+        body: vec![7; BODY_LENGTH],
         ..JobPayload::default()
     };
     jobs.submit(
@@ -38,34 +41,34 @@
 }
 
 #[test]
-fn jobs_beyond_the_limit_are_rejected_until_what_waits_is_durable() {
-    let (mut jobs, mut facade) = machine(limits(), Vec::new(), 1);
-    let mut accepted_jobs = 0;
-    while submit(&mut jobs, &mut facade, accepted_jobs) == Submitted::Open {
-        accepted_jobs += 1;
+fn jobs_beyond_the_limit_are_rejected_until_earlier_ones_are_durable() {
+    let (mut jobs, mut facade) = restore_jobs(limits(), Vec::new(), 1);
+    let mut accepted_count = 0;
+    while submit(&mut jobs, &mut facade, accepted_count) == Submitted::Open {
+        accepted_count += 1;
         assert!(
-            accepted_jobs < 1_000,
-            "records that are not durable pile up without a bound"
+            accepted_count < 1_000,
+            "the number of jobs that are not durable is not limited"
         );
     }
     assert!(
-        accepted_jobs as usize * BODY > 4 << 20,
-        "{accepted_jobs} jobs are few for a disk that is only slow"
+        accepted_count as usize * BODY_LENGTH > 4 << 20,
+        "only {accepted_count} jobs were accepted; the limit is too low for a disk that is slow but works"
     );
     assert_eq!(
-        submit(&mut jobs, &mut facade, accepted_jobs),
+        submit(&mut jobs, &mut facade, accepted_count),
         Submitted::Busy
     );
-    // Who has a job there already is not rejected, and no effect has come yet.
+    // A resubmission of an accepted job is not rejected. No effect is returned before the sync.
     assert_eq!(submit(&mut jobs, &mut facade, 0), Submitted::Open);
     assert_eq!(jobs.effect(), None);
     let (first, records) = jobs.records();
     jobs.on_synced(NOW, first + records.len() as u64 - 1, &mut facade);
     let accepted =
         std::iter::from_fn(|| jobs.effect()).filter(|e| matches!(e, Effect::Accepted(_)));
-    assert_eq!(accepted.count(), accepted_jobs as usize);
+    assert_eq!(accepted.count(), accepted_count as usize);
     assert_eq!(
-        submit(&mut jobs, &mut facade, accepted_jobs),
+        submit(&mut jobs, &mut facade, accepted_count),
         Submitted::Open
     );
 }
