--- a/crates/jobs/tests/stored_form.rs
+++ b/crates/jobs/tests/stored_form.rs
@@ -1,4 +1,7 @@
-//! The stored form: a segment written before the code's terms were renamed is read, and written, as it was.
+//! Compatibility of the log's format with earlier builds.
+//!
+//! The fixture is a segment written by a build whose types and fields had other names. Records are encoded by
+//! position, so renaming must change neither how the segment is read nor the bytes that are written.
 
 use std::path::Path;
 
@@ -6,6 +9,7 @@
 use oakshed_jobs::log::{encode_all, read_all, MAGIC};
 use oakshed_jobs::record::{Answer, JobId, JobPayload, Lease, Outcome, Record};
 
+/// Directory of the fixture.
 const DIRECTORY: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/store-v1");
 const SEGMENT: &str = "00000000000000000001.log";
 
@@ -18,7 +22,7 @@
     }
 }
 
-/// A finished job with an indeterminate attempt.
+/// Returns the record of a finished job with one indeterminate attempt.
 fn finished(number: u128, answer: Answer, outcome: Option<Outcome>) -> Record {
     Record::Finished {
         at: 1_700_000_002_000_000,
@@ -30,7 +34,7 @@
     }
 }
 
-/// Each kind of record, with and without its optional parts.
+/// Returns the records of the fixture: each kind of record, with and without its optional parts.
 fn records() -> Vec<Record> {
     let payload = JobPayload {
         class: "transfer".into(),
@@ -79,17 +83,22 @@
 }
 
 #[test]
-fn a_segment_of_an_older_build_is_read_and_written_byte_for_byte() {
+fn a_segment_of_an_earlier_build_is_read_and_reproduced_byte_for_byte() {
     let mut expected = MAGIC.to_vec();
     expected.extend_from_slice(&1_u64.to_le_bytes());
     expected.extend_from_slice(&encode_all(1, 0, &records()).0);
-    let stored = std::fs::read(Path::new(DIRECTORY).join(SEGMENT)).expect("the kept segment");
-    assert!(stored == expected, "the stored form has changed");
+    let stored =
+        std::fs::read(Path::new(DIRECTORY).join(SEGMENT)).expect("the fixture segment is readable");
+    assert!(
+        stored == expected,
+        "the encoded records differ from the fixture"
+    );
 
-    let disk = Disk::open_read_only(Path::new(DIRECTORY)).expect("the kept directory");
-    let (recovered, damage) = read_all(&disk).expect("a readable store");
+    let disk =
+        Disk::open_read_only(Path::new(DIRECTORY)).expect("the fixture directory can be opened");
+    let (recovered, damage) = read_all(&disk).expect("the fixture can be decoded");
     assert!(damage.is_empty(), "{damage:?}");
     assert!(recovered.torn_tail.is_none());
-    let numbered: Vec<(u64, Record)> = (1..).zip(records()).collect();
-    assert_eq!(recovered.records, numbered);
+    let expected: Vec<(u64, Record)> = (1..).zip(records()).collect();
+    assert_eq!(recovered.records, expected);
 }
