--- a/crates/jobs/tests/group_outages.rs
+++ b/crates/jobs/tests/group_outages.rs
@@ -1,6 +1,7 @@
-//! Group commit on a real directory whose calls fail, or hang, for a while.
+//! Group commit and startup during outages of the disk.
 //!
-//! The faults are injected before the real disk; the tests wait for notifications, never for a span of time.
+//! The log is in a real directory, and a wrapper makes operations fail or hang before they reach the disk. The
+//! tests wait for events rather than for a fixed time.
 
 use std::fs::File;
 use std::io;
@@ -16,22 +17,27 @@
 use oakshed_jobs::record::{JobId, Record};
 use oakshed_jobs::startup::open_within;
 
-const SIZE: usize = 64 << 10;
-/// A failed test, not a slow machine, waits as long.
-const PATIENCE: Duration = Duration::from_secs(30);
+/// Size of a segment file in bytes.
+const SEGMENT_SIZE: usize = 64 << 10;
+/// Time limit of each wait; long enough that a slow machine does not reach it.
+const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What fails.
+/// Switches for the injected faults.
 #[derive(Default)]
 struct Faults {
     write: AtomicBool,
     sync: AtomicBool,
+    /// Fails all operations on the directory except `remove`.
     directory: AtomicBool,
     remove: AtomicBool,
+    /// Blocks `sync` for as long as it is set.
     hang: AtomicBool,
+    /// Number of operations that have failed.
     injected: AtomicU64,
 }
 
 impl Faults {
+    /// Fails with the error number if the fault is switched on.
     fn check(&self, fault: &AtomicBool, errno: i32) -> io::Result<()> {
         if fault.load(Ordering::SeqCst) {
             self.injected.fetch_add(1, Ordering::SeqCst);
@@ -41,15 +47,18 @@
     }
 }
 
+/// Linux error number of a device error.
 const EIO: i32 = 5;
+/// Linux error number of a full disk.
 const ENOSPC: i32 = 28;
 
-struct Failing {
+/// A directory on disk with injected faults.
+struct FailingDirectory {
     disk: Disk,
     faults: Arc<Faults>,
 }
 
-impl LogDirectory for Failing {
+impl LogDirectory for FailingDirectory {
     type File = File;
 
     fn list(&self) -> io::Result<Vec<String>> {
@@ -68,13 +77,13 @@
         self.faults.check(&self.faults.directory, ENOSPC)?;
         self.disk.create(name, size)
     }
-    fn write(&self, file: &File, at: usize, bytes: &[u8]) -> io::Result<()> {
+    fn write(&self, file: &File, offset: usize, bytes: &[u8]) -> io::Result<()> {
         if let Err(error) = self.faults.check(&self.faults.write, ENOSPC) {
-            // Half of it arrives.
-            self.disk.write(file, at, &bytes[..bytes.len() / 2])?;
+            // A failed write takes effect in part.
+            self.disk.write(file, offset, &bytes[..bytes.len() / 2])?;
             return Err(error);
         }
-        self.disk.write(file, at, bytes)
+        self.disk.write(file, offset, bytes)
     }
     fn sync(&self, file: &File) -> io::Result<()> {
         while self.faults.hang.load(Ordering::SeqCst) {
@@ -93,21 +102,23 @@
     }
 }
 
+/// Starts group commit on an empty log.
 fn start(path: &Path, faults: &Arc<Faults>) -> (GroupCommit, Receiver<StoreEvent>) {
-    let disk = Disk::lock(path).expect("the directory");
+    let disk = Disk::lock(path).expect("the directory can be locked");
     let (log, _) = Log::open(
-        Failing {
+        FailingDirectory {
             disk,
             faults: faults.clone(),
         },
-        SIZE,
+        SEGMENT_SIZE,
     )
-    .expect("a log");
+    .expect("the log can be opened");
     assert_eq!(log.next_record(), 1);
-    let (tx, rx) = channel();
+    let (sender, events) = channel();
     (
-        GroupCommit::start(log, move |event| _ = tx.send(event)).expect("a thread"),
-        rx,
+        GroupCommit::start(log, move |event| _ = sender.send(event))
+            .expect("the thread can be started"),
+        events,
     )
 }
 
@@ -125,11 +136,13 @@
     group_commit.append(frames, lengths, last);
 }
 
-/// Waits until all up to a number is durable; what was notified meanwhile.
-fn until_synced(events: &Receiver<StoreEvent>, last: u64) -> Vec<StoreEvent> {
+/// Waits until all records up to `last` are durable. Returns the events up to then.
+fn wait_until_synced(events: &Receiver<StoreEvent>, last: u64) -> Vec<StoreEvent> {
     let mut seen = Vec::new();
     loop {
-        let event = events.recv_timeout(PATIENCE).expect("an event");
+        let event = events
+            .recv_timeout(TIMEOUT)
+            .expect("an event arrives in time");
         let done = matches!(event, StoreEvent::Synced { number, .. } if number == last);
         seen.push(event);
         if done {
@@ -138,181 +151,215 @@
     }
 }
 
-fn numbers_on(path: &Path) -> Vec<u64> {
-    let disk = Disk::lock(path).expect("nobody has it");
-    let (_, recovered) = Log::open(disk, SIZE).expect("not damaged");
-    recovered.records.iter().map(|r| r.0).collect()
+/// Opens the log in a directory, and returns the numbers of its records.
+fn record_numbers(path: &Path) -> Vec<u64> {
+    let disk = Disk::lock(path).expect("the directory is not locked");
+    let (_, recovered) = Log::open(disk, SEGMENT_SIZE).expect("the log is not damaged");
+    recovered
+        .records
+        .iter()
+        .map(|(number, _)| *number)
+        .collect()
 }
 
-/// A started group commit whose folder has the records 1 to 3.
-fn with_three_records(folder: &Path, faults: &Arc<Faults>) -> (GroupCommit, Receiver<StoreEvent>) {
-    let (group_commit, events) = start(folder, faults);
+/// Starts group commit in a directory and makes records 1 to 3 durable.
+fn start_with_three_records(
+    directory: &Path,
+    faults: &Arc<Faults>,
+) -> (GroupCommit, Receiver<StoreEvent>) {
+    let (group_commit, events) = start(directory, faults);
     append(&group_commit, 1..=3);
-    until_synced(&events, 3);
+    wait_until_synced(&events, 3);
     (group_commit, events)
 }
 
-/// An outage of one kind: nothing is durable during it, all is after it, and two events report it.
-fn outage(name: &str, fault: impl Fn(&Faults) -> &AtomicBool) {
-    let folder = tempfile::tempdir().expect("a folder");
+/// Runs an outage of one operation. All records must be durable after it, and one event each must report its
+/// start and its end.
+fn run_outage(name: &str, fault: impl Fn(&Faults) -> &AtomicBool) {
+    let directory = tempfile::tempdir().expect("a temporary directory can be created");
     let faults = Arc::new(Faults::default());
-    let (group_commit, events) = with_three_records(folder.path(), &faults);
+    let (group_commit, events) = start_with_three_records(directory.path(), &faults);
     fault(&faults).store(true, Ordering::SeqCst);
     append(&group_commit, 4..=5);
     assert!(
-        matches!(
-            events.recv_timeout(PATIENCE),
-            Ok(StoreEvent::OutageBegan(_))
-        ),
+        matches!(events.recv_timeout(TIMEOUT), Ok(StoreEvent::OutageBegan(_))),
         "{name}"
     );
-    // It is tried again, and what comes meanwhile waits too.
+    // Records that are appended during the outage wait with the first ones while the operation is retried.
     let injected = faults.injected.load(Ordering::SeqCst);
     let start = Instant::now();
     let mut number = 5;
     while faults.injected.load(Ordering::SeqCst) < injected + 4 {
-        assert!(start.elapsed() < PATIENCE, "{name}: no retry");
+        assert!(
+            start.elapsed() < TIMEOUT,
+            "{name}: the operation is not retried"
+        );
         number += 1;
         append(&group_commit, number..=number);
         std::thread::sleep(Duration::from_millis(5));
     }
     fault(&faults).store(false, Ordering::SeqCst);
-    let seen = until_synced(&events, number);
-    let began = seen
+    let later_events = wait_until_synced(&events, number);
+    let began = later_events
         .iter()
         .filter(|event| matches!(event, StoreEvent::OutageBegan(_)))
         .count();
-    assert_eq!(began, 0, "{name}: one event is enough");
+    assert_eq!(
+        began, 0,
+        "{name}: the start of the outage was reported again"
+    );
     assert!(
         matches!(
-            events.recv_timeout(PATIENCE),
+            events.recv_timeout(TIMEOUT),
             Ok(StoreEvent::OutageEnded { .. })
         ),
         "{name}"
     );
     drop(group_commit);
     assert_eq!(
-        numbers_on(folder.path()),
+        record_numbers(directory.path()),
         (1..=number).collect::<Vec<_>>(),
         "{name}"
     );
 }
 
 #[test]
-fn records_wait_for_failing_syncs_to_recover() {
-    outage("sync", |faults| &faults.sync);
+fn records_become_durable_after_an_outage_of_syncs() {
+    run_outage("sync", |faults| &faults.sync);
 }
 
 #[test]
-fn records_wait_for_failing_writes_to_recover() {
-    outage("write", |faults| &faults.write);
+fn records_become_durable_after_an_outage_of_writes() {
+    run_outage("write", |faults| &faults.write);
 }
 
 #[test]
-fn removal_of_segments_is_retried() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn failed_removal_of_segments_is_retried() {
+    let directory = tempfile::tempdir().expect("a temporary directory can be created");
     let faults = Arc::new(Faults::default());
-    let (group_commit, events) = start(folder.path(), &faults);
-    let files = || std::fs::read_dir(folder.path()).expect("there").count();
-    // More than two files' worth.
-    let last = (2 * SIZE / 30) as u64;
+    let (group_commit, events) = start(directory.path(), &faults);
+    let file_count = || {
+        std::fs::read_dir(directory.path())
+            .expect("the directory is readable")
+            .count()
+    };
+    // Enough records to fill the first segment, which can be removed once a second one follows.
+    let last = (2 * SEGMENT_SIZE / 30) as u64;
     append(&group_commit, 1..=last);
-    until_synced(&events, last);
-    let before = files();
+    wait_until_synced(&events, last);
+    let before = file_count();
     faults.remove.store(true, Ordering::SeqCst);
     group_commit.trim(last);
-    let failed = || events.recv_timeout(PATIENCE).expect("an event");
-    while !matches!(failed(), StoreEvent::TrimFailed(_)) {}
-    // Appends go on meanwhile.
+    let next_event = || {
+        events
+            .recv_timeout(TIMEOUT)
+            .expect("an event arrives in time")
+    };
+    while !matches!(next_event(), StoreEvent::TrimFailed(_)) {}
+    // Records can still be appended while the removal is retried.
     append(&group_commit, last + 1..=last + 1);
-    until_synced(&events, last + 1);
-    assert_eq!(files(), before);
+    wait_until_synced(&events, last + 1);
+    assert_eq!(file_count(), before);
     faults.remove.store(false, Ordering::SeqCst);
     let start = Instant::now();
-    while files() == before {
-        assert!(start.elapsed() < PATIENCE, "never removed");
+    while file_count() == before {
+        assert!(start.elapsed() < TIMEOUT, "the segment was not removed");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Stops a group commit, in less than a second.
-fn stop_at_once(group_commit: GroupCommit) {
+/// Stops group commit, which must take less than a second.
+fn stop_promptly(group_commit: GroupCommit) {
     let begin = Instant::now();
     drop(group_commit);
     let took = begin.elapsed();
-    assert!(took < Duration::from_secs(1), "{took:?}");
+    assert!(took < Duration::from_secs(1), "stopping took {took:?}");
 }
 
-/// A stop comes while the disk fails, or does not answer at all.
+/// Guards against a shutdown that waits for a disk whose syncs fail or never return.
 #[test]
 fn a_stop_during_an_outage_is_short_and_loses_no_confirmed_record() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let directory = tempfile::tempdir().expect("a temporary directory can be created");
     let faults = Arc::new(Faults::default());
-    let (group_commit, events) = with_three_records(folder.path(), &faults);
+    let (group_commit, events) = start_with_three_records(directory.path(), &faults);
     faults.sync.store(true, Ordering::SeqCst);
     append(&group_commit, 4..=4);
     assert!(matches!(
-        events.recv_timeout(PATIENCE),
+        events.recv_timeout(TIMEOUT),
         Ok(StoreEvent::OutageBegan(_))
     ));
-    stop_at_once(group_commit);
-    assert!(numbers_on(folder.path()).starts_with(&[1, 2, 3]));
-    let other = tempfile::tempdir().expect("a folder");
+    stop_promptly(group_commit);
+    assert!(record_numbers(directory.path()).starts_with(&[1, 2, 3]));
+    let other_directory = tempfile::tempdir().expect("a temporary directory can be created");
     faults.sync.store(false, Ordering::SeqCst);
-    let (group_commit, events) = start(other.path(), &faults);
+    let (group_commit, events) = start(other_directory.path(), &faults);
     append(&group_commit, 1..=1);
-    until_synced(&events, 1);
+    wait_until_synced(&events, 1);
     faults.hang.store(true, Ordering::SeqCst);
     append(&group_commit, 2..=2);
-    stop_at_once(group_commit);
+    stop_promptly(group_commit);
     faults.hang.store(false, Ordering::SeqCst);
 }
 
-/// A start that the system fails: tried again for a while, and never an empty log in place of what is there.
+/// Guards against a startup that treats an unreadable log as an empty one. Transient errors are retried until the
+/// timeout, and other errors are reported immediately.
 #[test]
-fn a_start_retries_for_a_while_and_then_reports_the_fault() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn startup_retries_transient_errors_until_its_timeout() {
+    let directory = tempfile::tempdir().expect("a temporary directory can be created");
     let faults = Arc::new(Faults::default());
-    let (group_commit, _events) = with_three_records(folder.path(), &faults);
+    let (group_commit, _events) = start_with_three_records(directory.path(), &faults);
     drop(group_commit);
-    let failing = || {
-        Ok(Failing {
-            disk: Disk::lock(folder.path())?,
+    let open_directory = || {
+        Ok(FailingDirectory {
+            disk: Disk::lock(directory.path())?,
             faults: faults.clone(),
         })
     };
-    // For good, as far as this start goes.
+    // The fault outlasts the timeout.
     faults.directory.store(true, Ordering::SeqCst);
     let begin = Instant::now();
-    let outcome = open_within(Duration::from_millis(300), SIZE, failing, |_| {});
-    let message = outcome
+    let result = open_within(
+        Duration::from_millis(300),
+        SEGMENT_SIZE,
+        open_directory,
+        |_| {},
+    );
+    let message = result
         .map(|_| ())
-        .expect_err("nothing can be read")
+        .expect_err("the directory cannot be listed")
         .to_string();
     assert!(message.contains("listing the directory"), "{message}");
     assert!(
         begin.elapsed() < Duration::from_secs(5),
-        "{:?}",
+        "startup took {:?}",
         begin.elapsed()
     );
-    // For a moment.
-    let mut tries = 0;
-    let on_fault = |_: &LogError| {
-        tries += 1;
-        faults.directory.store(tries < 3, Ordering::SeqCst);
+    // The fault ends before the third retry.
+    let mut retries = 0;
+    let on_retry = |_: &LogError| {
+        retries += 1;
+        faults.directory.store(retries < 3, Ordering::SeqCst);
     };
     let (log, recovered) =
-        open_within(PATIENCE, SIZE, failing, on_fault).expect("the disk works again");
+        open_within(TIMEOUT, SEGMENT_SIZE, open_directory, on_retry).expect("the disk works again");
     assert_eq!(
-        (recovered.records.len(), log.next_record(), tries),
+        (recovered.records.len(), log.next_record(), retries),
         (3, 4, 3)
     );
-    // What no retry can change is reported at once.
+    // A held lock is not a transient error: it is reported immediately.
     let begin = Instant::now();
-    let outcome = open_within(PATIENCE, SIZE, || Disk::lock(folder.path()), |_| {});
-    let message = outcome.map(|_| ()).expect_err("it is in use").to_string();
+    let result = open_within(
+        TIMEOUT,
+        SEGMENT_SIZE,
+        || Disk::lock(directory.path()),
+        |_| {},
+    );
+    let message = result
+        .map(|_| ())
+        .expect_err("the directory is locked")
+        .to_string();
     assert!(
-        message.contains("another process") && begin.elapsed() < PATIENCE / 2,
+        message.contains("another process") && begin.elapsed() < TIMEOUT / 2,
         "{message}"
     );
 }
