--- a/crates/jobs/tests/seeds/mod.rs
+++ b/crates/jobs/tests/seeds/mod.rs
@@ -1,8 +1,9 @@
-//! Which seeds a simulation runs.
+//! Selection of the seeds that a simulation runs.
 
 use std::ops::RangeInclusive;
 
-/// The seeds of `OAKSHED_SEEDS`, as `FROM-TO` or one number, or else the default ones.
+/// Returns the seeds given by the environment variable `OAKSHED_SEEDS`, either `FROM-TO` or a single number.
+/// Returns `default` if the variable is unset or invalid.
 pub fn seeds(default: RangeInclusive<u64>) -> RangeInclusive<u64> {
     let Ok(text) = std::env::var("OAKSHED_SEEDS") else {
         return default;
--- a/crates/jobs/tests/simulation.rs
+++ b/crates/jobs/tests/simulation.rs
@@ -1,7 +1,8 @@
-//! Scheduler, log, disk, workers, network and clients on virtual time, from a seed: everything crashes,
-//! and the invariants are checked against what the workers really did.
+//! Deterministic simulation of durable jobs under random faults.
 //!
-//! The state machine, the log and the decisions are the real ones. A failing seed prints its command.
+//! Scheduler processes, the disk, workers, the network and clients are simulated and fail at random; the state
+//! machine, the log and the scheduling decisions are the real code. The invariants are checked against what the
+//! simulated workers ran. A failing seed is printed with the command that replays it.
 
 mod seeds;
 mod world;
@@ -9,7 +10,7 @@
 use std::ops::RangeInclusive;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// The seeds of the simulation, unless `OAKSHED_SEEDS` names others.
+/// Default seeds of the simulation; `OAKSHED_SEEDS` overrides them.
 const SEEDS: RangeInclusive<u64> = 0..=19_999;
 
 #[test]
@@ -28,25 +29,29 @@
                     return;
                 }
                 match std::panic::catch_unwind(|| world::World::run(seed, verbose)) {
-                    Ok(Ok(events)) => total.lock().expect("not poisoned").add(&events),
-                    Ok(Err(why)) => fail(seed, &why),
-                    Err(_) => fail(seed, "it panicked, as printed above"),
+                    Ok(Ok(coverage)) => total
+                        .lock()
+                        .expect("no thread panics with the lock")
+                        .add(&coverage),
+                    Ok(Err(violation)) => fail(seed, &violation),
+                    Err(_) => fail(seed, "the simulation panicked, see the message above"),
                 }
             });
         }
     });
-    let total = total.into_inner().expect("not poisoned");
+    let total = total.into_inner().expect("no thread panics with the lock");
     println!("{count} seeds: {total:?}");
-    // A simulation in which nothing happens proves nothing.
+    // A run of this length must cover each kind of event.
     if count >= 1_000 {
-        for (what, n) in total.all() {
-            assert!(n > 0, "never happened: {what}");
+        for (kind, occurrences) in total.required() {
+            assert!(occurrences > 0, "never happened: {kind}");
         }
     }
 }
 
-fn fail(seed: u64, why: &str) {
-    eprintln!("seed {seed}: {why}");
+/// Prints a violation and the command that replays its seed, and exits.
+fn fail(seed: u64, violation: &str) {
+    eprintln!("seed {seed}: {violation}");
     eprintln!(
         "replay: OAKSHED_SEEDS={seed} cargo test -p oakshed-jobs --test simulation -- --nocapture"
     );
--- a/crates/jobs/tests/world/clients.rs
+++ b/crates/jobs/tests/world/clients.rs
@@ -1,4 +1,6 @@
-//! Clients: their submissions, patience and retries. They use only what real clients may call.
+//! Simulated clients: they submit jobs, poll for answers, cancel, time out and retry.
+//!
+//! They call only the functions of the state machine that serve requests of real clients.
 
 use oakshed_core::facade::Micros;
 use oakshed_jobs::machine::Submitted;
@@ -6,17 +8,22 @@
 
 use super::{Event, World, MS, S};
 
+/// A client of one job.
 #[derive(Clone)]
 pub(super) struct Client {
     pub(super) id: JobId,
+    /// Index of the class: 0 for `transfer`, which must not run twice, 1 for `new-plate`, which is keyed.
     pub(super) class: usize,
+    /// Whether it polls for the answer instead of waiting for it.
     pub(super) detached: bool,
+    /// Number of submissions so far.
     pub(super) tries: u32,
-    /// Sees its answer, or has given up for good.
+    /// Whether it has its answer, or does not submit the job again after a rejection.
     pub(super) done: bool,
-    pub(super) awaits_answer: bool,
-    /// When its present wait ends.
-    pub(super) until: Micros,
+    /// Whether its detached job was accepted, so that it polls for the answer.
+    pub(super) polls_answer: bool,
+    /// Time at which its current wait for an answer ends.
+    pub(super) waits_until: Micros,
 }
 
 impl World {
@@ -35,25 +42,26 @@
         }
     }
 
-    /// A client comes: it asks for an accepted job, or submits its job, perhaps again.
+    /// Sends a client's next request: polls for the answer of an accepted job, or submits the job, again if
+    /// necessary.
     pub(super) fn run_client(&mut self, n: usize) {
         if self.clients[n].done {
             return;
         }
         let id = self.clients[n].id;
-        let again = self.rng.u64(20 * MS..S);
+        let retry_delay = self.rng.u64(20 * MS..S);
         if self.scheduler.is_none() {
-            return self.after(again, Event::Client(n));
+            return self.schedule(retry_delay, Event::ClientRequest(n));
         }
-        if self.clients[n].detached && self.clients[n].awaits_answer {
-            return self.poll_answer(n, again);
+        if self.clients[n].detached && self.clients[n].polls_answer {
+            return self.poll_answer(n, retry_delay);
         }
         self.clients[n].tries += 1;
-        // The disk may have capacity again; a full store writes nothing by which to notice.
+        // While the disk is full no job is accepted, so the scheduler must check for space without a write.
         self.check_capacity();
         if self.disk.has_stopped() {
-            self.handle(Event::Kill { boot: false });
-            return self.after(again, Event::Client(n));
+            self.handle(Event::KillScheduler { reboot: false });
+            return self.schedule(retry_delay, Event::ClientRequest(n));
         }
         if self.chance(30) {
             let cancelled = self
@@ -62,38 +70,39 @@
                 })
                 .flatten();
             if cancelled == Some(true) {
-                self.coverage.note("cancelled");
+                self.coverage.count("cancelled");
             }
         }
-        self.submit(n, again);
+        self.submit(n, retry_delay);
     }
 
-    /// A client asks for the answer of a job that was accepted.
-    fn poll_answer(&mut self, n: usize, again: Micros) {
+    /// Polls for the answer of a job that was accepted.
+    fn poll_answer(&mut self, n: usize, retry_delay: Micros) {
         let id = self.clients[n].id;
-        let view = self
+        let status = self
             .with_scheduler(|scheduler, _| scheduler.jobs.status(id))
             .flatten();
-        // The job must be known as long as answers are retained.
-        let Some(view) = view else {
-            return self.violation(format!("{id}: accepted, and not known any more"));
+        // An accepted job must be known for as long as answers are retained.
+        let Some(status) = status else {
+            return self.report_violation(format!("{id}: unknown after it was accepted"));
         };
-        match view.answer {
+        match status.answer {
             Some(answer) => self.on_answer(n, answer),
-            None => self.after(again, Event::Client(n)),
+            None => self.schedule(retry_delay, Event::ClientRequest(n)),
         }
     }
 
-    fn submit(&mut self, n: usize, again: Micros) {
+    /// Submits a client's job, and schedules the end of the client's wait.
+    fn submit(&mut self, n: usize, retry_delay: Micros) {
         let id = self.clients[n].id;
         let detached = self.clients[n].detached;
         let payload = self.payload(n);
         let wait = self.rng.u64(300 * MS..5 * S);
-        let patience = wait + 2 * S;
-        self.clients[n].until = self.now + patience;
+        let client_timeout = wait + 2 * S;
+        self.clients[n].waits_until = self.now + client_timeout;
         let tries = self.clients[n].tries;
-        self.after(patience, Event::LosesPatience(n, tries));
-        self.truth.entry(id).or_default().reported_unrun = false;
+        self.schedule(client_timeout, Event::ClientTimeout(n, tries));
+        self.truth.entry(id).or_default().reported_never_run = false;
         let submitted = self.with_scheduler(|scheduler, now| {
             let facade = &mut scheduler.facade;
             scheduler
@@ -107,41 +116,44 @@
                 }
             }
             Some(Submitted::Finished(answer)) => {
-                self.coverage.note("submitted again");
+                self.coverage.count("finished job resubmitted");
                 self.on_answer(n, answer);
             }
-            Some(Submitted::Conflict) => self.violation(format!("{id}: a conflict with itself")),
-            _ => self.after(again, Event::Client(n)),
+            Some(Submitted::Conflict) => {
+                self.report_violation(format!("{id}: a resubmission conflicts with the job"));
+            }
+            _ => self.schedule(retry_delay, Event::ClientRequest(n)),
         }
     }
 
-    /// A client comes again after this span.
-    pub(super) fn come_again(&mut self, n: usize, span: Micros) {
-        self.clients[n].awaits_answer = false;
-        self.clients[n].until = self.now;
-        self.after(span, Event::Client(n));
+    /// Ends a client's wait, and lets it submit the job again after a delay.
+    pub(super) fn resubmit_later(&mut self, n: usize, delay: Micros) {
+        self.clients[n].polls_answer = false;
+        self.clients[n].waits_until = self.now;
+        self.schedule(delay, Event::ClientRequest(n));
     }
 
-    pub(super) fn answer_waiting(&mut self, id: JobId, answer: Option<Answer>) {
+    /// Notifies all clients that wait for a job of its answer, or of its acceptance if there is no answer yet.
+    pub(super) fn notify_waiting_clients(&mut self, id: JobId, answer: Option<Answer>) {
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
         let waiting = scheduler.waiting.remove(&id).unwrap_or_default();
         if let Some(Answer::Rejected(_) | Answer::Cancelled) = &answer {
-            self.truth.entry(id).or_default().reported_unrun = true;
+            self.truth.entry(id).or_default().reported_never_run = true;
         }
         for n in waiting {
             match &answer {
                 Some(answer) => self.on_answer(n, answer.clone()),
                 None if self.clients[n].detached => {
-                    self.clients[n].awaits_answer = true;
-                    let again = self.rng.u64(20 * MS..S);
-                    self.after(again, Event::Client(n));
+                    self.clients[n].polls_answer = true;
+                    let retry_delay = self.rng.u64(20 * MS..S);
+                    self.schedule(retry_delay, Event::ClientRequest(n));
                 }
                 None => self
                     .scheduler
                     .as_mut()
-                    .expect("there")
+                    .expect("the scheduler is running")
                     .waiting
                     .entry(id)
                     .or_default()
--- a/crates/jobs/tests/world/coverage.rs
+++ b/crates/jobs/tests/world/coverage.rs
@@ -1,51 +1,55 @@
-//! What happened in a simulation, counted, so that a test that covers nothing is noticed.
+//! Counts of the faults and outcomes in simulations, by which the test detects that one of them never occurred.
 
 use std::collections::BTreeMap;
 
-/// How often each kind of event happened.
+/// Number of occurrences of each kind of event.
 #[derive(Debug, Default)]
 pub struct Coverage(BTreeMap<&'static str, u64>);
 
-const ALL: [&str; 24] = [
+/// The kinds of events that a long run of the simulation must cover.
+const REQUIRED: [&str; 24] = [
     "served",
     "failed",
     "rejected",
     "cancelled",
-    "submitted again",
-    "killed",
-    "booted",
-    "torn",
-    "clock jumped",
+    "finished job resubmitted",
+    "process killed",
+    "machine rebooted",
+    "torn tail",
+    "clock stepped",
     "worker restarted",
     "sync failed",
     "outage",
-    "killed during an outage",
-    "start delayed",
+    "kill during an outage",
+    "start retried",
     "disk full",
     "fence never",
     "fence running",
     "fence done",
     "fence lost",
     "settled",
-    "trimmed",
-    "old list",
-    "sent to a stranger",
-    "stranger asked",
+    "log trimmed",
+    "stale list",
+    "attempt sent to another worker",
+    "fence sent to another worker",
 ];
 
 impl Coverage {
-    pub(super) fn note(&mut self, what: &'static str) {
-        *self.0.entry(what).or_default() += 1;
+    pub(super) fn count(&mut self, kind: &'static str) {
+        *self.0.entry(kind).or_default() += 1;
     }
 
+    /// Adds the counts of another simulation.
     pub fn add(&mut self, other: &Coverage) {
-        for (what, n) in &other.0 {
-            *self.0.entry(what).or_default() += n;
+        for (kind, count) in &other.0 {
+            *self.0.entry(kind).or_default() += count;
         }
     }
 
-    pub fn all(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
-        ALL.iter()
-            .map(|what| (*what, self.0.get(what).copied().unwrap_or(0)))
+    /// Returns the required kinds of events with their counts.
+    pub fn required(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
+        REQUIRED
+            .iter()
+            .map(|kind| (*kind, self.0.get(kind).copied().unwrap_or(0)))
     }
 }
--- a/crates/jobs/tests/world/effects.rs
+++ b/crates/jobs/tests/world/effects.rs
@@ -1,4 +1,4 @@
-//! The effects of the state machine, carried out on the simulated network and disk.
+//! Performs the effects of the state machine on the simulated network and disk.
 
 use std::rc::Rc;
 
@@ -6,16 +6,16 @@
 use oakshed_jobs::machine::Effect;
 use oakshed_jobs::record::JobId;
 
-use super::workers::{result_of, Connection, WorkerMessage};
+use super::workers::{result_of, Connection, ConnectionEvent};
 use super::{AttemptRef, Event, FenceRef, World, MS};
 
 impl World {
-    pub(super) fn carry_out(&mut self, effect: Effect) {
-        self.log(|| format!("  {effect:?}"));
+    pub(super) fn perform(&mut self, effect: Effect) {
+        self.trace(|| format!("  {effect:?}"));
         match effect {
-            Effect::Accepted(id) => self.answer_waiting(id, None),
-            Effect::Answer(id, answer) => self.answer_waiting(id, Some(answer)),
-            Effect::Trim(low) => self.trim(low),
+            Effect::Accepted(id) => self.notify_waiting_clients(id, None),
+            Effect::Answer(id, answer) => self.notify_waiting_clients(id, Some(answer)),
+            Effect::Trim(oldest_needed) => self.trim(oldest_needed),
             Effect::Attempt {
                 id,
                 token,
@@ -25,9 +25,9 @@
                 ..
             } => {
                 let class = usize::from(payload.class != "transfer");
-                self.dial(id, token, &worker, until, class);
+                self.dial_worker(id, token, &worker, until, class);
             }
-            Effect::Stop { id, token } => self.stop(id, token),
+            Effect::Stop { id, token } => self.close_attempt(id, token),
             Effect::Fence {
                 id,
                 token,
@@ -40,36 +40,47 @@
                     token,
                     confirmed,
                 };
-                self.fence(fence, &worker);
+                self.send_fence(fence, &worker);
             }
             Effect::NotifyResultStored { id, worker, .. } => {
-                let listener = self.listener(&worker);
-                if let Some(listener) = listener.filter(|_| !self.chance(100)) {
-                    let known = self.workers[listener].known.entry(id).or_default();
-                    known.result = Some(result_of(id));
+                let receiver = self.receiver(&worker);
+                if let Some(receiver) = receiver.filter(|_| !self.chance(100)) {
+                    let job = self.workers[receiver].history.entry(id).or_default();
+                    job.result = Some(result_of(id));
                 }
             }
         }
     }
 
-    fn trim(&mut self, low: u64) {
+    fn trim(&mut self, oldest_needed: u64) {
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
-        match scheduler.log.trim(low) {
+        match scheduler.log.trim(oldest_needed) {
             Ok(0) => {}
-            Ok(_) => self.coverage.note("trimmed"),
-            Err(_) if self.disk.has_stopped() => self.handle(Event::Kill { boot: false }),
+            Ok(_) => self.coverage.count("log trimmed"),
+            Err(_) if self.disk.has_stopped() => {
+                self.handle(Event::KillScheduler { reboot: false });
+            }
             Err(_) => {}
         }
     }
 
-    fn dial(&mut self, id: JobId, token: u64, worker: &Rc<str>, until: Micros, class: usize) {
-        if let Some(listener) = self.listener(worker) {
-            if self.workers[listener].name != *worker {
-                self.coverage.note("sent to a stranger");
+    /// Sends an attempt to the worker at the address that the scheduler has for `worker`. If there is none, the
+    /// attempt ends with a failure to connect.
+    fn dial_worker(
+        &mut self,
+        id: JobId,
+        token: u64,
+        worker: &Rc<str>,
+        until: Micros,
+        class: usize,
+    ) {
+        if let Some(receiver) = self.receiver(worker) {
+            if self.workers[receiver].name != *worker {
+                self.coverage.count("attempt sent to another worker");
             }
-            return self.attempt(id, token, listener, until, class);
+            return self.send_attempt(id, token, receiver, until, class);
         }
         let connection = self.connections.len() as u64;
         self.connections.push(Connection {
@@ -77,7 +88,7 @@
             worker_process: 0,
             open: true,
             drops_messages: false,
-            last: 0,
+            last_arrival: 0,
         });
         if let Some(scheduler) = &mut self.scheduler {
             scheduler.connections.insert((id, token), connection);
@@ -87,12 +98,13 @@
             id,
             token,
         };
-        let wait = self.delay();
-        let message = WorkerMessage::ended(Ending::DialFailed);
-        self.after(wait, Event::WorkerSays { attempt, message });
+        let wait = self.network_delay();
+        let event = ConnectionEvent::ended(Ending::DialFailed);
+        self.schedule(wait, Event::Connection { attempt, event });
     }
 
-    fn stop(&mut self, id: JobId, token: u64) {
+    /// Closes the scheduler's side of an attempt's connection.
+    fn close_attempt(&mut self, id: JobId, token: u64) {
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
@@ -101,24 +113,25 @@
         }
     }
 
-    fn fence(&mut self, fence: FenceRef, worker: &Rc<str>) {
-        let listener = self.listener(worker).filter(|_| !self.chance(150));
-        let Some(listener) = listener else {
-            let wait = self.delay() + 100 * MS;
-            return self.after(wait, Event::FenceReplied { fence, reply: None });
+    /// Sends a fence to the worker at the address that the scheduler has for `worker`. Some fences are lost.
+    fn send_fence(&mut self, fence: FenceRef, worker: &Rc<str>) {
+        let receiver = self.receiver(worker).filter(|_| !self.chance(150));
+        let Some(receiver) = receiver else {
+            let wait = self.network_delay() + 100 * MS;
+            return self.schedule(wait, Event::FenceReplyArrives { fence, reply: None });
         };
-        if self.workers[listener].name != *worker {
-            self.coverage.note("stranger asked");
+        if self.workers[receiver].name != *worker {
+            self.coverage.count("fence sent to another worker");
         }
-        // Some arrive twice.
+        // Some fences are delivered twice.
         for _ in 0..1 + usize::from(self.chance(50)) {
-            let wait = self.delay();
-            let worker_process = self.workers[listener].process;
-            self.after(
+            let wait = self.network_delay();
+            let worker_process = self.workers[receiver].process;
+            self.schedule(
                 wait,
                 Event::FenceArrives {
                     fence,
-                    worker: listener,
+                    worker: receiver,
                     worker_process,
                 },
             );
--- a/crates/jobs/tests/world/invariants.rs
+++ b/crates/jobs/tests/world/invariants.rs
@@ -1,6 +1,7 @@
-//! The invariants, as seen from outside: one answer for all who ask, and no unfinished job at the end.
+//! Invariants that clients and workers can observe.
 //!
-//! What ran is known from the workers, never from the state machine.
+//! All clients of a job get the same final answer, and no job is unfinished at the end. Whether a job ran is known
+//! from the simulated workers, independently of the state machine.
 
 use std::collections::HashMap;
 
@@ -10,80 +11,89 @@
 use super::workers::result_of;
 use super::{World, MS, S};
 
-/// What is known of a job from outside.
+/// What clients and workers have observed of a job.
 #[derive(Default)]
-pub(super) struct Truth {
+pub(super) struct GroundTruth {
+    /// Number of times that a worker started the job.
     pub(super) starts: u32,
+    /// The final answer that a client got first.
     pub(super) answer: Option<Answer>,
-    /// Clients were notified that it never ran, and none has submitted it since.
-    pub(super) reported_unrun: bool,
-    pub(super) first_run_send: Option<Micros>,
+    /// Whether clients were told that it never ran, and none has submitted it since.
+    pub(super) reported_never_run: bool,
+    /// Earliest send time of an attempt that ran.
+    pub(super) first_executed_send: Option<Micros>,
+    /// Send time of each attempt, by its token.
     pub(super) sends: HashMap<u64, Micros>,
 }
 
 impl World {
-    /// A client gets an answer: it must be the one that all others get.
+    /// Delivers an answer to a client. A final answer must be the same for all clients of the job.
     pub(super) fn on_answer(&mut self, n: usize, answer: Answer) {
         let id = self.clients[n].id;
         match &answer {
             Answer::Served(result) => {
-                self.coverage.note("served");
+                self.coverage.count("served");
                 let starts = self.truth.entry(id).or_default().starts;
                 if *result != result_of(id) || starts == 0 {
-                    return self.violation(format!("{id}: served with what no worker made"));
+                    return self.report_violation(format!(
+                        "{id}: served with a result that no worker returned"
+                    ));
                 }
             }
-            Answer::Failed => self.coverage.note("failed"),
+            Answer::Failed => self.coverage.count("failed"),
             Answer::Cancelled => {}
             Answer::Rejected(_) => return self.on_rejection(n),
         }
         let truth = self.truth.entry(id).or_default();
         match &truth.answer {
             Some(first) if *first != answer => {
-                let why = format!("{id}: first {first:?}, then {answer:?}");
-                return self.violation(why);
+                let violation = format!("{id}: first {first:?}, then {answer:?}");
+                return self.report_violation(violation);
             }
             _ => truth.answer = Some(answer),
         }
-        // Some come again to see whether the answer is still the same.
+        // Some clients submit the job again, and must get the same answer.
         if self.clients[n].tries < 3 && self.rng.u32(0..3) == 0 {
             let wait = self.rng.u64(MS..4 * S);
-            return self.come_again(n, wait);
+            return self.resubmit_later(n, wait);
         }
         self.clients[n].done = true;
     }
 
-    /// A client's job is rejected: it must not have run, and must have no final answer.
+    /// Delivers a rejection to a client. A rejected `transfer` must not have run, and a rejected job must have no
+    /// other final answer.
     fn on_rejection(&mut self, n: usize) {
-        self.coverage.note("rejected");
+        self.coverage.count("rejected");
         let id = self.clients[n].id;
         let truth = self.truth.entry(id).or_default();
         if self.clients[n].class == 0 && truth.starts > 0 {
-            return self.violation(format!("{id}: rejected, though it ran"));
+            return self.report_violation(format!("{id}: rejected although it ran"));
         }
         if matches!(truth.answer, Some(Answer::Served(_) | Answer::Failed)) {
-            return self.violation(format!("{id}: rejected after its final answer"));
+            return self.report_violation(format!("{id}: rejected after its final answer"));
         }
-        self.clients[n].awaits_answer = false;
+        self.clients[n].polls_answer = false;
         if self.clients[n].tries < 4 && self.rng.bool() {
             let wait = self.rng.u64(50 * MS..S);
-            return self.come_again(n, wait);
+            return self.resubmit_later(n, wait);
         }
         self.clients[n].done = true;
     }
 
-    /// Checks what must hold once faults have stopped and all has come to rest.
+    /// Checks the invariants that hold once everything has recovered from the faults.
     pub(super) fn check_end(&mut self) -> Result<(), String> {
         if let Some(client) = self.clients.iter().find(|client| !client.done) {
-            return Err(format!("a client of {} never had its answer", client.id));
+            return Err(format!("a client of {} got no answer", client.id));
         }
         let Some(scheduler) = &mut self.scheduler else {
-            return Err("no scheduler at the end".into());
+            return Err("no scheduler is running at the end".into());
         };
         let open = scheduler.jobs.sizes().open;
-        let owed = scheduler.facade.unanswered_requests();
-        if open > 0 || owed > 0 {
-            return Err(format!("{open} jobs are open, {owed} requests owed"));
+        let unanswered = scheduler.facade.unanswered_requests();
+        if open > 0 || unanswered > 0 {
+            return Err(format!(
+                "{open} jobs are open, {unanswered} requests are unanswered"
+            ));
         }
         if scheduler.jobs.counts().invariant_violations
             + scheduler.facade.tally().invariant_violations
@@ -92,35 +102,38 @@
             return Err("an invariant of the state machine was violated".into());
         }
         let is_unknown = |id: &&JobId| scheduler.jobs.status(**id).is_none();
-        if let Some(id) = self.were_indeterminate.iter().find(is_unknown) {
-            return Err(format!("{id} was indeterminate, and is not known any more"));
+        if let Some(id) = self.indeterminate_at_kill.iter().find(is_unknown) {
+            return Err(format!(
+                "{id} was indeterminate at a restart, and is unknown after it"
+            ));
         }
-        self.check_settled()
+        self.check_settlement()
     }
 
-    /// A worker that kept its memory settles all indeterminate jobs once it is back.
-    fn check_settled(&self) -> Result<(), String> {
+    /// Checks that all indeterminate jobs are settled if workers keep their job history.
+    fn check_settlement(&self) -> Result<(), String> {
         let Some(scheduler) = &self.scheduler else {
             return Ok(());
         };
-        // But where the list does not say when it started, and a reboot has made the time sent unknown.
-        let unprovable = self.setup.starts_unknown && self.boot.id > 1;
-        if unprovable || !self.setup.leases || !self.setup.workers_keep_memory {
+        // Without a start time in the list, a fence reply is only conclusive if the time of sending is known. After
+        // a reboot it is unknown.
+        let is_inconclusive = self.setup.unspecified_starts && self.boot.id > 1;
+        if is_inconclusive || !self.setup.leases || !self.setup.workers_keep_history {
             return Ok(());
         }
-        // And where it was sent by a cached list: to whom that was, nobody knows.
-        let is_provable = |id: &JobId| {
-            let view = scheduler.jobs.status(*id);
-            let mut leases = view.into_iter().flat_map(|view| view.indeterminate);
+        // An attempt sent with a cached list may have reached a different worker, so no reply is conclusive.
+        let can_be_settled = |id: &JobId| {
+            let status = scheduler.jobs.status(*id);
+            let mut leases = status.into_iter().flat_map(|status| status.indeterminate);
             leases.any(|lease| lease.start_ms != UNCONFIRMED_START)
         };
         let mut indeterminate = scheduler.jobs.indeterminate();
-        indeterminate.retain(is_provable);
+        indeterminate.retain(can_be_settled);
         if indeterminate.is_empty() {
             return Ok(());
         }
         Err(format!(
-            "{} jobs are indeterminate though no worker lost its memory",
+            "{} jobs are indeterminate although no worker lost its job history",
             indeterminate.len()
         ))
     }
--- a/crates/jobs/tests/world/mod.rs
+++ b/crates/jobs/tests/world/mod.rs
@@ -1,6 +1,7 @@
-//! A simulation around the state machine: scheduler, log, disk, workers, network and clients on virtual time.
+//! Deterministic simulation of a scheduler process with its log and disk, its workers, network and clients.
 //!
-//! This module owns the time, the order of events and the randomness, all from one seed.
+//! This module has the event queue, simulated time and the random number generator. A seed determines a run
+//! completely.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -21,21 +22,22 @@
 
 use clients::Client;
 pub use coverage::Coverage;
-use invariants::Truth;
+use invariants::GroundTruth;
 use scheduler::Scheduler;
-use workers::{Connection, Worker, WorkerMessage};
+use workers::{Connection, ConnectionEvent, Worker};
 
+/// One millisecond in microseconds.
 const MS: Micros = 1_000;
 const S: Micros = 1_000 * MS;
 const HOUR: Micros = 3_600 * S;
-/// When the simulation begins: some day in Unix time.
+/// Start of the simulation, in microseconds of Unix time.
 const EPOCH: Micros = 1_700_000_000 * S;
-/// For how long a keyed job may be sent again.
+/// Time for which a keyed job may be sent again after the first attempt that ran.
 const KEYED_WINDOW: Micros = 7_500 * MS;
-/// How long the simulation goes on once faults have stopped.
+/// Simulated time after the last fault, in which everything must recover.
 const TIME_WITHOUT_FAULTS: Micros = 100 * S;
 
-/// An attempt and the connection that carries it.
+/// Identifies an attempt and the connection that carries it.
 #[derive(Clone, Copy, Debug)]
 struct AttemptRef {
     connection: u64,
@@ -43,7 +45,7 @@
     token: u64,
 }
 
-/// A fence, and the scheduler process that sent it.
+/// Identifies a fence and the scheduler process that sent it.
 #[derive(Clone, Copy, Debug)]
 struct FenceRef {
     process: u64,
@@ -52,97 +54,114 @@
     confirmed: bool,
 }
 
+/// An event in the queue. Workers and clients are given by their indices.
 #[derive(Clone, Debug)]
 enum Event {
-    Client(usize),
-    /// A client's patience ends, if it is still at that try.
-    LosesPatience(usize, u32),
-    Synced(u64),
+    /// A client sends its next request.
+    ClientRequest(usize),
+    /// A client's wait for an answer times out, unless it has made another try since the given one.
+    ClientTimeout(usize, u32),
+    /// A sync by the given scheduler process ends.
+    SyncEnds(u64),
+    /// A timer of the given scheduler process expires.
     Tick(u64),
-    /// A request's last byte reaches its worker.
-    Arrive {
+    /// A worker has received an attempt's complete request.
+    RequestArrives {
         attempt: AttemptRef,
         class: usize,
     },
-    RunEnds {
+    /// A worker process has run a job to its end.
+    JobEnds {
         worker: usize,
         process: u64,
         attempt: AttemptRef,
     },
-    WorkerSays {
+    /// Something happens on the connection of an attempt.
+    Connection {
         attempt: AttemptRef,
-        message: WorkerMessage,
+        event: ConnectionEvent,
     },
+    /// A worker process receives a fence.
     FenceArrives {
         fence: FenceRef,
         worker: usize,
         worker_process: u64,
     },
-    FenceReplied {
+    /// A fence is answered, or is lost if there is no reply.
+    FenceReplyArrives {
         fence: FenceRef,
         reply: Option<FenceReply>,
     },
-    Kill {
-        boot: bool,
+    /// The scheduler process is killed, with a reboot of its machine or without.
+    KillScheduler {
+        reboot: bool,
     },
-    Start,
+    StartScheduler,
     OutageEnds,
     RestartWorker(usize),
-    List,
+    /// The scheduler receives the current endpoint list.
+    ListArrives,
     InjectFault,
 }
 
-/// The machine's present boot.
+/// The current boot of the scheduler's machine.
 #[derive(Clone, Copy)]
 struct MachineBoot {
     id: u128,
-    at: Micros,
+    booted_at: Micros,
 }
 
-/// What is drawn once for a whole simulation.
+/// Properties of the workers that stay the same during a simulation.
 #[derive(Clone, Copy)]
 struct Setup {
-    /// Workers implement leases.
+    /// Whether workers implement the lease protocol.
     leases: bool,
-    /// Workers remember their jobs over a restart.
-    workers_keep_memory: bool,
-    /// The list says of old workers only that they started long ago.
-    starts_unknown: bool,
+    /// Whether workers keep their job history across restarts.
+    workers_keep_history: bool,
+    /// Whether endpoint lists give 0, long ago, as the start time of workers that started before the simulation.
+    unspecified_starts: bool,
 }
 
+/// The state of a simulation.
 pub struct World {
     rng: Rng,
+    /// Whether to print each event.
     verbose: bool,
     now: Micros,
-    count: u64,
+    /// Number of events scheduled so far. Orders events of the same time.
+    event_count: u64,
+    /// Time, number and index in `events` of each future event.
     queue: BinaryHeap<Reverse<(Micros, u64, usize)>>,
     events: Vec<Option<Event>>,
     disk: FaultyDirectory,
+    /// The running scheduler process, if there is one.
     scheduler: Option<Scheduler>,
-    /// The number of scheduler processes so far.
+    /// Number of scheduler processes started so far.
     processes: u64,
     boot: MachineBoot,
     workers: Vec<Worker>,
     connections: Vec<Connection>,
     clients: Vec<Client>,
-    truth: HashMap<JobId, Truth>,
+    truth: HashMap<JobId, GroundTruth>,
     setup: Setup,
     faults_stopped: bool,
     faults_stop_at: Micros,
+    /// The first violation of an invariant.
     violation: Option<String>,
     coverage: Coverage,
-    were_indeterminate: HashSet<JobId>,
+    /// Jobs that were indeterminate when the scheduler was killed after the faults had stopped.
+    indeterminate_at_kill: HashSet<JobId>,
 }
 
 impl World {
-    /// Runs the simulation of a seed. An error is the first violation of an invariant.
+    /// Runs the simulation for a seed. The error describes the first violation of an invariant.
     pub fn run(seed: u64, verbose: bool) -> Result<Coverage, String> {
         let mut world = World::new(seed, verbose);
-        world.after(0, Event::Start);
+        world.schedule(0, Event::StartScheduler);
         world.add_clients();
         for _ in 0..world.rng.usize(1..8) {
             let at = world.rng.u64(0..8 * S);
-            world.after(at, Event::InjectFault);
+            world.schedule(at, Event::InjectFault);
         }
         world.run_events()?;
         world.check_end()?;
@@ -153,14 +172,14 @@
         let mut rng = Rng::with_seed(seed);
         let setup = Setup {
             leases: rng.u32(0..4) > 0,
-            workers_keep_memory: rng.bool(),
-            starts_unknown: rng.u32(0..4) == 0,
+            workers_keep_history: rng.bool(),
+            unspecified_starts: rng.u32(0..4) == 0,
         };
         let worker_count = rng.usize(2..5);
         World {
             verbose,
             now: EPOCH,
-            count: 0,
+            event_count: 0,
             queue: BinaryHeap::new(),
             events: Vec::new(),
             disk: FaultyDirectory::default(),
@@ -168,7 +187,7 @@
             processes: 0,
             boot: MachineBoot {
                 id: 1,
-                at: EPOCH - 5 * HOUR,
+                booted_at: EPOCH - 5 * HOUR,
             },
             workers: (0..worker_count).map(Worker::new).collect(),
             connections: Vec::new(),
@@ -179,7 +198,7 @@
             faults_stop_at: EPOCH + rng.u64(3..9) * S,
             violation: None,
             coverage: Coverage::default(),
-            were_indeterminate: HashSet::new(),
+            indeterminate_at_kill: HashSet::new(),
             rng,
         }
     }
@@ -194,22 +213,22 @@
                 detached: self.rng.u32(0..4) == 0,
                 tries: 0,
                 done: false,
-                awaits_answer: false,
-                until: 0,
+                polls_answer: false,
+                waits_until: 0,
             };
             let first = self.rng.u64(0..4 * S);
-            // Some jobs have two clients, or one that sends twice.
+            // Some jobs have two clients, which is equivalent to one client that sends a duplicate.
             for _ in 0..1 + usize::from(self.rng.u32(0..6) == 0) {
                 self.clients.push(client.clone());
                 let at = first + self.rng.u64(0..200 * MS);
-                self.after(at, Event::Client(self.clients.len() - 1));
+                self.schedule(at, Event::ClientRequest(self.clients.len() - 1));
             }
         }
     }
 
     fn run_events(&mut self) -> Result<(), String> {
         let end = self.faults_stop_at + TIME_WITHOUT_FAULTS;
-        while let Some(Reverse((at, _, place))) = self.queue.pop() {
+        while let Some(Reverse((at, _, index))) = self.queue.pop() {
             if at > end {
                 break;
             }
@@ -217,41 +236,47 @@
             if !self.faults_stopped && at >= self.faults_stop_at {
                 self.stop_faults();
             }
-            let event = self.events[place].take().expect("once");
+            let event = self.events[index]
+                .take()
+                .expect("each event is queued once");
             self.handle(event);
-            self.settle();
-            if let Some(why) = self.violation.take() {
-                return Err(why);
+            self.process_effects();
+            if let Some(violation) = self.violation.take() {
+                return Err(violation);
             }
         }
         Ok(())
     }
 
-    fn after(&mut self, span: Micros, event: Event) {
-        self.count += 1;
+    /// Schedules an event after a delay.
+    fn schedule(&mut self, delay: Micros, event: Event) {
+        self.event_count += 1;
         self.events.push(Some(event));
         self.queue.push(Reverse((
-            self.now + span,
-            self.count,
+            self.now + delay,
+            self.event_count,
             self.events.len() - 1,
         )));
     }
 
-    fn violation(&mut self, why: String) {
-        self.violation.get_or_insert(why);
+    fn report_violation(&mut self, violation: String) {
+        self.violation.get_or_insert(violation);
     }
 
-    fn log(&self, what: impl FnOnce() -> String) {
+    /// Prints a message with the simulated time in seconds, in a verbose run.
+    fn trace(&self, message: impl FnOnce() -> String) {
         if self.verbose {
-            println!("{:>9.3} {}", (self.now - EPOCH) as f64 / 1e6, what());
+            println!("{:>9.3} {}", (self.now - EPOCH) as f64 / 1e6, message());
         }
     }
 
+    /// Returns true with the given probability, in thousandths, until faults stop, and false from then on.
     fn chance(&mut self, per_mille: u32) -> bool {
         !self.faults_stopped && self.rng.u32(0..1_000) < per_mille
     }
 
-    fn delay(&mut self) -> Micros {
+    /// Returns a random delay of the network, which is sometimes long.
+    fn network_delay(&mut self) -> Micros {
         match self.rng.u32(0..100) {
             0..=2 if !self.faults_stopped => self.rng.u64(100 * MS..4 * S),
             3..=9 => self.rng.u64(5 * MS..60 * MS),
@@ -261,43 +286,43 @@
 
     fn handle(&mut self, event: Event) {
         if !matches!(event, Event::Tick(_)) {
-            self.log(|| format!("{event:?}"));
+            self.trace(|| format!("{event:?}"));
         }
         match event {
-            Event::Client(n) => self.run_client(n),
-            Event::LosesPatience(n, tries) => {
+            Event::ClientRequest(n) => self.run_client(n),
+            Event::ClientTimeout(n, tries) => {
                 let client = &self.clients[n];
-                if client.tries == tries && client.until <= self.now && !client.awaits_answer {
+                if client.tries == tries && client.waits_until <= self.now && !client.polls_answer {
                     self.run_client(n);
                 }
             }
-            Event::Tick(process) => self.tick(process),
-            Event::Synced(process) => self.synced(process),
-            Event::Arrive { attempt, class } => self.arrive(attempt, class),
-            Event::RunEnds {
+            Event::Tick(process) => self.on_tick(process),
+            Event::SyncEnds(process) => self.end_sync(process),
+            Event::RequestArrives { attempt, class } => self.on_request(attempt, class),
+            Event::JobEnds {
                 worker,
                 process,
                 attempt,
-            } => self.run_ends(worker, process, attempt),
-            Event::WorkerSays { attempt, message } => self.on_worker_message(attempt, message),
+            } => self.on_job_end(worker, process, attempt),
+            Event::Connection { attempt, event } => self.on_connection_event(attempt, event),
             Event::FenceArrives {
                 fence,
                 worker,
                 worker_process,
-            } => self.fenced(fence, worker, worker_process),
-            Event::FenceReplied { fence, reply } => self.on_fence_reply(fence, reply),
-            Event::Kill { boot } => self.kill(boot),
-            Event::Start => self.start(),
+            } => self.on_fence(fence, worker, worker_process),
+            Event::FenceReplyArrives { fence, reply } => self.on_fence_reply(fence, reply),
+            Event::KillScheduler { reboot } => self.kill_scheduler(reboot),
+            Event::StartScheduler => self.start_scheduler(),
             Event::OutageEnds => _ = self.disk.set_outage(None),
             Event::RestartWorker(worker) => self.restart_worker(worker),
-            Event::List => self.list(ListKind::Snapshot),
+            Event::ListArrives => self.report_list(ListKind::Snapshot),
             Event::InjectFault => self.inject_fault(),
         }
     }
 
     fn on_fence_reply(&mut self, fence: FenceRef, reply: Option<FenceReply>) {
         self.coverage
-            .note(match reply.as_ref().map(|reply| &reply.status) {
+            .count(match reply.as_ref().map(|reply| &reply.status) {
                 Some(FenceStatus::Never) => "fence never",
                 Some(FenceStatus::Running) => "fence running",
                 Some(FenceStatus::Done(_)) => "fence done",
@@ -320,10 +345,10 @@
         });
     }
 
-    /// Calls the running scheduler, if any, with the time of its own clock.
-    fn with_scheduler<T>(&mut self, act: impl FnOnce(&mut Scheduler, Micros) -> T) -> Option<T> {
+    /// Calls a function with the running scheduler and the time of its clock. Does nothing if no scheduler runs.
+    fn with_scheduler<T>(&mut self, call: impl FnOnce(&mut Scheduler, Micros) -> T) -> Option<T> {
         let scheduler = self.scheduler.as_mut()?;
-        let now = self.now.wrapping_add_signed(scheduler.skew);
-        Some(act(scheduler, now))
+        let now = self.now.wrapping_add_signed(scheduler.clock_offset);
+        Some(call(scheduler, now))
     }
 }
--- a/crates/jobs/tests/world/scheduler.rs
+++ b/crates/jobs/tests/world/scheduler.rs
@@ -1,15 +1,13 @@
-//! One scheduler process: its start from the disk, its syncs, and the effects that it carries out.
+//! Simulated scheduler process: startup from the log, endpoint lists, timers and syncs.
 //!
-//! It is the shell that the program has around the state machine.
+//! It drives the real state machine, facade and log, as the server does.
 
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::task::Waker;
 
-use oakshed_core::facade::{
-    Entry, Facade, ListKind, Micros, Observation as SchedulerEvent, Settings,
-};
-use oakshed_core::interface::{Class, Effect as Kind, Scope, Span};
+use oakshed_core::facade::{Entry, Facade, ListKind, Micros, Observation, Settings};
+use oakshed_core::interface::{Class, Effect as ClassEffect, Scope, Span};
 use oakshed_jobs::fault::FaultyDirectory;
 use oakshed_jobs::log::{encode_all, Backlog, Log, LogError, Recovered};
 use oakshed_jobs::machine::{Boot, Jobs, Limits, Names};
@@ -17,23 +15,28 @@
 
 use super::{Event, World, EPOCH, HOUR, KEYED_WINDOW, MS, S};
 
-/// The size of a segment of the log.
-const SEGMENT: usize = 16 << 10;
+/// Size of a segment file in bytes.
+const SEGMENT_SIZE: usize = 16 << 10;
 
+/// A running scheduler process.
 pub(super) struct Scheduler {
-    /// Which process this is, counted from 1.
+    /// Number of the process, counted from 1.
     pub(super) process: u64,
     pub(super) facade: Facade,
     pub(super) jobs: Jobs,
     pub(super) log: Log<FaultyDirectory>,
-    /// How far its wall clock is off.
-    pub(super) skew: i64,
+    /// Difference between its clock and simulated time, in microseconds.
+    pub(super) clock_offset: i64,
+    /// The records of the sync that is in progress.
     pub(super) syncing: Option<Backlog>,
+    /// The clients that wait for each job.
     pub(super) waiting: HashMap<JobId, Vec<usize>>,
+    /// The open connection of each attempt, by job and token.
     pub(super) connections: HashMap<(JobId, u64), u64>,
+    /// Simulated time of the next scheduled tick, or the maximum if there is none.
     pub(super) tick_at: Micros,
-    /// Who listens where an old list says that a worker does, until a confirmed one comes.
-    pub(super) strangers: HashMap<Rc<str>, Option<usize>>,
+    /// The worker, if any, that listens at the address of each name in a stale list. Cleared by the next list.
+    pub(super) stale_addresses: HashMap<Rc<str>, Option<usize>>,
 }
 
 fn settings() -> Settings {
@@ -49,7 +52,10 @@
         kind: None,
     };
     Settings {
-        classes: vec![class(Kind::Unsafe, 0), class(Kind::Keyed, KEYED_WINDOW)],
+        classes: vec![
+            class(ClassEffect::Unsafe, 0),
+            class(ClassEffect::Keyed, KEYED_WINDOW),
+        ],
         list_on_request: true,
         connect_timeout: Span::from_millis(100),
         ..Settings::default()
@@ -75,13 +81,14 @@
 }
 
 impl World {
-    pub(super) fn start(&mut self) {
+    /// Starts a scheduler process from the log, unless one is running.
+    pub(super) fn start_scheduler(&mut self) {
         if self.scheduler.is_some() {
             return;
         }
-        let skew = match self.rng.u32(0..4) {
+        let clock_offset = match self.rng.u32(0..4) {
             0 if self.processes > 0 => {
-                self.coverage.note("clock jumped");
+                self.coverage.count("clock stepped");
                 self.rng.i64(-(HOUR as i64)..HOUR as i64)
             }
             _ => 0,
@@ -90,50 +97,51 @@
             return;
         };
         for record in &recovered.records {
-            self.log(|| format!("  read {record:?}"));
+            self.trace(|| format!("  read {record:?}"));
         }
         if recovered.torn_tail.is_some() {
-            self.coverage.note("torn");
+            self.coverage.count("torn tail");
         }
         self.processes += 1;
-        self.restore(log, recovered, skew);
-        let is_old = self.chance(500);
-        if is_old {
-            self.old_list();
+        self.restore(log, recovered, clock_offset);
+        let is_stale = self.chance(500);
+        if is_stale {
+            self.report_stale_list();
         } else {
-            self.list(ListKind::Cached);
+            self.report_list(ListKind::Cached);
         }
-        // A watch that continues from a cached list's number is answered once something changes.
-        let wait = if is_old {
+        // A watch that continues from a cached list's generation is answered only once the list changes.
+        let wait = if is_stale {
             self.rng.u64(0..3 * S)
         } else {
-            self.delay()
+            self.network_delay()
         };
-        self.after(wait, Event::List);
-        self.after(0, Event::Tick(self.processes));
+        self.schedule(wait, Event::ListArrives);
+        self.schedule(0, Event::Tick(self.processes));
     }
 
-    /// Opens the log; where the disk fails, the start is repeated later.
+    /// Opens the log. After an I/O error the start is scheduled again.
     fn open_log(&mut self) -> Option<(Log<FaultyDirectory>, Recovered)> {
-        match Log::open(self.disk.clone(), SEGMENT) {
+        match Log::open(self.disk.clone(), SEGMENT_SIZE) {
             Ok(opened) => return Some(opened),
             Err(LogError::Io { .. }) => {
-                self.coverage.note("start delayed");
+                self.coverage.count("start retried");
                 if self.disk.has_stopped() {
                     self.disk.crash(&mut self.rng);
                 }
-                self.after(50 * MS, Event::Start);
+                self.schedule(50 * MS, Event::StartScheduler);
             }
-            Err(error) => self.violation(format!("the log cannot be opened: {error}")),
+            Err(error) => self.report_violation(format!("the log cannot be opened: {error}")),
         }
         None
     }
 
-    fn restore(&mut self, log: Log<FaultyDirectory>, recovered: Recovered, skew: i64) {
-        let now = self.now.wrapping_add_signed(skew);
+    /// Restores the state machine from the recovered records.
+    fn restore(&mut self, log: Log<FaultyDirectory>, recovered: Recovered, clock_offset: i64) {
+        let now = self.now.wrapping_add_signed(clock_offset);
         let boot = Boot {
             id: self.boot.id,
-            uptime: self.now - self.boot.at,
+            uptime: self.now - self.boot.booted_at,
         };
         let limits = limits(self.setup.leases);
         let jobs = Jobs::restore(
@@ -144,54 +152,56 @@
             now,
             boot,
         );
-        let facade = Facade::new(settings(), self.rng.u64(..)).expect("usable settings");
+        let facade = Facade::new(settings(), self.rng.u64(..)).expect("the settings are valid");
         self.scheduler = Some(Scheduler {
             process: self.processes,
             facade,
             jobs,
             log,
-            skew,
+            clock_offset,
             syncing: None,
             waiting: HashMap::new(),
             connections: HashMap::new(),
             tick_at: Micros::MAX,
-            strangers: HashMap::new(),
+            stale_addresses: HashMap::new(),
         });
     }
 
-    /// Which worker listens at the address that the scheduler has for this name.
-    pub(super) fn listener(&self, worker: &str) -> Option<usize> {
+    /// Returns the worker that listens at the address that the scheduler has for a name.
+    pub(super) fn receiver(&self, worker: &str) -> Option<usize> {
         let scheduler = self.scheduler.as_ref();
-        if let Some(stranger) = scheduler.and_then(|scheduler| scheduler.strangers.get(worker)) {
-            return *stranger;
+        if let Some(receiver) =
+            scheduler.and_then(|scheduler| scheduler.stale_addresses.get(worker))
+        {
+            return *receiver;
         }
         self.workers
             .iter()
             .position(|candidate| *candidate.name == *worker)
     }
 
-    /// The scheduler gets an endpoint list.
-    pub(super) fn list(&mut self, kind: ListKind) {
+    /// Reports the current endpoint list to the scheduler.
+    pub(super) fn report_list(&mut self, kind: ListKind) {
         let entries: Vec<Entry> = self
             .workers
             .iter()
-            .map(|worker| entry(worker.name.clone(), worker.listed))
+            .map(|worker| list_entry(worker.name.clone(), worker.listed_condition))
             .collect();
         let starts: Vec<u64> = self
             .workers
             .iter()
             .map(|worker| {
-                if self.setup.starts_unknown && worker.start < EPOCH {
+                if self.setup.unspecified_starts && worker.started_at < EPOCH {
                     0
                 } else {
-                    worker.start / MS
+                    worker.started_at / MS
                 }
             })
             .collect();
         self.with_scheduler(|scheduler, now| {
             let facade = &mut scheduler.facade;
-            facade.report(now, SchedulerEvent::List(kind, &entries));
-            scheduler.strangers.clear();
+            facade.report(now, Observation::List(kind, &entries));
+            scheduler.stale_addresses.clear();
             let names = entries.iter().map(|entry| &entry.worker);
             let confirmed = kind != ListKind::Cached;
             scheduler
@@ -200,7 +210,9 @@
         });
     }
 
-    pub(super) fn tick(&mut self, process: u64) {
+    /// Clears the scheduled tick of a scheduler process; [`World::process_effects`] calls the state machine and
+    /// schedules the next one.
+    pub(super) fn on_tick(&mut self, process: u64) {
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
@@ -210,20 +222,21 @@
         }
     }
 
-    /// Carries out the effects of the state machine, and begins a sync where there is something to write.
-    pub(super) fn settle(&mut self) {
+    /// Calls the state machine, performs its effects and starts a sync, until there is nothing left to do at the
+    /// current time.
+    pub(super) fn process_effects(&mut self) {
         for _ in 0..1_000 {
             let Some(scheduler) = &mut self.scheduler else {
                 return;
             };
-            let now = self.now.wrapping_add_signed(scheduler.skew);
+            let now = self.now.wrapping_add_signed(scheduler.clock_offset);
             let due = scheduler.facade.tick(now, Waker::noop());
             let next = scheduler
                 .jobs
                 .tick(now, &mut scheduler.facade, Waker::noop());
             let at = [due.next, next].into_iter().flatten().min();
             if let Some(effect) = scheduler.jobs.effect() {
-                self.carry_out(effect);
+                self.perform(effect);
                 continue;
             }
             if self.begin_sync() {
@@ -234,10 +247,10 @@
             }
             return;
         }
-        self.violation("it never comes to rest".into());
+        self.report_violation("the state machine returns effects without end".into());
     }
 
-    /// Begins a sync of the records that wait, unless one is under way; returns whether it did.
+    /// Starts a sync of the new records, unless one is in progress. Returns whether it started one.
     fn begin_sync(&mut self) -> bool {
         let Some(scheduler) = &mut self.scheduler else {
             return false;
@@ -255,25 +268,25 @@
         scheduler.syncing = Some(backlog);
         let process = scheduler.process;
         let wait = self.rng.u64(200..8 * MS);
-        self.after(wait, Event::Synced(process));
+        self.schedule(wait, Event::SyncEnds(process));
         true
     }
 
-    /// `at` is a time of the scheduler's clock.
+    /// Schedules a tick, unless an earlier one is scheduled. `at` is a time of the scheduler's clock.
     fn schedule_tick(&mut self, at: Micros) {
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
-        let at = at.wrapping_add_signed(-scheduler.skew);
+        let at = at.wrapping_add_signed(-scheduler.clock_offset);
         if at < scheduler.tick_at {
             scheduler.tick_at = at;
             let process = scheduler.process;
-            self.after(at - self.now, Event::Tick(process));
+            self.schedule(at - self.now, Event::Tick(process));
         }
     }
 
-    /// The time of a sync is over: it succeeds, or fails and is retried.
-    pub(super) fn synced(&mut self, process: u64) {
+    /// Ends a sync, which succeeds, or fails and is retried.
+    pub(super) fn end_sync(&mut self, process: u64) {
         let Some(scheduler) = self
             .scheduler
             .as_mut()
@@ -284,26 +297,27 @@
         let Some(mut backlog) = scheduler.syncing.take() else {
             return;
         };
-        let now = self.now.wrapping_add_signed(scheduler.skew);
+        let now = self.now.wrapping_add_signed(scheduler.clock_offset);
         let before = scheduler.log.next_record();
-        let outcome = backlog.flush(&mut scheduler.log);
+        let result = backlog.flush(&mut scheduler.log);
         let durable = scheduler.log.next_record();
         if durable > before {
             let facade = &mut scheduler.facade;
             scheduler.jobs.on_synced(now, durable - 1, facade);
         }
-        if outcome.is_err() {
-            self.coverage.note("sync failed");
+        if result.is_err() {
+            self.coverage.count("sync failed");
             scheduler.syncing = Some(backlog);
             if self.disk.has_stopped() {
-                return self.handle(Event::Kill { boot: false });
+                return self.handle(Event::KillScheduler { reboot: false });
             }
             let wait = self.rng.u64(MS..S);
-            self.after(wait, Event::Synced(process));
+            self.schedule(wait, Event::SyncEnds(process));
         }
         self.check_capacity();
     }
 
+    /// Reports to the state machine whether the disk has space for another segment.
     pub(super) fn check_capacity(&mut self) {
         let Some(scheduler) = self.scheduler.as_mut() else {
             return;
@@ -312,13 +326,13 @@
         let has_capacity = scheduler.log.has_capacity();
         scheduler.jobs.set_disk_full(!has_capacity);
         if !has_capacity {
-            self.coverage.note("disk full");
+            self.coverage.count("disk full");
         }
     }
 }
 
-/// An entry of an endpoint list.
-pub(super) fn entry(name: Rc<str>, condition: oakshed_core::facade::Condition) -> Entry {
+/// Returns an entry of an endpoint list.
+pub(super) fn list_entry(name: Rc<str>, condition: oakshed_core::facade::Condition) -> Entry {
     Entry {
         worker: name,
         zone: 0,
--- a/crates/jobs/tests/world/workers.rs
+++ b/crates/jobs/tests/world/workers.rs
@@ -1,6 +1,7 @@
-//! Workers and the network to them: attempts, replies in their order, fences, and what a worker remembers.
+//! Simulated workers, with their job histories, and the network between them and the scheduler.
 //!
-//! It owns what truly ran; no worker starts a job that it has fenced.
+//! A worker starts no job that its history records as started, and no attempt that was fenced. Each start of a job
+//! is checked against the invariants.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -11,40 +12,45 @@
 
 use super::{AttemptRef, Event, FenceRef, World, EPOCH, HOUR, KEYED_WINDOW, MS, S};
 
-/// Between two heartbeats of a running job.
-const HEARTBEAT: Micros = 200 * MS;
+/// Time between two heartbeats of a running job.
+const HEARTBEAT_INTERVAL: Micros = 200 * MS;
 
-/// What a worker remembers of a job.
+/// A job in the history of a worker.
 #[derive(Clone, Default)]
-pub(super) struct JobMemory {
-    pub(super) started: Option<u64>,
+pub(super) struct HistoryEntry {
+    /// Token of the attempt that started the job.
+    pub(super) started_token: Option<u64>,
     pub(super) running: bool,
-    pub(super) fenced: u64,
+    /// The highest token that was fenced before the job started.
+    pub(super) fenced_token: u64,
     pub(super) result: Option<Vec<u8>>,
 }
 
+/// A worker, which keeps its name across restarts.
 pub(super) struct Worker {
     pub(super) name: Rc<str>,
+    /// Number of its restarts so far.
     pub(super) process: u64,
-    pub(super) up: bool,
-    pub(super) start: Micros,
-    /// Since when its memory is complete.
-    pub(super) since: Micros,
-    pub(super) listed: Condition,
-    pub(super) known: HashMap<JobId, JobMemory>,
+    pub(super) is_up: bool,
+    pub(super) started_at: Micros,
+    /// Time since which its job history is complete.
+    pub(super) history_since: Micros,
+    /// Its condition in endpoint lists.
+    pub(super) listed_condition: Condition,
+    pub(super) history: HashMap<JobId, HistoryEntry>,
 }
 
 impl Worker {
     pub(super) fn new(n: usize) -> Worker {
-        let start = EPOCH - 10 * HOUR;
+        let started_at = EPOCH - 10 * HOUR;
         Worker {
             name: format!("s-{n}").into(),
             process: 0,
-            up: true,
-            start,
-            since: start,
-            listed: Condition::Active,
-            known: HashMap::new(),
+            is_up: true,
+            started_at,
+            history_since: started_at,
+            listed_condition: Condition::Active,
+            history: HashMap::new(),
         }
     }
 }
@@ -53,29 +59,31 @@
 pub(super) struct Connection {
     pub(super) worker: usize,
     pub(super) worker_process: u64,
-    /// The scheduler's side is open, and it receives what comes.
+    /// Whether the scheduler's side is open.
     pub(super) open: bool,
+    /// Whether the worker's messages are lost.
     pub(super) drops_messages: bool,
-    /// What comes later arrives no sooner.
-    pub(super) last: Micros,
+    /// Arrival time of the last message; later messages arrive after it.
+    pub(super) last_arrival: Micros,
 }
 
+/// An event that the scheduler observes on the connection of an attempt.
 #[derive(Clone, Debug)]
-pub(super) enum WorkerMessage {
+pub(super) enum ConnectionEvent {
     Started,
     Progress,
     End(AttemptEnd),
 }
 
-impl WorkerMessage {
-    pub(super) fn ended(ending: Ending) -> WorkerMessage {
-        WorkerMessage::End(AttemptEnd::NoResult(ending))
+impl ConnectionEvent {
+    pub(super) fn ended(ending: Ending) -> ConnectionEvent {
+        ConnectionEvent::End(AttemptEnd::NoResult(ending))
     }
 }
 
 impl World {
-    /// The scheduler sends an attempt to a worker.
-    pub(super) fn attempt(
+    /// Sends an attempt from the scheduler to a worker.
+    pub(super) fn send_attempt(
         &mut self,
         id: JobId,
         token: u64,
@@ -84,8 +92,8 @@
         class: usize,
     ) {
         let now = self.now;
-        if let Some(violation) = self.note_send(id, token, class) {
-            return self.violation(violation);
+        if let Some(violation) = self.record_send(id, token, class) {
+            return self.report_violation(violation);
         }
         let connection = self.connections.len() as u64;
         self.connections.push(Connection {
@@ -93,118 +101,124 @@
             worker_process: self.workers[worker].process,
             open: true,
             drops_messages: false,
-            last: now,
+            last_arrival: now,
         });
         let Some(scheduler) = &mut self.scheduler else {
             return;
         };
         scheduler.connections.insert((id, token), connection);
-        let left = until.saturating_sub(now.wrapping_add_signed(scheduler.skew));
+        let timeout = until.saturating_sub(now.wrapping_add_signed(scheduler.clock_offset));
         let attempt = AttemptRef {
             connection,
             id,
             token,
         };
-        let ended = |ending| Event::WorkerSays {
+        let ended = |ending| Event::Connection {
             attempt,
-            message: WorkerMessage::ended(ending),
+            event: ConnectionEvent::ended(ending),
         };
-        self.after(left, ended(Ending::Expired));
-        if !self.workers[worker].up || self.chance(40) {
-            let wait = self.delay();
-            return self.after(wait, ended(Ending::DialFailed));
+        self.schedule(timeout, ended(Ending::Expired));
+        if !self.workers[worker].is_up || self.chance(40) {
+            let wait = self.network_delay();
+            return self.schedule(wait, ended(Ending::DialFailed));
         }
-        let wait = self.delay();
-        self.after(wait, Event::Arrive { attempt, class });
+        let wait = self.network_delay();
+        self.schedule(wait, Event::RequestArrives { attempt, class });
         if self.chance(120) {
             let wait = self.rng.u64(0..600 * MS);
-            self.after(wait, ended(Ending::Dropped));
+            self.schedule(wait, ended(Ending::Dropped));
         }
         self.connections[connection as usize].drops_messages = self.chance(80);
     }
 
-    /// Notes that an attempt was sent; returns the invariant that this violates, if any.
-    fn note_send(&mut self, id: JobId, token: u64, class: usize) -> Option<String> {
+    /// Records that an attempt is sent. Returns the violation of an invariant, if it is one.
+    fn record_send(&mut self, id: JobId, token: u64, class: usize) -> Option<String> {
         let now = self.now;
         let truth = self.truth.entry(id).or_default();
         truth.sends.insert(token, now);
-        let window_is_over = truth
-            .first_run_send
+        let window_has_expired = truth
+            .first_executed_send
             .is_some_and(|first| now > first + KEYED_WINDOW + 50 * MS);
-        if class == 1 && window_is_over {
+        if class == 1 && window_has_expired {
             return Some(format!("{id}: a keyed job was sent again after its window"));
         }
         if class == 0 && truth.starts > 0 {
-            return Some(format!("{id}: a transfer that ran is sent again"));
+            return Some(format!("{id}: a transfer was sent again after it ran"));
         }
         None
     }
 
-    /// A worker sends something to the scheduler, which arrives in the order in which it was sent.
-    fn reply(&mut self, attempt: AttemptRef, message: WorkerMessage) {
-        let delay = self.delay();
+    /// Sends a message from a worker to the scheduler. The messages of a connection arrive in order.
+    fn reply(&mut self, attempt: AttemptRef, event: ConnectionEvent) {
+        let delay = self.network_delay();
         let connection = &mut self.connections[attempt.connection as usize];
-        let at = (self.now + delay).max(connection.last + 1);
-        connection.last = at;
+        let at = (self.now + delay).max(connection.last_arrival + 1);
+        connection.last_arrival = at;
         if !connection.drops_messages {
-            self.after(at - self.now, Event::WorkerSays { attempt, message });
+            self.schedule(at - self.now, Event::Connection { attempt, event });
         }
     }
 
-    /// A request's last byte reaches its worker.
-    pub(super) fn arrive(&mut self, attempt: AttemptRef, class: usize) {
+    /// Handles an attempt whose complete request has reached its worker.
+    pub(super) fn on_request(&mut self, attempt: AttemptRef, class: usize) {
         let connection = &self.connections[attempt.connection as usize];
         let worker = connection.worker;
-        if self.workers[worker].process != connection.worker_process || !self.workers[worker].up {
+        if self.workers[worker].process != connection.worker_process || !self.workers[worker].is_up
+        {
             return;
         }
-        let known = self.workers[worker].known.entry(attempt.id).or_default();
-        let may_start = attempt.token > known.fenced && known.started.is_none();
+        let job = self.workers[worker].history.entry(attempt.id).or_default();
+        let may_start = attempt.token > job.fenced_token && job.started_token.is_none();
         if !may_start || self.rng.u32(0..40) == 0 {
-            return self.reply(attempt, WorkerMessage::ended(Ending::Declined));
+            return self.reply(attempt, ConnectionEvent::ended(Ending::Declined));
         }
-        known.started = Some(attempt.token);
-        known.running = true;
-        if let Some(violation) = self.note_start(attempt, class) {
-            return self.violation(violation);
+        job.started_token = Some(attempt.token);
+        job.running = true;
+        if let Some(violation) = self.record_start(attempt, class) {
+            return self.report_violation(violation);
         }
-        self.reply(attempt, WorkerMessage::Started);
+        self.reply(attempt, ConnectionEvent::Started);
         self.run_job(worker, attempt);
     }
 
-    /// Notes that a job started; returns the invariant that this violates, if any.
-    fn note_start(&mut self, attempt: AttemptRef, class: usize) -> Option<String> {
+    /// Records that a job starts. Returns the violation of an invariant, if it is one.
+    fn record_start(&mut self, attempt: AttemptRef, class: usize) -> Option<String> {
         let AttemptRef { id, token, .. } = attempt;
         let truth = self.truth.entry(id).or_default();
         truth.starts += 1;
         let sent = truth.sends.get(&token).copied().unwrap_or(self.now);
-        truth.first_run_send = Some(truth.first_run_send.map_or(sent, |first| first.min(sent)));
+        truth.first_executed_send = Some(
+            truth
+                .first_executed_send
+                .map_or(sent, |first| first.min(sent)),
+        );
         if class == 0 && truth.starts > 1 {
             return Some(format!("{id}: a transfer ran twice"));
         }
-        if class == 0 && truth.reported_unrun {
+        if class == 0 && truth.reported_never_run {
             return Some(format!(
-                "{id}: a transfer ran after its clients were told that it never did"
+                "{id}: a transfer ran after its clients were told that it never ran"
             ));
         }
         None
     }
 
+    /// Schedules the heartbeats and the end of a job that starts.
     fn run_job(&mut self, worker: usize, attempt: AttemptRef) {
-        let run = match self.rng.u32(0..10) {
+        let duration = match self.rng.u32(0..10) {
             0 if !self.faults_stopped => self.rng.u64(S..8 * S),
             _ => self.rng.u64(5 * MS..150 * MS),
         };
-        let mut at = HEARTBEAT;
-        while at < run {
-            let message = WorkerMessage::Progress;
-            self.after(at, Event::WorkerSays { attempt, message });
-            at += HEARTBEAT;
+        let mut at = HEARTBEAT_INTERVAL;
+        while at < duration {
+            let event = ConnectionEvent::Progress;
+            self.schedule(at, Event::Connection { attempt, event });
+            at += HEARTBEAT_INTERVAL;
         }
         let process = self.workers[worker].process;
-        self.after(
-            run,
-            Event::RunEnds {
+        self.schedule(
+            duration,
+            Event::JobEnds {
                 worker,
                 process,
                 attempt,
@@ -212,21 +226,24 @@
         );
     }
 
-    pub(super) fn run_ends(&mut self, worker: usize, process: u64, attempt: AttemptRef) {
+    /// Ends a job at a worker, usually with a result.
+    pub(super) fn on_job_end(&mut self, worker: usize, process: u64, attempt: AttemptRef) {
         if self.workers[worker].process != process {
             return;
         }
-        let known = self.workers[worker].known.entry(attempt.id).or_default();
-        known.running = false;
+        let job = self.workers[worker].history.entry(attempt.id).or_default();
+        job.running = false;
         if self.rng.u32(0..30) == 0 {
-            return self.reply(attempt, WorkerMessage::ended(Ending::Error));
+            return self.reply(attempt, ConnectionEvent::ended(Ending::Error));
         }
         let result = result_of(attempt.id);
-        known.result = Some(result.clone());
-        self.reply(attempt, WorkerMessage::End(AttemptEnd::Result(result)));
+        job.result = Some(result.clone());
+        self.reply(attempt, ConnectionEvent::End(AttemptEnd::Result(result)));
     }
 
-    pub(super) fn on_worker_message(&mut self, attempt: AttemptRef, message: WorkerMessage) {
+    /// Reports an event on an attempt's connection to the state machine, unless the connection is closed or the
+    /// message is lost.
+    pub(super) fn on_connection_event(&mut self, attempt: AttemptRef, event: ConnectionEvent) {
         let AttemptRef {
             connection,
             id,
@@ -237,18 +254,19 @@
         };
         let connection_state = &mut self.connections[connection as usize];
         let is_current = scheduler.connections.get(&(id, token)) == Some(&connection);
-        let is_local = matches!(message, WorkerMessage::End(AttemptEnd::NoResult(_)));
-        let is_lost = connection_state.drops_messages && !is_local;
+        // Only messages can be lost. The scheduler itself observes that an attempt ends without a result.
+        let ends_without_result = matches!(event, ConnectionEvent::End(AttemptEnd::NoResult(_)));
+        let is_lost = connection_state.drops_messages && !ends_without_result;
         if !is_current || !connection_state.open || is_lost {
             return;
         }
-        let now = self.now.wrapping_add_signed(scheduler.skew);
+        let now = self.now.wrapping_add_signed(scheduler.clock_offset);
         let jobs = &mut scheduler.jobs;
         let facade = &mut scheduler.facade;
-        match message {
-            WorkerMessage::Started => jobs.on_heartbeat(now, id, token, true, facade),
-            WorkerMessage::Progress => jobs.on_heartbeat(now, id, token, false, facade),
-            WorkerMessage::End(end) => {
+        match event {
+            ConnectionEvent::Started => jobs.on_heartbeat(now, id, token, true, facade),
+            ConnectionEvent::Progress => jobs.on_heartbeat(now, id, token, false, facade),
+            ConnectionEvent::End(end) => {
                 connection_state.open = false;
                 scheduler.connections.remove(&(id, token));
                 jobs.on_ended(now, id, token, end, None, facade);
@@ -256,54 +274,56 @@
         }
     }
 
-    pub(super) fn fenced(&mut self, fence: FenceRef, worker: usize, worker_process: u64) {
+    /// Handles a fence at a worker. A worker process that has restarted or is down does not reply.
+    pub(super) fn on_fence(&mut self, fence: FenceRef, worker: usize, worker_process: u64) {
         let worker = &mut self.workers[worker];
         let mut reply = None;
-        if worker.process == worker_process && worker.up {
-            let known = worker.known.entry(fence.id).or_default();
-            let status = match known.started.filter(|started| *started <= fence.token) {
-                Some(_) if known.running => FenceStatus::Running,
-                Some(_) => known
+        if worker.process == worker_process && worker.is_up {
+            let job = worker.history.entry(fence.id).or_default();
+            let status = match job.started_token.filter(|token| *token <= fence.token) {
+                Some(_) if job.running => FenceStatus::Running,
+                Some(_) => job
                     .result
                     .clone()
                     .map_or(FenceStatus::Failed, FenceStatus::Done),
                 None => {
-                    known.fenced = known.fenced.max(fence.token);
+                    job.fenced_token = job.fenced_token.max(fence.token);
                     FenceStatus::Never
                 }
             };
-            let since_ms = worker.since / MS;
+            let since_ms = worker.history_since / MS;
             reply = Some(FenceReply { status, since_ms });
         }
-        let wait = self.delay();
-        self.after(wait, Event::FenceReplied { fence, reply });
+        let wait = self.network_delay();
+        self.schedule(wait, Event::FenceReplyArrives { fence, reply });
     }
 
+    /// Restarts a worker, which breaks its connections.
     pub(super) fn restart_worker(&mut self, worker: usize) {
-        self.coverage.note("worker restarted");
+        self.coverage.count("worker restarted");
         let state = &mut self.workers[worker];
         state.process += 1;
-        state.start = self.now;
-        if self.setup.workers_keep_memory {
-            for known in state.known.values_mut() {
-                known.running = false;
+        state.started_at = self.now;
+        if self.setup.workers_keep_history {
+            for job in state.history.values_mut() {
+                job.running = false;
             }
         } else {
-            state.known.clear();
-            state.since = self.now;
+            state.history.clear();
+            state.history_since = self.now;
         }
         for attempt in self.attempts_of_earlier_process(worker) {
             if !self.connections[attempt.connection as usize].drops_messages {
-                let wait = self.delay();
-                let message = WorkerMessage::ended(Ending::Dropped);
-                self.after(wait, Event::WorkerSays { attempt, message });
+                let wait = self.network_delay();
+                let event = ConnectionEvent::ended(Ending::Dropped);
+                self.schedule(wait, Event::Connection { attempt, event });
             }
         }
-        let wait = self.delay();
-        self.after(wait, Event::List);
+        let wait = self.network_delay();
+        self.schedule(wait, Event::ListArrives);
     }
 
-    /// The attempts whose connections broke when this worker restarted.
+    /// Returns the attempts whose connections broke when a worker restarted.
     fn attempts_of_earlier_process(&self, worker: usize) -> Vec<AttemptRef> {
         let Some(scheduler) = &self.scheduler else {
             return Vec::new();
@@ -328,7 +348,7 @@
     }
 }
 
-/// The result of a job at any worker.
+/// Returns the result of a job, which is the same at every worker.
 pub(super) fn result_of(id: JobId) -> Vec<u8> {
     format!("made {id}").into_bytes()
 }
