--- a/crates/peers/src/budget.rs
+++ b/crates/peers/src/budget.rs
@@ -7,7 +7,7 @@
 
 /// How urgent a datagram is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Class {
+pub enum TrafficClass {
     /// Probes and their answers: may go into debt.
     Probe,
     /// Endpoint lists, and the greeting of a new member: who has no list cannot serve.
@@ -25,7 +25,7 @@
     burst: u64,
     /// Bytes times a million, shifted by the debt so that it is never negative.
     tokens: u64,
-    at: Micros,
+    refilled_at: Micros,
     /// Bytes sent.
     pub sent: u64,
     /// Datagrams that were not sent.
@@ -33,10 +33,10 @@
 }
 
 /// How far probes may go into debt, in bytes.
-pub const DEBT: u64 = 2_048;
+pub const MAX_DEBT_BYTES: u64 = 2_048;
 /// What rows and updates leave for lists, in bytes.
-const RESERVE: u64 = 4_096;
-const MILLION: u64 = 1_000_000;
+const LIST_RESERVE_BYTES: u64 = 4_096;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
 impl Budget {
     /// At most `rate` bytes a second over time, at most `burst` at once.
@@ -45,38 +45,41 @@
         Budget {
             rate,
             burst,
-            tokens: (burst + DEBT) * MILLION,
-            at: now,
+            tokens: (burst + MAX_DEBT_BYTES) * MICROS_PER_SECOND,
+            refilled_at: now,
             sent: 0,
             over_budget: 0,
         }
     }
 
-    fn fill(&mut self, now: Micros) {
-        let passed = now.saturating_sub(self.at).min(3_600 * MILLION);
-        self.at = self.at.max(now);
-        self.tokens = (self.tokens + passed * self.rate).min((self.burst + DEBT) * MILLION);
+    fn refill(&mut self, now: Micros) {
+        let elapsed = now
+            .saturating_sub(self.refilled_at)
+            .min(3_600 * MICROS_PER_SECOND);
+        self.refilled_at = self.refilled_at.max(now);
+        self.tokens = (self.tokens + elapsed * self.rate)
+            .min((self.burst + MAX_DEBT_BYTES) * MICROS_PER_SECOND);
     }
 
-    fn floor(class: Class) -> u64 {
+    fn reserved(class: TrafficClass) -> u64 {
         match class {
-            Class::Probe => 0,
-            Class::List => DEBT,
-            Class::Update | Class::Rows => DEBT + RESERVE,
+            TrafficClass::Probe => 0,
+            TrafficClass::List => MAX_DEBT_BYTES,
+            TrafficClass::Update | TrafficClass::Rows => MAX_DEBT_BYTES + LIST_RESERVE_BYTES,
         }
     }
 
     /// How many bytes of a class may be sent now.
-    pub fn free(&mut self, now: Micros, class: Class) -> usize {
-        self.fill(now);
-        (self.tokens / MILLION).saturating_sub(Budget::floor(class)) as usize
+    pub fn available(&mut self, now: Micros, class: TrafficClass) -> usize {
+        self.refill(now);
+        (self.tokens / MICROS_PER_SECOND).saturating_sub(Budget::reserved(class)) as usize
     }
 
     /// Takes the bytes of one datagram; returns whether it may be sent.
-    pub fn take(&mut self, now: Micros, class: Class, bytes: usize) -> bool {
-        let allowed = self.free(now, class) >= bytes;
+    pub fn try_consume(&mut self, now: Micros, class: TrafficClass, bytes: usize) -> bool {
+        let allowed = self.available(now, class) >= bytes;
         if allowed {
-            self.tokens -= bytes as u64 * MILLION;
+            self.tokens -= bytes as u64 * MICROS_PER_SECOND;
             self.sent += bytes as u64;
         } else {
             self.over_budget += 1;
--- a/crates/peers/src/datagram.rs
+++ b/crates/peers/src/datagram.rs
@@ -1,6 +1,6 @@
 //! The framing of datagrams: version, installation, sender, sequence number, and the MAC over all of it.
 //!
-//! [`Frames`] rejects datagrams of other versions and installations, and those that are changed, truncated or
+//! [`DatagramCodec`] rejects datagrams of other versions and installations, and those that are changed, truncated or
 //! replayed. No byte that the MAC does not cover is returned, and strangers' datagrams take no memory.
 //!
 //! Form: magic, version, installation (4 bytes of its SHA-256), header and body (postcard), MAC. The
@@ -22,15 +22,15 @@
 const MAGIC: u8 = 0xa5;
 const VERSION: u8 = 1;
 /// Magic, version, installation.
-const PREFIX: usize = 6;
-const MAC: usize = 16;
+const PREFIX_LENGTH: usize = 6;
+const MAC_LENGTH: usize = 16;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum DatagramError {
     /// Shorter than any, or longer.
     #[error("shorter than any datagram, or longer")]
-    Truncated,
+    Length,
     /// Another version of the protocol, or not this protocol at all.
     #[error("another version of the protocol")]
     Version,
@@ -48,26 +48,26 @@
     Malformed,
     /// Implausible content: names that are too long, incarnations from the future, too many members.
     #[error("implausible")]
-    Impossible,
+    Implausible,
 }
 
 /// How many datagrams were dropped, and why.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Dropped {
+pub struct DropCounts {
     /// The counts, in the order of [`DatagramError`].
     pub by: [u64; 7],
 }
 
-impl Dropped {
+impl DropCounts {
     /// Counts one.
-    pub fn count(&mut self, why: DatagramError) {
-        self.by[why as usize] += 1;
+    pub fn count(&mut self, cause: DatagramError) {
+        self.by[cause as usize] += 1;
     }
 
     /// The count of one kind.
     #[must_use]
-    pub fn of(&self, why: DatagramError) -> u64 {
-        self.by[why as usize]
+    pub fn of(&self, cause: DatagramError) -> u64 {
+        self.by[cause as usize]
     }
 
     /// The sum of all kinds.
@@ -82,38 +82,42 @@
     from: Owner,
     sequence: u64,
     /// The sender's clock, in milliseconds of Unix time.
-    at: u64,
+    sent_at: u64,
 }
 
 /// The sequence numbers received from one sender: RFC 4303's window.
 struct ReplayWindow {
     highest: u64,
     /// Bit n: `highest - n` was received.
-    bits: u64,
-    at: Micros,
+    received: u64,
+    last_received: Micros,
 }
 
 impl ReplayWindow {
     /// Marks a sequence number as received; fails where it was before, or is too old.
-    fn receive(&mut self, sequence: u64) -> Result<(), DatagramError> {
+    fn record(&mut self, sequence: u64) -> Result<(), DatagramError> {
         if sequence > self.highest {
             let ahead = sequence - self.highest;
-            let shifted = if ahead < 64 { self.bits << ahead } else { 0 };
-            self.bits = shifted | 1;
+            let shifted = if ahead < 64 {
+                self.received << ahead
+            } else {
+                0
+            };
+            self.received = shifted | 1;
             self.highest = sequence;
             return Ok(());
         }
         let back = self.highest - sequence;
-        if back >= 64 || self.bits >> back & 1 == 1 {
+        if back >= 64 || self.received >> back & 1 == 1 {
             return Err(DatagramError::Replayed);
         }
-        self.bits |= 1 << back;
+        self.received |= 1 << back;
         Ok(())
     }
 }
 
 /// Frames the datagrams that are sent, and checks those that come.
-pub struct Frames {
+pub struct DatagramCodec {
     key: Vec<u8>,
     installation: [u8; 4],
     me: Owner,
@@ -122,10 +126,10 @@
     /// The wall clock less the clock of this process.
     wall_offset: i64,
     max_senders: usize,
-    windows: BTreeMap<Owner, ReplayWindow>,
+    replay_windows: BTreeMap<Owner, ReplayWindow>,
 }
 
-impl Frames {
+impl DatagramCodec {
     /// Without a key the installation's name is the key: accidental changes and other installations are
     /// detected, but who knows the name can forge. `skew`: how far clocks may differ, in microseconds.
     #[must_use]
@@ -135,9 +139,9 @@
         me: Owner,
         skew: Micros,
         max_senders: usize,
-    ) -> Frames {
+    ) -> DatagramCodec {
         let hash = Sha256::digest(installation.as_bytes());
-        Frames {
+        DatagramCodec {
             key: key.unwrap_or(installation.as_bytes()).to_vec(),
             installation: [hash[0], hash[1], hash[2], hash[3]],
             me,
@@ -145,7 +149,7 @@
             skew,
             wall_offset: 0,
             max_senders,
-            windows: BTreeMap::new(),
+            replay_windows: BTreeMap::new(),
         }
     }
 
@@ -168,11 +172,11 @@
     /// How many bytes a body may have at most.
     #[must_use]
     pub fn max_body_length(&self) -> usize {
-        MAX_DATAGRAM_LENGTH - PREFIX - MAC - (1 + self.me.name.len() + 3 * 10)
+        MAX_DATAGRAM_LENGTH - PREFIX_LENGTH - MAC_LENGTH - (1 + self.me.name.len() + 3 * 10)
     }
 
-    /// Frames a body. None: it is longer than [`Frames::max_body_length`].
-    pub fn wrap(&mut self, now: Micros, body: &[u8]) -> Option<Vec<u8>> {
+    /// Encodes a body. None: it is longer than [`DatagramCodec::max_body_length`].
+    pub fn encode(&mut self, now: Micros, body: &[u8]) -> Option<Vec<u8>> {
         if body.len() > self.max_body_length() {
             return None;
         }
@@ -180,14 +184,14 @@
         let header = Header {
             from: self.me.clone(),
             sequence: self.sequence,
-            at: self.wall_clock(now) / 1_000,
+            sent_at: self.wall_clock(now) / 1_000,
         };
         let mut bytes = vec![MAGIC, VERSION];
         bytes.extend_from_slice(&self.installation);
         let mut bytes = postcard::to_extend(&header, bytes).ok()?;
         bytes.extend_from_slice(body);
         let mac = self.mac(&bytes)?.finalize().into_bytes();
-        bytes.extend_from_slice(&mac[..MAC]);
+        bytes.extend_from_slice(&mac[..MAC_LENGTH]);
         debug_assert!(bytes.len() <= MAX_DATAGRAM_LENGTH);
         Some(bytes)
     }
@@ -196,13 +200,13 @@
     ///
     /// # Errors
     /// Returns why the datagram is rejected: version, length, installation, authentication or replay.
-    pub fn unwrap<'a>(
+    pub fn decode<'a>(
         &mut self,
         now: Micros,
         bytes: &'a [u8],
     ) -> Result<(Owner, &'a [u8]), DatagramError> {
         let covered = self.authenticate(bytes)?;
-        let (header, body) = postcard::take_from_bytes::<Header>(&covered[PREFIX..])
+        let (header, body) = postcard::take_from_bytes::<Header>(&covered[PREFIX_LENGTH..])
             .map_err(|_| DatagramError::Malformed)?;
         self.check_header(now, &header)?;
         let Header { from, sequence, .. } = header;
@@ -217,13 +221,13 @@
         if other_magic || other_version {
             return Err(DatagramError::Version);
         }
-        if bytes.len() < PREFIX + MAC || bytes.len() > MAX_DATAGRAM_LENGTH {
-            return Err(DatagramError::Truncated);
+        if bytes.len() < PREFIX_LENGTH + MAC_LENGTH || bytes.len() > MAX_DATAGRAM_LENGTH {
+            return Err(DatagramError::Length);
         }
-        if bytes[2..PREFIX] != self.installation {
+        if bytes[2..PREFIX_LENGTH] != self.installation {
             return Err(DatagramError::Installation);
         }
-        let (covered, mac) = bytes.split_at(bytes.len() - MAC);
+        let (covered, mac) = bytes.split_at(bytes.len() - MAC_LENGTH);
         let is_authentic = self
             .mac(covered)
             .is_some_and(|computed| computed.verify_truncated_left(mac).is_ok());
@@ -235,15 +239,15 @@
 
     /// Checks the sender's name, incarnation and clock.
     fn check_header(&self, now: Micros, header: &Header) -> Result<(), DatagramError> {
-        let Header { from, at, .. } = header;
+        let Header { from, sent_at, .. } = header;
         let wall = self.wall_clock(now);
         if from.name.is_empty() || from.name.len() > MAX_NAME_LENGTH {
-            return Err(DatagramError::Impossible);
+            return Err(DatagramError::Implausible);
         }
         if from.incarnation.saturating_mul(1_000) > wall.saturating_add(self.skew) {
-            return Err(DatagramError::Impossible);
+            return Err(DatagramError::Implausible);
         }
-        let is_stale = wall.abs_diff(at.saturating_mul(1_000)) > self.skew;
+        let is_stale = wall.abs_diff(sent_at.saturating_mul(1_000)) > self.skew;
         if is_stale || *from == self.me {
             return Err(DatagramError::Replayed);
         }
@@ -257,32 +261,32 @@
         from: &Owner,
         sequence: u64,
     ) -> Result<(), DatagramError> {
-        if let Some(window) = self.windows.get_mut(from) {
-            window.receive(sequence)?;
-            window.at = now;
+        if let Some(window) = self.replay_windows.get_mut(from) {
+            window.record(sequence)?;
+            window.last_received = now;
             return Ok(());
         }
-        if self.windows.len() >= self.max_senders.max(1) {
-            self.evict_idle_sender();
+        if self.replay_windows.len() >= self.max_senders.max(1) {
+            self.evict_least_recent_sender();
         }
         let window = ReplayWindow {
             highest: sequence,
-            bits: 1,
-            at: now,
+            received: 1,
+            last_received: now,
         };
-        self.windows.insert(from.clone(), window);
+        self.replay_windows.insert(from.clone(), window);
         Ok(())
     }
 
     /// Evicts the sender that has been silent longest; its old datagrams are rejected by their age.
-    fn evict_idle_sender(&mut self) {
-        let idle = self
-            .windows
+    fn evict_least_recent_sender(&mut self) {
+        let least_recent = self
+            .replay_windows
             .iter()
-            .min_by_key(|(_, window)| window.at)
+            .min_by_key(|(_, window)| window.last_received)
             .map(|(owner, _)| owner.clone());
-        if let Some(owner) = idle {
-            self.windows.remove(&owner);
+        if let Some(owner) = least_recent {
+            self.replay_windows.remove(&owner);
         }
     }
 }
--- a/crates/peers/src/endpoint_list/mod.rs
+++ b/crates/peers/src/endpoint_list/mod.rs
@@ -27,7 +27,7 @@
     state: WorkerState,
     start: u64,
     /// The number of the list that changed it last.
-    changed: u64,
+    changed_in: u64,
 }
 
 impl Entry {
@@ -51,14 +51,14 @@
     number: u64,
     count: u16,
     /// When discovery sent it.
-    sent: Micros,
+    sent_at: Micros,
     chunks: BTreeSet<u16>,
     workers: Vec<Worker>,
 }
 
 impl PartialList {
     /// Whether a chunk belongs to this list.
-    fn has_chunk(&self, chunk: &ListChunk) -> bool {
+    fn contains_chunk(&self, chunk: &ListChunk) -> bool {
         self.base == chunk.base && self.number == chunk.number && self.count == chunk.count
     }
 }
@@ -74,10 +74,10 @@
     max_age: Micros,
     number: u64,
     /// When discovery sent the list.
-    sent: Micros,
+    sent_at: Micros,
     workers: BTreeMap<String, Entry>,
     /// The last change of removed workers that are not retained: who has an older list needs a snapshot.
-    oldest_base: u64,
+    min_delta_base: u64,
     partial: Option<PartialList>,
     /// Chunks that were ignored: lists of other discovery services, older lists, or too many workers.
     pub ignored: u64,
@@ -92,9 +92,9 @@
             max_workers,
             max_age,
             number: 0,
-            sent: 0,
+            sent_at: 0,
             workers: BTreeMap::new(),
-            oldest_base: 0,
+            min_delta_base: 0,
             partial: None,
             ignored: 0,
         }
@@ -113,7 +113,7 @@
     /// The own discovery service sent a snapshot: it counts whatever its number is. Returns whether peers have
     /// to be notified of it.
     pub fn on_discovery_list(&mut self, now: Micros, number: u64, list: &[Worker]) -> bool {
-        let changed = number != self.number;
+        let is_new = number != self.number;
         self.apply(now, number, 0, list);
         if self
             .partial
@@ -122,17 +122,17 @@
         {
             self.partial = None;
         }
-        changed
+        is_new
     }
 
     /// Applies a snapshot (base 0) or a delta.
-    fn apply(&mut self, sent: Micros, number: u64, base: u64, list: &[Worker]) {
+    fn apply(&mut self, sent_at: Micros, number: u64, base: u64, list: &[Worker]) {
         if base == 0 {
             let present: BTreeSet<&str> = list.iter().map(|worker| worker.id.as_str()).collect();
             for (id, entry) in &mut self.workers {
                 if !entry.is_removed() && !present.contains(id.as_str()) {
                     entry.state = WorkerState::Removed;
-                    entry.changed = number;
+                    entry.changed_in = number;
                 }
             }
         }
@@ -143,14 +143,14 @@
         }
         self.purge_removed();
         self.number = number;
-        self.sent = sent;
+        self.sent_at = sent_at;
     }
 
     fn apply_worker(&mut self, number: u64, worker: &Worker) {
         let entry = Entry {
             state: worker.state,
             start: worker.start,
-            changed: number,
+            changed_in: number,
         };
         let has_capacity = self.workers.len() < 2 * self.max_workers;
         match self.workers.get_mut(&worker.id) {
@@ -169,11 +169,11 @@
             .workers
             .iter()
             .filter(|(_, entry)| entry.is_removed())
-            .map(|(id, entry)| (entry.changed, id.clone()))
+            .map(|(id, entry)| (entry.changed_in, id.clone()))
             .collect();
         removed.sort();
         for (changed, id) in removed.iter().rev().skip(self.max_workers) {
-            self.oldest_base = self.oldest_base.max(*changed);
+            self.min_delta_base = self.min_delta_base.max(*changed);
             self.workers.remove(id);
         }
     }
@@ -185,7 +185,7 @@
             return Vec::new();
         }
         // Guards against a delta that lacks removed workers which are not retained any more.
-        let base = if theirs.number < self.oldest_base {
+        let base = if theirs.number < self.min_delta_base {
             0
         } else {
             theirs.number
@@ -194,7 +194,7 @@
         let Ok(count) = u16::try_from(chunks.len()) else {
             return Vec::new();
         };
-        let age = now.saturating_sub(self.sent) / 1_000;
+        let age = now.saturating_sub(self.sent_at) / 1_000;
         let chunk = |(index, workers)| ListChunk {
             discovery: self.discovery.clone(),
             base,
@@ -213,8 +213,8 @@
         let mut current = Vec::new();
         let mut length = 0;
         for (id, entry) in &self.workers {
-            let is_sent = entry.changed > base && (base > 0 || !entry.is_removed());
-            if !is_sent {
+            let is_included = entry.changed_in > base && (base > 0 || !entry.is_removed());
+            if !is_included {
                 continue;
             }
             let worker_length = id.len() + WORKER_OVERHEAD;
@@ -246,7 +246,7 @@
             if complete.base == 0 {
                 updates.extend(self.missing_from(&complete, age));
             }
-            self.apply(complete.sent, number, complete.base, &complete.workers);
+            self.apply(complete.sent_at, number, complete.base, &complete.workers);
             updates.push(ListUpdate::Complete { number, age });
         }
         updates
@@ -263,9 +263,9 @@
     }
 
     /// Adds a chunk to its list; returns the list once all of its chunks have come.
-    fn collect_chunk(&mut self, sent: Micros, chunk: ListChunk) -> Option<PartialList> {
+    fn collect_chunk(&mut self, sent_at: Micros, chunk: ListChunk) -> Option<PartialList> {
         let mut partial = match self.partial.take() {
-            Some(partial) if partial.has_chunk(&chunk) => partial,
+            Some(partial) if partial.contains_chunk(&chunk) => partial,
             // Chunks of a newer list have come already.
             Some(partial) if partial.number > chunk.number && partial.base <= self.number => {
                 self.partial = Some(partial);
@@ -275,7 +275,7 @@
                 base: chunk.base,
                 number: chunk.number,
                 count: chunk.count,
-                sent,
+                sent_at,
                 chunks: BTreeSet::new(),
                 workers: Vec::new(),
             },
@@ -348,7 +348,7 @@
             .collect();
         Some(EndpointList {
             number: self.number,
-            age: now.saturating_sub(self.sent),
+            age: now.saturating_sub(self.sent_at),
             workers,
         })
     }
--- a/crates/peers/src/exchange/deltas.rs
+++ b/crates/peers/src/exchange/deltas.rs
@@ -1,6 +1,6 @@
 //! Packing the rows that a peer lacks into datagrams, and merging those that come.
 
-use super::{by_hash, hash, unique, MissingRows, MAX_HASH};
+use super::{hash, owners_by_hash, unique_owner, MissingRows, MAX_HASH};
 use crate::message::{Delta, OwnerRef, PackedRow};
 use crate::rows::{Key, Owner, Row, Rows};
 
@@ -14,7 +14,7 @@
 const ROW_OVERHEAD: usize = 3;
 
 /// How many bytes a number takes as a varint.
-fn varint(number: u64) -> usize {
+fn varint_length(number: u64) -> usize {
     (70 - (number | 1).leading_zeros() as usize) / 7
 }
 
@@ -32,7 +32,7 @@
 }
 
 /// Packs an owner's rows after a version into so many bytes.
-fn pack(rows: &Rows, owner: &Owner, since: u64, space: usize) -> Packed {
+fn pack_rows(rows: &Rows, owner: &Owner, since: u64, space: usize) -> Packed {
     let newest = rows
         .newer_than(owner, since)
         .map(|row| row.key.window)
@@ -49,11 +49,11 @@
         let packed_row = PackedRow {
             version: row.version - packed.last,
             table: row.key.table,
-            back: newest - row.key.window,
+            windows_back: newest - row.key.window,
             subject: row.key.subject.to_vec(),
             counts: row.counts,
         };
-        let Some(space) = packed.space.checked_sub(length(&packed_row)) else {
+        let Some(space) = packed.space.checked_sub(row_length(&packed_row)) else {
             packed.is_cut = true;
             break;
         };
@@ -65,53 +65,57 @@
 }
 
 /// The encoded length of a row, in bytes.
-fn length(row: &PackedRow) -> usize {
+fn row_length(row: &PackedRow) -> usize {
     let counts: usize = row
         .counts
         .iter()
-        .map(|count| varint(u64::from(*count)))
+        .map(|count| varint_length(u64::from(*count)))
         .sum();
-    varint(row.version) + varint(u64::from(row.back)) + row.subject.len() + counts + ROW_OVERHEAD
+    varint_length(row.version)
+        + varint_length(u64::from(row.windows_back))
+        + row.subject.len()
+        + counts
+        + ROW_OVERHEAD
 }
 
 /// Packs missing rows into one datagram of at most `space` bytes. What is packed is removed from `missing`,
 /// or advanced in it. The newest window of all deltas comes first.
-pub fn fill(rows: &Rows, missing: &mut Vec<MissingRows>, space: usize) -> (u32, Vec<Delta>) {
+pub fn pack_deltas(rows: &Rows, missing: &mut Vec<MissingRows>, space: usize) -> (u32, Vec<Delta>) {
     let mut deltas: Vec<(u32, Delta)> = Vec::new();
-    let mut left = space.saturating_sub(BODY_OVERHEAD);
-    let mut done = 0;
+    let mut remaining = space.saturating_sub(BODY_OVERHEAD);
+    let mut completed = 0;
     for missing in missing.iter_mut() {
         let owner = missing.owner.clone();
         let since = missing.since;
-        let owner_length = if missing.hashed {
+        let owner_length = if missing.known_by_hash {
             HASHED_OWNER_LENGTH
         } else {
-            2 + owner.name.len() + varint(owner.incarnation)
+            2 + owner.name.len() + varint_length(owner.incarnation)
         };
-        let header = owner_length + 2 * varint(since) + DELTA_OVERHEAD;
-        let Some(space) = left.checked_sub(header) else {
+        let header = owner_length + 2 * varint_length(since) + DELTA_OVERHEAD;
+        let Some(space) = remaining.checked_sub(header) else {
             break;
         };
-        let packed = pack(rows, &owner, since, space);
+        let packed = pack_rows(rows, &owner, since, space);
         if packed.rows.is_empty() && packed.is_cut {
             break;
         }
         let (last, is_cut) = (packed.last, packed.is_cut);
         // Where there are no rows, all of them have expired.
         if !packed.rows.is_empty() {
-            left = packed.space;
+            remaining = packed.space;
             deltas.push((packed.newest, delta(rows, missing, packed)));
         }
         if is_cut {
             missing.since = last;
             break;
         }
-        done += 1;
+        completed += 1;
     }
-    missing.drain(..done);
+    missing.drain(..completed);
     let newest = deltas.iter().map(|(newest, _)| *newest).max().unwrap_or(0);
     let deltas = deltas.into_iter().map(|(own, delta)| Delta {
-        back: newest - own,
+        windows_back: newest - own,
         ..delta
     });
     (newest, deltas.collect())
@@ -124,12 +128,12 @@
         .known()
         .find(|(candidate, _)| *candidate == owner)
         .map_or(packed.last, |(_, known)| known);
-    let upto = if packed.is_cut {
+    let up_to = if packed.is_cut {
         packed.last
     } else {
         known.max(packed.last)
     };
-    let owner = if missing.hashed {
+    let owner = if missing.known_by_hash {
         OwnerRef::Hash(hash(owner))
     } else {
         OwnerRef::Full(owner.clone())
@@ -137,21 +141,21 @@
     Delta {
         owner,
         since: missing.since,
-        upto: upto - missing.since,
-        back: 0,
+        covered: up_to - missing.since,
+        windows_back: 0,
         rows: packed.rows,
     }
 }
 
 /// Merges the deltas of a datagram. Returns false where one is malformed: versions or windows beyond their
 /// types.
-pub fn merge(rows: &mut Rows, newest: u32, deltas: Vec<Delta>) -> bool {
-    let all = by_hash(rows, 0, MAX_HASH);
+pub fn merge_deltas(rows: &mut Rows, newest: u32, deltas: Vec<Delta>) -> bool {
+    let all = owners_by_hash(rows, 0, MAX_HASH);
     let owners: Vec<Option<Owner>> = deltas
         .iter()
         .map(|delta| match &delta.owner {
             OwnerRef::Full(owner) => Some(owner.clone()),
-            OwnerRef::Hash(hash) => unique(&all, *hash).map(|hashed| hashed.owner.clone()),
+            OwnerRef::Hash(hash) => unique_owner(&all, *hash).map(|hashed| hashed.owner.clone()),
         })
         .collect();
     for (delta, owner) in deltas.into_iter().zip(owners) {
@@ -165,8 +169,8 @@
 /// Merges one delta; nothing where it is malformed. `owner` is absent where its rows have expired here since
 /// the digest.
 fn merge_delta(rows: &mut Rows, newest: u32, delta: Delta, owner: Option<Owner>) -> Option<()> {
-    let upto = delta.since.checked_add(delta.upto)?;
-    let newest = newest.checked_sub(delta.back)?;
+    let up_to = delta.since.checked_add(delta.covered)?;
+    let newest = newest.checked_sub(delta.windows_back)?;
     let Some(owner) = owner else {
         return Some(());
     };
@@ -175,7 +179,7 @@
         version = version.checked_add(packed.version)?;
         let key = Key {
             table: packed.table,
-            window: newest.checked_sub(packed.back)?,
+            window: newest.checked_sub(packed.windows_back)?,
             subject: packed.subject.into(),
         };
         let row = Row {
@@ -186,9 +190,9 @@
         // What is rejected is counted there; it would only come again if it delayed the rest.
         let _ = rows.merge(&owner, row);
     }
-    if version > upto {
+    if version > up_to {
         return None;
     }
-    rows.advance(&owner, delta.since, upto);
+    rows.advance(&owner, delta.since, up_to);
     Some(())
 }
--- a/crates/peers/src/exchange/mod.rs
+++ b/crates/peers/src/exchange/mod.rs
@@ -12,7 +12,7 @@
 mod deltas;
 
 pub use compare::{compare, Difference, MissingRows};
-pub use deltas::{fill, merge};
+pub use deltas::{merge_deltas, pack_deltas};
 
 /// The most owners in one digest: at 5 bytes each, half a datagram.
 pub const MAX_DIGEST_OWNERS: usize = 100;
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct OwnerState {
     /// The version up to which all of its rows are known.
-    known: u64,
+    known_version: u64,
     alive: bool,
 }
 
@@ -43,13 +43,13 @@
         let Some(state) = state else {
             return 0;
         };
-        1 + 2 * state.known.min(u64::MAX >> 2) + u64::from(state.alive)
+        1 + 2 * state.known_version.min(u64::MAX >> 2) + u64::from(state.alive)
     }
 
     fn decode(number: u64) -> Option<OwnerState> {
         let number = number.checked_sub(1)?;
         Some(OwnerState {
-            known: number >> 1,
+            known_version: number >> 1,
             alive: number & 1 == 1,
         })
     }
@@ -63,13 +63,16 @@
 }
 
 /// The owners whose hash lies in a range, by hash.
-fn by_hash(rows: &Rows, first: u32, last: u32) -> Vec<HashedOwner<'_>> {
+fn owners_by_hash(rows: &Rows, first: u32, last: u32) -> Vec<HashedOwner<'_>> {
     let mut found: Vec<HashedOwner<'_>> = rows
         .states()
-        .map(|(owner, known, alive)| HashedOwner {
+        .map(|(owner, known_version, alive)| HashedOwner {
             hash: hash(owner),
             owner,
-            state: OwnerState { known, alive },
+            state: OwnerState {
+                known_version,
+                alive,
+            },
         })
         .filter(|hashed| (first..=last).contains(&hashed.hash))
         .collect();
@@ -78,7 +81,7 @@
 }
 
 /// The one owner of a hash; nothing where there are two.
-fn unique<'a, 'b>(all: &'b [HashedOwner<'a>], hash: u32) -> Option<&'b HashedOwner<'a>> {
+fn unique_owner<'a, 'b>(all: &'b [HashedOwner<'a>], hash: u32) -> Option<&'b HashedOwner<'a>> {
     let at = all.partition_point(|hashed| hashed.hash < hash);
     let found = all.get(at)?;
     let collides = all.get(at + 1).is_some_and(|next| next.hash == hash);
@@ -87,22 +90,22 @@
 
 /// Which range of owners a member compares next: its digests go through all of them.
 #[derive(Clone, Debug, Default)]
-pub struct Cursor {
+pub struct DigestCursor {
     next: u32,
 }
 
-impl Cursor {
+impl DigestCursor {
     /// Begins at any hash: members that begin at the same one would compare the same range at the same time.
     #[must_use]
-    pub fn new(at: u32) -> Cursor {
-        Cursor {
+    pub fn new(at: u32) -> DigestCursor {
+        DigestCursor {
             next: at & MAX_HASH,
         }
     }
 
     /// The digest of the next range.
     pub fn digest(&mut self, rows: &Rows, list_version: ListVersion) -> Digest {
-        let all = by_hash(rows, 0, MAX_HASH);
+        let all = owners_by_hash(rows, 0, MAX_HASH);
         let mut first = 0;
         let mut last = MAX_HASH;
         let mut range = &all[..];
@@ -118,15 +121,15 @@
             self.next = if last == MAX_HASH { 0 } else { last + 1 };
         }
         let states = range.iter().map(|hashed| {
-            let unique = unique(range, hashed.hash);
-            (hashed.hash, unique.map(|hashed| hashed.state))
+            let owner = unique_owner(range, hashed.hash);
+            (hashed.hash, owner.map(|hashed| hashed.state))
         });
         Digest {
             complete: true,
             first,
             last,
-            list: list_version,
-            known: encode_states(states, first),
+            list_version,
+            states: encode_states(states, first),
         }
     }
 }
@@ -151,8 +154,8 @@
 /// A digest's states by hash. None: malformed.
 fn decode_states(digest: &Digest) -> Option<Vec<(u32, Option<OwnerState>)>> {
     let mut hash = digest.first;
-    let mut states = Vec::with_capacity(digest.known.len());
-    for (distance, number) in &digest.known {
+    let mut states = Vec::with_capacity(digest.states.len());
+    for (distance, number) in &digest.states {
         hash = hash.checked_add(*distance)?;
         if hash > digest.last.min(MAX_HASH) {
             return None;
--- a/crates/peers/src/membership/admission.rs
+++ b/crates/peers/src/membership/admission.rs
@@ -17,7 +17,7 @@
         let (header, rest) = postcard::take_from_bytes::<Header<Identity>>(bytes)
             .map_err(|_| DatagramError::Malformed)?;
         if header.src.owner != *from {
-            return Err(DatagramError::Impossible);
+            return Err(DatagramError::Implausible);
         }
         let mut named = vec![header.src.clone()];
         if let Some((count, mut rest)) = rest.split_first_chunk::<2>() {
@@ -35,17 +35,17 @@
     /// Checks that all of these members may be admitted.
     pub(super) fn check_admission(&self, mut named: Vec<Identity>) -> Result<(), DatagramError> {
         if !named.iter().all(is_plausible) {
-            return Err(DatagramError::Impossible);
+            return Err(DatagramError::Implausible);
         }
         let known = self.known();
         if known + named.len() <= self.max_members {
             return Ok(());
         }
         named.sort();
-        named.dedup_by_key(|id| id.at);
+        named.dedup_by_key(|id| id.address);
         named.retain(|id| !self.is_known(id));
         if known + named.len() > self.max_members {
-            return Err(DatagramError::Impossible);
+            return Err(DatagramError::Implausible);
         }
         Ok(())
     }
@@ -53,7 +53,7 @@
     fn is_known(&self, id: &Identity) -> bool {
         self.foca
             .iter_membership_state()
-            .any(|member| member.id().at == id.at)
+            .any(|member| member.id().address == id.address)
     }
 }
 
@@ -61,5 +61,5 @@
 fn is_plausible(id: &Identity) -> bool {
     let name = &id.owner.name;
     let has_name = !name.is_empty() && name.len() <= MAX_NAME_LENGTH;
-    has_name && !id.at.ip().is_unspecified() && id.at.port() != 0
+    has_name && !id.address.ip().is_unspecified() && id.address.port() != 0
 }
--- a/crates/peers/src/membership/joining.rs
+++ b/crates/peers/src/membership/joining.rs
@@ -13,34 +13,37 @@
 /// Between two calls for more members at first: 0.25 s.
 pub(super) const JOIN_INTERVAL: Micros = 250_000;
 /// How many calls are made at that pace.
-const FAST_JOIN_CALLS: u32 = 8;
+const FAST_JOIN_REQUESTS: u32 = 8;
 /// Between two calls later, in case that a member was missed: 10 s.
 const SLOW_JOIN_INTERVAL: Micros = 10_000_000;
 /// Of so many calls one goes to a join address, and the others to members.
-const CALLS_PER_SEED: u32 = 8;
+const REQUESTS_PER_SEED: u32 = 8;
 
 impl Membership {
     /// Calls a member, or a join address, for the members that it knows.
-    pub(super) fn call_for_members(&mut self, now: Micros) {
-        self.join_calls += 1;
-        let living = self.living();
-        let interval = if living.is_empty() || self.join_calls < FAST_JOIN_CALLS {
+    pub(super) fn request_members(&mut self, now: Micros) {
+        self.join_requests += 1;
+        let live_members = self.live_members();
+        let interval = if live_members.is_empty() || self.join_requests < FAST_JOIN_REQUESTS {
             JOIN_INTERVAL
         } else {
             SLOW_JOIN_INTERVAL
         };
         self.next_join = now + interval;
-        let prefers_seed = living.is_empty() || self.join_calls % CALLS_PER_SEED == 0;
-        let picked = match self.rng.choice(&living) {
-            Some(id) if !prefers_seed => Some(id.clone()),
-            _ => self.rng.choice(&self.join).map(|at| any_identity(*at)),
+        let use_seed = live_members.is_empty() || self.join_requests % REQUESTS_PER_SEED == 0;
+        let picked = match self.rng.choice(&live_members) {
+            Some(id) if !use_seed => Some(id.clone()),
+            _ => self
+                .rng
+                .choice(&self.join)
+                .map(|at| placeholder_identity(*at)),
         };
         self.announce(picked);
     }
 
     /// After a partition somebody has to call first: a dead member, or a join address that no living member
     /// has.
-    pub(super) fn call_dead(&mut self) {
+    pub(super) fn announce_to_dead(&mut self) {
         let mut candidates: Vec<Identity> = self
             .foca
             .iter_membership_state()
@@ -49,10 +52,10 @@
             .collect();
         candidates.sort();
         // The join addresses may be as many as there are members: no search through all of these for each.
-        let mut known: BTreeSet<SocketAddr> = candidates.iter().map(|id| id.at).collect();
-        known.extend(self.foca.iter_members().map(|member| member.id().at));
+        let mut known: BTreeSet<SocketAddr> = candidates.iter().map(|id| id.address).collect();
+        known.extend(self.foca.iter_members().map(|member| member.id().address));
         let unknown = self.join.iter().filter(|at| !known.contains(at));
-        candidates.extend(unknown.map(|at| any_identity(*at)));
+        candidates.extend(unknown.map(|at| placeholder_identity(*at)));
         let picked = self.rng.choice(&candidates).cloned();
         self.announce(picked);
     }
@@ -66,10 +69,10 @@
 }
 
 /// Any member at an address: who listens there answers whatever the name is.
-fn any_identity(at: SocketAddr) -> Identity {
+fn placeholder_identity(address: SocketAddr) -> Identity {
     Identity {
         owner: Owner::new("?", 0),
         generation: 0,
-        at,
+        address,
     }
 }
--- a/crates/peers/src/membership/mod.rs
+++ b/crates/peers/src/membership/mod.rs
@@ -20,8 +20,8 @@
 use foca::{Foca, Member, Message, NoCustomBroadcast, PostcardCodec, State, Timer};
 
 use joining::JOIN_INTERVAL;
-use runtime::{Random, Runtime};
-pub use types::{Action, Identity, KnownMember, Pace};
+use runtime::{FocaRng, Runtime};
+pub use types::{Action, Identity, KnownMember, MembershipTiming};
 
 use crate::datagram::DatagramError;
 use crate::rows::Owner;
@@ -34,45 +34,45 @@
 /// How many members probe on behalf of another one.
 const INDIRECT_PROBES: usize = 3;
 /// How many others a new member is sent at first.
-const GREETING_MEMBERS: usize = 4;
+const INITIAL_MEMBERS: usize = 4;
 
 /// The membership of one process.
 pub struct Membership {
-    foca: Foca<Identity, PostcardCodec, Random, NoCustomBroadcast>,
+    foca: Foca<Identity, PostcardCodec, FocaRng, NoCustomBroadcast>,
     runtime: Runtime,
     rng: fastrand::Rng,
-    pace: Pace,
+    timing: MembershipTiming,
     join: Vec<SocketAddr>,
     max_members: usize,
     /// When to call a member or a join address next.
     next_join: Micros,
-    join_calls: u32,
+    join_requests: u32,
     /// When to call a dead member next.
     next_rejoin: Micros,
     /// How often this process was found stalled.
     pub stalls: u64,
 }
 
-fn span(micros: Micros) -> Duration {
+fn duration(micros: Micros) -> Duration {
     Duration::from_micros(micros.max(1))
 }
 
-fn at_least_one(n: usize) -> NonZeroUsize {
+fn non_zero(n: usize) -> NonZeroUsize {
     NonZeroUsize::new(n).unwrap_or(NonZeroUsize::MIN)
 }
 
-fn foca_config(pace: &Pace) -> foca::Config {
+fn foca_config(timing: &MembershipTiming) -> foca::Config {
     let mut config = foca::Config::simple();
-    config.probe_period = span(pace.probe);
-    config.probe_rtt = span(pace.answer.min(pace.probe / 2));
-    config.num_indirect_probes = at_least_one(INDIRECT_PROBES);
+    config.probe_period = duration(timing.probe_interval);
+    config.probe_rtt = duration(timing.probe_timeout.min(timing.probe_interval / 2));
+    config.num_indirect_probes = non_zero(INDIRECT_PROBES);
     config.max_transmissions = NonZeroU8::new(UPDATE_TRANSMISSIONS).unwrap_or(NonZeroU8::MIN);
-    config.suspect_to_down_after = span(pace.suspicion);
-    config.remove_down_after = span(pace.dead_retention);
-    config.max_packet_size = at_least_one(MAX_PACKET_LENGTH);
+    config.suspect_to_down_after = duration(timing.suspicion_timeout);
+    config.remove_down_after = duration(timing.dead_retention);
+    config.max_packet_size = non_zero(MAX_PACKET_LENGTH);
     config.notify_down_members = true;
     config.periodic_gossip = Some(foca::PeriodicParams {
-        frequency: span(pace.gossip),
+        frequency: duration(timing.gossip_interval),
         num_members: NonZeroUsize::MIN,
     });
     config
@@ -85,25 +85,25 @@
         me: Identity,
         join: Vec<SocketAddr>,
         max_members: usize,
-        pace: Pace,
+        timing: MembershipTiming,
         now: Micros,
         seed: u64,
     ) -> Self {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let foca_rng = Random(rng.fork());
-        let join = join.into_iter().filter(|at| *at != me.at).collect();
+        let foca_rng = FocaRng(rng.fork());
+        let join = join.into_iter().filter(|at| *at != me.address).collect();
         // All of a fleet that starts at once would call in the same moment.
         let next_join = now + rng.u64(0..JOIN_INTERVAL);
-        let next_rejoin = now + pace.rejoin + rng.u64(0..pace.rejoin.max(1));
+        let next_rejoin = now + timing.rejoin_interval + rng.u64(0..timing.rejoin_interval.max(1));
         Membership {
-            foca: Foca::new(me, foca_config(&pace), foca_rng, PostcardCodec),
+            foca: Foca::new(me, foca_config(&timing), foca_rng, PostcardCodec),
             runtime: Runtime::new(now),
             rng,
-            pace,
+            timing,
             join,
             max_members,
             next_join,
-            join_calls: 0,
+            join_requests: 0,
             next_rejoin,
             stalls: 0,
         }
@@ -117,11 +117,11 @@
 
     /// The living, without this process, by name and incarnation.
     #[must_use]
-    pub fn living(&self) -> Vec<Identity> {
+    pub fn live_members(&self) -> Vec<Identity> {
         let members = self.foca.iter_members();
-        let mut living: Vec<Identity> = members.map(|member| member.id().clone()).collect();
-        living.sort();
-        living
+        let mut live_members: Vec<Identity> = members.map(|member| member.id().clone()).collect();
+        live_members.sort();
+        live_members
     }
 
     /// How many members are known, the retained dead ones among them.
@@ -135,14 +135,14 @@
     /// # Errors
     /// Returns why the packet is rejected: malformed, or naming members that may not be admitted.
     pub fn handle(&mut self, now: Micros, from: &Owner, bytes: &[u8]) -> Result<(), DatagramError> {
-        self.wake(now);
+        self.advance_clock(now);
         let header = self.check_packet(from, bytes)?;
-        let sender = header.src.at;
+        let sender = header.src.address;
         let runtime = &mut self.runtime;
         if runtime
             .probe_retry
             .as_ref()
-            .is_some_and(|retry| retry.to.at == sender)
+            .is_some_and(|retry| retry.to.address == sender)
         {
             runtime.probe_retry = None;
         }
@@ -155,7 +155,7 @@
         }
         // Meant for an earlier incarnation or generation: foca ignores it.
         if header.dst != *self.me() && header.message != Message::Announce {
-            self.runtime.actions.push_back(Action::Introduce(sender));
+            self.runtime.actions.push_back(Action::SendSelf(sender));
         }
         self.foca
             .handle_data(bytes, &mut self.runtime)
@@ -164,7 +164,7 @@
 
     /// Members that a peer does not know, as this one knows them.
     #[must_use]
-    pub fn introduce(&self, unknown: &[Owner]) -> Vec<KnownMember> {
+    pub fn alive_among(&self, unknown: &[Owner]) -> Vec<KnownMember> {
         // By order, not one by one: to a new member in a large fleet nearly all are unknown.
         let unknown: BTreeSet<&Owner> = unknown.iter().collect();
         let mut members: Vec<KnownMember> = self
@@ -179,21 +179,21 @@
     }
 
     /// This process and some others, for a new member at an address.
-    pub fn greeting(&mut self, to: SocketAddr) -> Vec<KnownMember> {
+    pub fn initial_members(&mut self, to: SocketAddr) -> Vec<KnownMember> {
         let others: Vec<KnownMember> = self
             .foca
             .iter_members()
-            .filter(|member| member.state() == State::Alive && member.id().at != to)
+            .filter(|member| member.state() == State::Alive && member.id().address != to)
             .map(known_member)
             .collect();
-        let mut greeting = self.rng.choose_multiple(others, GREETING_MEMBERS);
-        greeting.push(self.introduction());
-        greeting
+        let mut members = self.rng.choose_multiple(others, INITIAL_MEMBERS);
+        members.push(self.self_entry());
+        members
     }
 
     /// This process, for others.
     #[must_use]
-    pub fn introduction(&self) -> KnownMember {
+    pub fn self_entry(&self) -> KnownMember {
         KnownMember {
             identity: self.me().clone(),
             swim_incarnation: 0,
@@ -207,7 +207,7 @@
             .foca
             .iter_membership_state()
             .filter(|member| member.state() == State::Down)
-            .filter(|member| addresses.contains(&member.id().at))
+            .filter(|member| addresses.contains(&member.id().address))
             .map(known_member)
             .collect();
         dead.sort();
@@ -224,7 +224,7 @@
         members: Vec<KnownMember>,
         alive: bool,
     ) -> Result<(), DatagramError> {
-        self.wake(now);
+        self.advance_clock(now);
         let named = members.iter().map(|member| member.identity.clone());
         self.check_admission(named.collect())?;
         let state = if alive { State::Alive } else { State::Down };
@@ -238,13 +238,13 @@
     }
 
     /// Sets the time; after a stall all timers are postponed by its length.
-    fn wake(&mut self, now: Micros) {
+    fn advance_clock(&mut self, now: Micros) {
         self.runtime.now = self.runtime.now.max(now);
         let Some(((due, _), _)) = self.runtime.timers.first_key_value() else {
             return;
         };
         let late = now.saturating_sub(*due);
-        if late > self.pace.stall {
+        if late > self.timing.stall_threshold {
             self.stalls += 1;
             self.runtime.postpone(late);
         }
@@ -252,7 +252,7 @@
 
     /// Does what is due.
     pub fn tick(&mut self, now: Micros) {
-        self.wake(now);
+        self.advance_clock(now);
         while let Some(entry) = self.runtime.timers.first_entry() {
             if entry.key().0 > now {
                 break;
@@ -267,11 +267,11 @@
         self.retry_probe(now);
         self.ping_suspects(now);
         if now >= self.next_join {
-            self.call_for_members(now);
+            self.request_members(now);
         }
         if now >= self.next_rejoin {
-            self.next_rejoin = now + self.pace.rejoin;
-            self.call_dead();
+            self.next_rejoin = now + self.timing.rejoin_interval;
+            self.announce_to_dead();
         }
     }
 
@@ -303,7 +303,7 @@
     }
 
     /// The next action, in order.
-    pub fn poll(&mut self) -> Option<Action> {
+    pub fn poll_action(&mut self) -> Option<Action> {
         self.runtime.actions.pop_front()
     }
 }
--- a/crates/peers/src/membership/runtime.rs
+++ b/crates/peers/src/membership/runtime.rs
@@ -8,15 +8,15 @@
 use rand_core::RngCore;
 
 use super::types::{Action, Identity};
-use crate::budget::Class;
+use crate::budget::TrafficClass;
 use crate::Micros;
 
 /// How often a probe is repeated.
 const PROBE_RETRIES: u8 = 3;
 
-pub(super) struct Random(pub fastrand::Rng);
+pub(super) struct FocaRng(pub fastrand::Rng);
 
-impl RngCore for Random {
+impl RngCore for FocaRng {
     fn next_u32(&mut self) -> u32 {
         self.0.u32(..)
     }
@@ -35,16 +35,16 @@
     pub identity: Identity,
     pub swim_incarnation: u16,
     pub next_ping: Micros,
-    pub until: Micros,
+    pub deadline: Micros,
 }
 
 /// A probe that was not answered at once. It is repeated while others probe: one lost datagram must not cause
 /// a suspicion.
 pub(super) struct ProbeRetry {
     pub to: Identity,
-    pub number: u8,
-    pub next: Micros,
-    pub left: u8,
+    pub probe_number: u8,
+    pub next_at: Micros,
+    pub remaining: u8,
 }
 
 /// What foca asks of its runtime.
@@ -77,7 +77,7 @@
             self.timers.insert((at + by, count), timer);
         }
         for suspect in self.suspects.values_mut() {
-            suspect.until += by;
+            suspect.deadline += by;
         }
     }
 
@@ -89,7 +89,7 @@
             .values()
             .map(|suspect| suspect.next_ping)
             .min();
-        let retry = self.probe_retry.as_ref().map(|retry| retry.next);
+        let retry = self.probe_retry.as_ref().map(|retry| retry.next_at);
         [timer, ping, retry]
             .into_iter()
             .flatten()
@@ -103,12 +103,12 @@
         match notification {
             Notification::MemberUp(id) => self.actions.push_back(Action::Joined(id.clone())),
             Notification::MemberDown(id) => {
-                self.suspects.remove(&id.at);
+                self.suspects.remove(&id.address);
                 self.actions.push_back(Action::Died(id.owner.clone()));
             }
             // A new incarnation at the same address: the old one has ended, whatever became of it.
             Notification::Rename(old, new) if old.owner != new.owner => {
-                self.suspects.remove(&old.at);
+                self.suspects.remove(&old.address);
                 self.actions.push_back(Action::Died(old.owner.clone()));
                 self.actions.push_back(Action::Joined(new.clone()));
             }
@@ -126,21 +126,22 @@
         {
             self.probe_retry = Some(ProbeRetry {
                 to: target.clone(),
-                number: *probe_number,
-                next: self.now,
-                left: PROBE_RETRIES,
+                probe_number: *probe_number,
+                next_at: self.now,
+                remaining: PROBE_RETRIES,
             });
         }
         if matches!(message, Ok(Message::Feed)) {
-            self.actions.push_back(Action::Greet(to.at));
+            self.actions
+                .push_back(Action::SendInitialMembers(to.address));
             return;
         }
         let class = match message {
-            Ok(Message::Gossip | Message::Announce | Message::TurnUndead) => Class::Update,
-            _ => Class::Probe,
+            Ok(Message::Gossip | Message::Announce | Message::TurnUndead) => TrafficClass::Update,
+            _ => TrafficClass::Probe,
         };
         self.actions.push_back(Action::Send {
-            to: to.at,
+            to: to.address,
             bytes: data.to_vec(),
             class,
         });
@@ -158,11 +159,11 @@
                 identity: member_id.clone(),
                 swim_incarnation: *incarnation,
                 next_ping: self.now,
-                until: at,
+                deadline: at,
             };
             let owner = member_id.owner.clone();
             self.actions.push_back(Action::Suspected(owner));
-            self.suspects.insert(member_id.at, suspect);
+            self.suspects.insert(member_id.address, suspect);
         }
         self.timer_count += 1;
         self.timers.insert((at, self.timer_count), event);
--- a/crates/peers/src/membership/suspicion.rs
+++ b/crates/peers/src/membership/suspicion.rs
@@ -5,7 +5,7 @@
 use super::runtime::Suspect;
 use super::types::{Action, Identity};
 use super::Membership;
-use crate::budget::Class;
+use crate::budget::TrafficClass;
 use crate::Micros;
 
 /// Between two repetitions of a probe: 80 ms.
@@ -18,20 +18,20 @@
         let Some(retry) = &mut self.runtime.probe_retry else {
             return;
         };
-        if retry.next > now {
+        if retry.next_at > now {
             return;
         }
-        let ping = ping(me, retry.to.clone(), retry.number);
+        let ping = ping(me, retry.to.clone(), retry.probe_number);
         if let Ok(bytes) = postcard::to_allocvec(&ping) {
             self.runtime.actions.push_back(Action::Send {
-                to: retry.to.at,
+                to: retry.to.address,
                 bytes,
-                class: Class::Probe,
+                class: TrafficClass::Probe,
             });
         }
-        retry.next = now + PROBE_RETRY_INTERVAL;
-        retry.left -= 1;
-        if retry.left == 0 {
+        retry.next_at = now + PROBE_RETRY_INTERVAL;
+        retry.remaining -= 1;
+        if retry.remaining == 0 {
             self.runtime.probe_retry = None;
         }
     }
@@ -40,17 +40,17 @@
     pub(super) fn ping_suspects(&mut self, now: Micros) {
         let me = self.foca.identity().clone();
         let suspects = &mut self.runtime.suspects;
-        suspects.retain(|_, suspect| suspect.until > now);
+        suspects.retain(|_, suspect| suspect.deadline > now);
         for suspect in suspects.values_mut() {
             if suspect.next_ping > now {
                 continue;
             }
-            suspect.next_ping = now + self.pace.suspect_ping;
+            suspect.next_ping = now + self.timing.suspect_ping_interval;
             if let Ok(bytes) = suspect_ping(me.clone(), suspect) {
                 self.runtime.actions.push_back(Action::Send {
-                    to: suspect.identity.at,
+                    to: suspect.identity.address,
                     bytes,
-                    class: Class::Probe,
+                    class: TrafficClass::Probe,
                 });
             }
         }
--- a/crates/peers/src/membership/types.rs
+++ b/crates/peers/src/membership/types.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::budget::Class;
+use crate::budget::TrafficClass;
 use crate::rows::Owner;
 use crate::Micros;
 
@@ -17,7 +17,7 @@
     /// Grows each time that it was declared dead by mistake.
     pub generation: u16,
     /// Where it listens.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
 }
 
 impl foca::Identity for Identity {
@@ -31,7 +31,7 @@
     }
 
     fn addr(&self) -> SocketAddr {
-        self.at
+        self.address
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
@@ -51,36 +51,36 @@
 
 /// The pace of membership, in microseconds.
 #[derive(Clone, Debug)]
-pub struct Pace {
+pub struct MembershipTiming {
     /// Between two probes.
-    pub probe: Micros,
+    pub probe_interval: Micros,
     /// How long an answer may take before others are asked to probe.
-    pub answer: Micros,
+    pub probe_timeout: Micros,
     /// How long a suspect has to refute the suspicion.
-    pub suspicion: Micros,
+    pub suspicion_timeout: Micros,
     /// Between two notifications of a suspect by the member that suspects it.
-    pub suspect_ping: Micros,
+    pub suspect_ping_interval: Micros,
     /// Between two rounds of gossip.
-    pub gossip: Micros,
+    pub gossip_interval: Micros,
     /// How long a dead member is retained.
     pub dead_retention: Micros,
     /// Between two announcements to a dead member or a join address.
-    pub rejoin: Micros,
+    pub rejoin_interval: Micros,
     /// Timers that come later than this mean that this process was stalled.
-    pub stall: Micros,
+    pub stall_threshold: Micros,
 }
 
-impl Default for Pace {
+impl Default for MembershipTiming {
     fn default() -> Self {
-        Pace {
-            probe: 500_000,
-            answer: 200_000,
-            suspicion: 1_200_000,
-            suspect_ping: 120_000,
-            gossip: 200_000,
+        MembershipTiming {
+            probe_interval: 500_000,
+            probe_timeout: 200_000,
+            suspicion_timeout: 1_200_000,
+            suspect_ping_interval: 120_000,
+            gossip_interval: 200_000,
             dead_retention: 120_000_000,
-            rejoin: 1_000_000,
-            stall: 400_000,
+            rejoin_interval: 1_000_000,
+            stall_threshold: 400_000,
         }
     }
 }
@@ -95,13 +95,13 @@
         /// The packet.
         bytes: Vec<u8>,
         /// How urgent it is.
-        class: Class,
+        class: TrafficClass,
     },
     /// Notify an address who this process is now, as [`Membership::me`](super::Membership::me).
-    Introduce(SocketAddr),
+    SendSelf(SocketAddr),
     /// Send a new member a few others. The library's own answer is a packet full of them: hundreds that start
     /// at once call the same few join addresses.
-    Greet(SocketAddr),
+    SendInitialMembers(SocketAddr),
     /// A member joined.
     Joined(Identity),
     /// A member did not answer this process.
--- a/crates/peers/src/message.rs
+++ b/crates/peers/src/message.rs
@@ -19,10 +19,10 @@
     /// The last hash of the range.
     pub last: u32,
     /// The version of the sender's endpoint list.
-    pub list: ListVersion,
+    pub list_version: ListVersion,
     /// The hash, as the distance from the one before, and the state: 0 where the owner is unknown, else one
     /// more than twice the version up to which all rows are known, and one more where the owner is alive.
-    pub known: Vec<(u32, u64)>,
+    pub states: Vec<(u32, u64)>,
 }
 
 /// One row in a delta.
@@ -33,7 +33,7 @@
     /// The table.
     pub table: u8,
     /// The window, as the distance back from the delta's newest.
-    pub back: u32,
+    pub windows_back: u32,
     /// The subject.
     pub subject: Vec<u8>,
     /// The counts.
@@ -57,9 +57,9 @@
     /// The version after which they begin.
     pub since: u64,
     /// The version up to which nothing is missing, as the distance from `since`.
-    pub upto: u64,
+    pub covered: u64,
     /// The newest window among them, as the distance back from the datagram's newest.
-    pub back: u32,
+    pub windows_back: u32,
     /// The rows.
     pub rows: Vec<PackedRow>,
 }
@@ -72,16 +72,16 @@
     /// Members that the receiver did not know.
     Members(Vec<KnownMember>),
     /// Members that were declared dead recently.
-    Dead(Vec<KnownMember>),
+    DeadMembers(Vec<KnownMember>),
     /// What the sender knows; the receiver answers with the rest.
     Digest(Digest),
     /// Rows that the receiver lacked, and the newest window among them.
     Rows(u32, Vec<Delta>),
     /// The version of the sender's endpoint list: who has a newer one sends what changed, who has an older
     /// one answers with its own.
-    Number(ListVersion),
+    ListVersion(ListVersion),
     /// A chunk of an endpoint list.
-    List(ListChunk),
+    ListChunk(ListChunk),
 }
 
 impl Body {
@@ -102,11 +102,11 @@
         match self {
             Body::Membership(_) => 0,
             Body::Members(_) => 1,
-            Body::Dead(_) => 2,
+            Body::DeadMembers(_) => 2,
             Body::Digest(_) => 3,
             Body::Rows(..) => 4,
-            Body::Number(_) => 5,
-            Body::List(_) => 6,
+            Body::ListVersion(_) => 5,
+            Body::ListChunk(_) => 6,
         }
     }
 }
--- a/crates/peers/src/node/config.rs
+++ b/crates/peers/src/node/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use crate::endpoint_list::ListUpdate;
-use crate::membership::Pace;
+use crate::membership::MembershipTiming;
 use crate::rows::{Limits, Owner};
 use crate::Micros;
 
@@ -13,7 +13,7 @@
     /// Name and incarnation.
     pub me: Owner,
     /// Where others reach it.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// The installation's name.
     pub installation: String,
     /// The key of the MAC; the installation's name where there is none.
@@ -29,9 +29,9 @@
     /// How far clocks may differ, in microseconds.
     pub skew: Micros,
     /// The most bytes sent in a second, over time.
-    pub rate: u64,
+    pub max_bytes_per_second: u64,
     /// The most bytes sent at once.
-    pub burst: u64,
+    pub max_burst_bytes: u64,
     /// Between two exchanges of rows, in microseconds.
     pub exchange_interval: Micros,
     /// The age beyond which a peer's endpoint list is ignored, in microseconds.
@@ -39,16 +39,21 @@
     /// The bounds of the rows.
     pub limits: Limits,
     /// The pace of membership.
-    pub pace: Pace,
+    pub timing: MembershipTiming,
 }
 
 impl Config {
     /// The defaults for all but identity and address.
     #[must_use]
-    pub fn new(me: Owner, at: SocketAddr, installation: &str, join: Vec<SocketAddr>) -> Config {
+    pub fn new(
+        me: Owner,
+        address: SocketAddr,
+        installation: &str,
+        join: Vec<SocketAddr>,
+    ) -> Config {
         Config {
             me,
-            at,
+            address,
             installation: installation.to_owned(),
             key: None,
             join,
@@ -56,12 +61,12 @@
             max_members: 4_096,
             max_workers: 4_096,
             skew: 60_000_000,
-            rate: 4_096,
-            burst: 12_288,
+            max_bytes_per_second: 4_096,
+            max_burst_bytes: 12_288,
             exchange_interval: 500_000,
             max_list_age: 600_000_000,
             limits: Limits::default(),
-            pace: Pace::default(),
+            timing: MembershipTiming::default(),
         }
     }
 }
@@ -93,7 +98,7 @@
 
 /// What a member has sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sent {
+pub struct SendStats {
     /// Bytes sent.
     pub bytes: u64,
     /// Datagrams that were not sent, as they would have exceeded the budget.
--- a/crates/peers/src/node/lists.rs
+++ b/crates/peers/src/node/lists.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use super::{Effect, Node};
-use crate::budget::Class;
+use crate::budget::TrafficClass;
 use crate::endpoint_list::{ListChunk, ListUpdate, ListVersion, Worker};
 use crate::message::Body;
 use crate::rows::Owner;
@@ -13,7 +13,7 @@
 /// How many members are notified at once of a newer list.
 const NOTIFIED_MEMBERS: usize = 4;
 /// The shortest interval between two requests for a list, and between two answers to the same member: 0.2 s.
-const LIST_INTERVAL: Micros = 200_000;
+const MIN_LIST_INTERVAL: Micros = 200_000;
 /// Between two polls of members by a process without a list: 0.1 s.
 pub(super) const POLL_INTERVAL: Micros = 100_000;
 /// After so many polls the interval is longer.
@@ -22,7 +22,7 @@
 const SLOW_POLL_INTERVAL: Micros = 10 * POLL_INTERVAL;
 
 /// How far the chunks of the list have been sent to a member.
-pub(super) struct Progress {
+pub(super) struct SendProgress {
     at: Micros,
     /// The index of the next chunk.
     next: usize,
@@ -30,21 +30,21 @@
 
 /// The state of the exchange.
 pub(super) struct ListExchange {
-    sent: BTreeMap<SocketAddr, Progress>,
+    progress: BTreeMap<SocketAddr, SendProgress>,
     /// When a list was requested last.
-    requested: Micros,
+    last_request: Micros,
     /// When the next member is polled, as long as there is no list.
     pub(super) next_poll: Micros,
-    polls: u32,
+    poll_count: u32,
 }
 
 impl ListExchange {
     pub(super) fn new(next_poll: Micros) -> ListExchange {
         ListExchange {
-            sent: BTreeMap::new(),
-            requested: 0,
+            progress: BTreeMap::new(),
+            last_request: 0,
             next_poll,
-            polls: 0,
+            poll_count: 0,
         }
     }
 }
@@ -53,7 +53,7 @@
     /// The own discovery service sent a snapshot of the endpoint list.
     pub fn on_discovery_list(&mut self, now: Micros, number: u64, list: &[Worker]) {
         if self.endpoint_list.on_discovery_list(now, number, list) {
-            self.notify_of_list(now);
+            self.announce_list_version(now);
         }
     }
 
@@ -68,7 +68,7 @@
             self.effects.push_back(Effect::List { from, update });
         }
         if is_complete {
-            self.notify_of_list(now);
+            self.announce_list_version(now);
         }
     }
 
@@ -81,9 +81,9 @@
         if theirs.number < ours.number {
             return self.send_list(now, from, theirs);
         }
-        if now >= self.lists.requested + LIST_INTERVAL {
-            self.lists.requested = now;
-            self.send(now, from, Class::List, &Body::Number(ours));
+        if now >= self.lists.last_request + MIN_LIST_INTERVAL {
+            self.lists.last_request = now;
+            self.send(now, from, TrafficClass::List, &Body::ListVersion(ours));
         }
     }
 
@@ -91,58 +91,60 @@
     /// them again. Guards against a long list of which the chunks beyond one burst never come: each answer
     /// would begin with the same ones.
     fn send_list(&mut self, now: Micros, to: SocketAddr, theirs: ListVersion) {
-        let is_recent = |progress: &Progress| now < progress.at + LIST_INTERVAL;
-        if self.lists.sent.get(&to).is_some_and(is_recent) {
+        let is_recent = |progress: &SendProgress| now < progress.at + MIN_LIST_INTERVAL;
+        if self.lists.progress.get(&to).is_some_and(is_recent) {
             return;
         }
-        if self.lists.sent.len() >= self.max_members {
-            self.lists.sent.retain(|_, progress| is_recent(progress));
+        if self.lists.progress.len() >= self.max_members {
+            self.lists
+                .progress
+                .retain(|_, progress| is_recent(progress));
         }
         let mut chunks = self.endpoint_list.chunks(now, theirs);
         let count = chunks.len().max(1);
-        let next = match self.lists.sent.get(&to) {
+        let next = match self.lists.progress.get(&to) {
             Some(progress) => progress.next % count,
             None => self.rng.usize(..count),
         };
         chunks.rotate_left(next);
         let mut sent = 0;
         for chunk in chunks {
-            if !self.send(now, to, Class::List, &Body::List(chunk)) {
+            if !self.send(now, to, TrafficClass::List, &Body::ListChunk(chunk)) {
                 break;
             }
             sent += 1;
         }
-        let progress = Progress {
+        let progress = SendProgress {
             at: now,
             next: next + sent,
         };
-        self.lists.sent.insert(to, progress);
+        self.lists.progress.insert(to, progress);
     }
 
     /// Notifies some members of the version of a newer list, which they request then.
-    fn notify_of_list(&mut self, now: Micros) {
-        self.lists.sent.clear();
-        let living: Vec<SocketAddr> = self.living.values().copied().collect();
-        for to in self.rng.choose_multiple(living, NOTIFIED_MEMBERS) {
-            let version = Body::Number(self.endpoint_list.version());
-            self.send(now, to, Class::List, &version);
+    fn announce_list_version(&mut self, now: Micros) {
+        self.lists.progress.clear();
+        let live_members: Vec<SocketAddr> = self.live_members.values().copied().collect();
+        for to in self.rng.choose_multiple(live_members, NOTIFIED_MEMBERS) {
+            let version = Body::ListVersion(self.endpoint_list.version());
+            self.send(now, to, TrafficClass::List, &version);
         }
     }
 
     /// Polls a member for its list, as long as there is none here.
     pub(super) fn poll_for_list(&mut self, now: Micros) {
         if now >= self.lists.next_poll {
-            self.lists.polls += 1;
-            let interval = if self.lists.polls < FAST_POLLS {
+            self.lists.poll_count += 1;
+            let interval = if self.lists.poll_count < FAST_POLLS {
                 POLL_INTERVAL
             } else {
                 SLOW_POLL_INTERVAL
             };
             self.lists.next_poll = now + interval;
-            let living: Vec<SocketAddr> = self.living.values().copied().collect();
-            if let Some(to) = self.rng.choice(living) {
-                let version = Body::Number(self.endpoint_list.version());
-                self.send(now, to, Class::List, &version);
+            let live_members: Vec<SocketAddr> = self.live_members.values().copied().collect();
+            if let Some(to) = self.rng.choice(live_members) {
+                let version = Body::ListVersion(self.endpoint_list.version());
+                self.send(now, to, TrafficClass::List, &version);
             }
         }
         if self.endpoint_list.version().number > 0 {
--- a/crates/peers/src/node/mod.rs
+++ b/crates/peers/src/node/mod.rs
@@ -10,12 +10,12 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-pub use config::{Config, Effect, Sent};
+pub use config::{Config, Effect, SendStats};
 
-use crate::budget::{Budget, Class};
-use crate::datagram::{DatagramError, Dropped, Frames};
+use crate::budget::{Budget, TrafficClass};
+use crate::datagram::{DatagramCodec, DatagramError, DropCounts};
 use crate::endpoint_list::EndpointListCache;
-use crate::exchange::{self, Cursor};
+use crate::exchange::{self, DigestCursor};
 use crate::membership::{Action, Identity, Membership};
 use crate::message::Body;
 use crate::rows::{Limits, Owner, Rows};
@@ -29,31 +29,31 @@
 const URGENT_EXCHANGE_DIVISOR: u64 = 5;
 
 /// A member that was declared dead.
-struct Death {
-    at: SocketAddr,
-    since: Micros,
+struct DeadMember {
+    address: SocketAddr,
+    declared_at: Micros,
 }
 
 /// One member.
 pub struct Node {
-    frames: Frames,
+    codec: DatagramCodec,
     membership: Membership,
     rows: Rows,
     endpoint_list: EndpointListCache,
     lists: ListExchange,
     budget: Budget,
-    cursor: Cursor,
+    cursor: DigestCursor,
     rng: fastrand::Rng,
     installation: String,
-    living: BTreeMap<Owner, SocketAddr>,
-    dead: BTreeMap<Owner, Death>,
+    live_members: BTreeMap<Owner, SocketAddr>,
+    dead: BTreeMap<Owner, DeadMember>,
     next_exchange: Micros,
     exchange_interval: Micros,
     dead_retention: Micros,
     max_members: usize,
     effects: VecDeque<Effect>,
-    dropped: Dropped,
-    sent_by: [u64; Body::KINDS.len()],
+    dropped: DropCounts,
+    sent_bytes_by_kind: [u64; Body::KINDS.len()],
 }
 
 impl Node {
@@ -62,7 +62,7 @@
     pub fn new(config: Config, now: Micros, seed: u64) -> Node {
         let mut rng = fastrand::Rng::with_seed(seed);
         let membership = membership(&config, now, rng.u64(..));
-        let cursor = Cursor::new(rng.u32(..));
+        let cursor = DigestCursor::new(rng.u32(..));
         let next_exchange = now + rng.u64(0..config.exchange_interval.max(1));
         let next_poll = if config.discovery.is_empty() {
             Micros::MAX
@@ -77,7 +77,7 @@
         let key = config.key.as_deref();
         let me = config.me.clone();
         Node {
-            frames: Frames::new(&config.installation, key, me, config.skew, max_senders),
+            codec: DatagramCodec::new(&config.installation, key, me, config.skew, max_senders),
             membership,
             rows: Rows::new(config.me, limits, now),
             endpoint_list: EndpointListCache::new(
@@ -86,18 +86,18 @@
                 config.max_list_age,
             ),
             lists: ListExchange::new(next_poll),
-            budget: Budget::new(config.rate, config.burst, now),
+            budget: Budget::new(config.max_bytes_per_second, config.max_burst_bytes, now),
             cursor,
             installation: config.installation,
-            living: BTreeMap::new(),
+            live_members: BTreeMap::new(),
             dead: BTreeMap::new(),
             next_exchange,
             exchange_interval: config.exchange_interval,
-            dead_retention: config.pace.dead_retention,
+            dead_retention: config.timing.dead_retention,
             max_members: config.max_members,
             effects: VecDeque::new(),
-            dropped: Dropped::default(),
-            sent_by: [0; Body::KINDS.len()],
+            dropped: DropCounts::default(),
+            sent_bytes_by_kind: [0; Body::KINDS.len()],
             rng,
         }
     }
@@ -120,26 +120,26 @@
     }
 
     /// The living as far as known, without this process, by name and incarnation.
-    pub fn living(&self) -> impl Iterator<Item = (&Owner, SocketAddr)> {
-        self.living.iter().map(|(owner, at)| (owner, *at))
+    pub fn live_members(&self) -> impl Iterator<Item = (&Owner, SocketAddr)> {
+        self.live_members.iter().map(|(owner, at)| (owner, *at))
     }
 
     /// Whether the member at an address is known to be dead.
     #[must_use]
     pub fn is_dead(&self, at: SocketAddr) -> bool {
-        self.dead.values().any(|death| death.at == at)
+        self.dead.values().any(|dead| dead.address == at)
     }
 
     /// The datagrams that were dropped.
     #[must_use]
-    pub fn dropped(&self) -> Dropped {
+    pub fn dropped(&self) -> DropCounts {
         self.dropped
     }
 
     /// What was sent.
     #[must_use]
-    pub fn sent(&self) -> Sent {
-        Sent {
+    pub fn send_stats(&self) -> SendStats {
+        SendStats {
             bytes: self.budget.sent,
             over_budget: self.budget.over_budget,
             stalls: self.membership.stalls,
@@ -148,14 +148,14 @@
 
     /// Bytes sent, by the kinds of [`Body::KINDS`].
     #[must_use]
-    pub fn sent_by(&self) -> [u64; Body::KINDS.len()] {
-        self.sent_by
+    pub fn sent_bytes_by_kind(&self) -> [u64; Body::KINDS.len()] {
+        self.sent_bytes_by_kind
     }
 
     /// A snapshot of the shared state, for a file.
     #[must_use]
     pub fn snapshot(&self, now: Micros) -> Snapshot {
-        let members = self.living.values().copied().collect();
+        let members = self.live_members.values().copied().collect();
         Snapshot::of(&self.rows, now, &self.installation, members)
     }
 
@@ -166,7 +166,7 @@
 
     /// Sets the wall clock; to be called before datagrams are handled or requested.
     pub fn observe_wall_clock(&mut self, now: Micros, wall: Micros) {
-        self.frames.observe_wall_clock(now, wall);
+        self.codec.observe_wall_clock(now, wall);
     }
 
     /// Handles a datagram that came.
@@ -184,10 +184,10 @@
         from: SocketAddr,
         bytes: &[u8],
     ) -> Result<(), DatagramError> {
-        let (owner, body) = self.frames.unwrap(now, bytes)?;
+        let (owner, body) = self.codec.decode(now, bytes)?;
         if self.dead.contains_key(&owner) {
             // A partition has healed: what both sides have is compared at once.
-            self.exchange_soon(now);
+            self.schedule_early_exchange(now);
         }
         match postcard::from_bytes(body).map_err(|_| DatagramError::Malformed)? {
             Body::Membership(packet) => self.membership.handle(now, &owner, &packet)?,
@@ -195,37 +195,37 @@
             Body::Members(members) => {
                 self.membership.apply(now, members, true)?;
                 // Who had updates of members has more of them.
-                self.exchange_soon(now);
+                self.schedule_early_exchange(now);
             }
-            Body::Dead(members) => self.membership.apply(now, members, false)?,
+            Body::DeadMembers(members) => self.membership.apply(now, members, false)?,
             Body::Rows(newest, deltas) => {
-                if !exchange::merge(&mut self.rows, newest, deltas) {
-                    return Err(DatagramError::Impossible);
+                if !exchange::merge_deltas(&mut self.rows, newest, deltas) {
+                    return Err(DatagramError::Implausible);
                 }
             }
-            Body::Number(theirs) => self.compare_lists(now, from, theirs),
-            Body::List(chunk) => self.on_list_chunk(now, &owner, chunk),
+            Body::ListVersion(theirs) => self.compare_lists(now, from, theirs),
+            Body::ListChunk(chunk) => self.on_list_chunk(now, &owner, chunk),
         }
         Ok(())
     }
 
-    fn exchange_soon(&mut self, now: Micros) {
+    fn schedule_early_exchange(&mut self, now: Micros) {
         let soon = now + self.exchange_interval / URGENT_EXCHANGE_DIVISOR;
         self.next_exchange = self.next_exchange.min(soon);
     }
 
     /// Sends a datagram, if the budget allows it; returns whether it did.
-    fn send(&mut self, now: Micros, to: SocketAddr, class: Class, body: &Body) -> bool {
+    fn send(&mut self, now: Micros, to: SocketAddr, class: TrafficClass, body: &Body) -> bool {
         let kind = body.kind();
         let body = postcard::to_allocvec(body).unwrap_or_default();
-        let Some(bytes) = self.frames.wrap(now, &body) else {
+        let Some(bytes) = self.codec.encode(now, &body) else {
             debug_assert!(false, "a body of {} bytes", body.len());
             return false;
         };
-        if !self.budget.take(now, class, bytes.len()) {
+        if !self.budget.try_consume(now, class, bytes.len()) {
             return false;
         }
-        self.sent_by[kind] += bytes.len() as u64;
+        self.sent_bytes_by_kind[kind] += bytes.len() as u64;
         self.effects.push_back(Effect::Send { to, bytes });
         true
     }
@@ -238,24 +238,24 @@
         self.poll_for_list(now);
         if now >= self.next_exchange {
             self.next_exchange = now + self.exchange_interval;
-            self.exchange(now);
+            self.send_digest(now);
         }
     }
 
     /// Carries out the actions of membership.
     fn apply_membership_actions(&mut self, now: Micros) {
-        while let Some(action) = self.membership.poll() {
+        while let Some(action) = self.membership.poll_action() {
             match action {
                 Action::Send { to, bytes, class } => {
                     self.send(now, to, class, &Body::Membership(bytes));
                 }
-                Action::Introduce(to) => {
-                    let me = vec![self.membership.introduction()];
-                    self.send(now, to, Class::Update, &Body::Members(me));
+                Action::SendSelf(to) => {
+                    let me = vec![self.membership.self_entry()];
+                    self.send(now, to, TrafficClass::Update, &Body::Members(me));
                 }
-                Action::Greet(to) => {
-                    let members = self.membership.greeting(to);
-                    self.send(now, to, Class::List, &Body::Members(members));
+                Action::SendInitialMembers(to) => {
+                    let members = self.membership.initial_members(to);
+                    self.send(now, to, TrafficClass::List, &Body::Members(members));
                 }
                 Action::Joined(id) => self.on_joined(id),
                 Action::Suspected(owner) => self.effects.push_back(Effect::Suspected(owner)),
@@ -266,19 +266,26 @@
 
     fn on_joined(&mut self, id: Identity) {
         self.dead
-            .retain(|owner, death| *owner != id.owner && death.at != id.at);
+            .retain(|owner, dead| *owner != id.owner && dead.address != id.address);
         self.rows.set_alive(&id.owner, true);
         // A new generation of a member that is known already is nothing new.
-        if self.living.insert(id.owner.clone(), id.at).is_none() {
+        if self
+            .live_members
+            .insert(id.owner.clone(), id.address)
+            .is_none()
+        {
             self.effects.push_back(Effect::Joined(id.owner));
         }
     }
 
     fn on_died(&mut self, now: Micros, owner: Owner) {
         self.rows.set_alive(&owner, false);
-        if let Some(at) = self.living.remove(&owner) {
-            let death = Death { at, since: now };
-            self.dead.insert(owner.clone(), death);
+        if let Some(address) = self.live_members.remove(&owner) {
+            let dead = DeadMember {
+                address,
+                declared_at: now,
+            };
+            self.dead.insert(owner.clone(), dead);
             self.effects.push_back(Effect::Died(owner));
         }
     }
@@ -302,8 +309,15 @@
     let me = Identity {
         owner: config.me.clone(),
         generation: 0,
-        at: config.at,
+        address: config.address,
     };
     let join = config.join.clone();
-    Membership::new(me, join, config.max_members, config.pace.clone(), now, seed)
+    Membership::new(
+        me,
+        join,
+        config.max_members,
+        config.timing.clone(),
+        now,
+        seed,
+    )
 }
--- a/crates/peers/src/polling.rs
+++ b/crates/peers/src/polling.rs
@@ -17,21 +17,21 @@
 
 /// The times of polling, in microseconds.
 #[derive(Clone, Debug)]
-pub struct PollTurns {
+pub struct PollSchedule {
     /// How long a member that is no join address waits at least, to discover the others.
-    pub discovery_wait: Micros,
+    pub min_delay: Micros,
     /// How long the members of a turn may be silent before those of the next one poll.
-    pub turn: Micros,
+    pub turn_interval: Micros,
     /// After this each member polls; it is spread over as much again, by the hash of the name.
-    pub unconditional: Micros,
+    pub fallback_delay: Micros,
 }
 
-impl Default for PollTurns {
+impl Default for PollSchedule {
     fn default() -> Self {
-        PollTurns {
-            discovery_wait: 1_000_000,
-            turn: 1_000_000,
-            unconditional: 8_000_000,
+        PollSchedule {
+            min_delay: 1_000_000,
+            turn_interval: 1_000_000,
+            fallback_delay: 8_000_000,
         }
     }
 }
@@ -44,11 +44,11 @@
     /// Its address.
     pub address: SocketAddr,
     /// The others that are alive as far as is known.
-    pub living: &'a [(Owner, SocketAddr)],
+    pub live_members: &'a [(Owner, SocketAddr)],
     /// The join addresses of the settings.
-    pub join: &'a [SocketAddr],
+    pub join_addresses: &'a [SocketAddr],
     /// How many members there are by the settings.
-    pub members: usize,
+    pub configured_members: usize,
 }
 
 /// The weight of a member in the rendezvous hash.
@@ -66,36 +66,36 @@
 /// At first each member knows few of the others, and would take itself for one of the first: so it waits at
 /// least for the rank that its hash has among as many members as the settings name.
 pub fn may_poll_after(
-    turns: &PollTurns,
+    schedule: &PollSchedule,
     fleet: &Fleet<'_>,
     is_dead: impl Fn(SocketAddr) -> bool,
 ) -> Micros {
     let seeds: Vec<SocketAddr> = fleet
-        .join
+        .join_addresses
         .iter()
         .copied()
         .filter(|at| *at == fleet.address || !is_dead(*at))
         .collect();
     let weight = weight(fleet.me);
-    let unconditional = turns.unconditional + weight % turns.unconditional.max(1);
+    let fallback = schedule.fallback_delay + weight % schedule.fallback_delay.max(1);
     let after = match seeds.iter().position(|at| *at == fleet.address) {
-        Some(rank) => rank as u64 / POLLS_PER_TURN * turns.turn,
+        Some(rank) => rank as u64 / POLLS_PER_TURN * schedule.turn_interval,
         None => {
             let rank = rank(fleet, &seeds, weight);
-            (rank / POLLS_PER_TURN * turns.turn).max(turns.discovery_wait)
+            (rank / POLLS_PER_TURN * schedule.turn_interval).max(schedule.min_delay)
         }
     };
-    after.min(unconditional)
+    after.min(fallback)
 }
 
 /// The rank of a member that is no join address.
 fn rank(fleet: &Fleet<'_>, seeds: &[SocketAddr], own_weight: u64) -> u64 {
-    let before = fleet
-        .living
+    let ranked_before = fleet
+        .live_members
         .iter()
         .filter(|(owner, at)| !seeds.contains(at) && weight(owner) > own_weight)
         .count();
-    let others = fleet.members.saturating_sub(seeds.len());
+    let others = fleet.configured_members.saturating_sub(seeds.len());
     let expected = (u128::from(!own_weight) * others as u128) >> 64;
-    seeds.len() as u64 + (before as u64).max(expected as u64)
+    seeds.len() as u64 + (ranked_before as u64).max(expected as u64)
 }
--- a/crates/peers/src/rows/mod.rs
+++ b/crates/peers/src/rows/mod.rs
@@ -32,12 +32,12 @@
 #[derive(Clone, Debug, Default)]
 struct OwnerRows {
     /// All that the owner raised up to this version is stored, or has expired.
-    known: u64,
+    known_version: u64,
     rows: BTreeMap<Key, StoredRow>,
     by_version: BTreeSet<(u64, Key)>,
     alive: bool,
     /// The window in which the owner was declared dead.
-    died: u32,
+    died_in_window: u32,
 }
 
 impl OwnerRows {
@@ -74,16 +74,16 @@
     me: Owner,
     limits: Limits,
     owners: BTreeMap<Owner, OwnerRows>,
-    rows: usize,
-    bytes: usize,
+    row_count: usize,
+    total_bytes: usize,
     /// The current window by the own clock.
-    current: u32,
+    current_window: u32,
     now: Micros,
     revision: u64,
     rejected: RejectedRows,
 }
 
-fn cost(key: &Key, counts: usize) -> usize {
+fn accounted_bytes(key: &Key, counts: usize) -> usize {
     ROW_OVERHEAD + key.subject.len() + 4 * counts
 }
 
@@ -99,9 +99,9 @@
             owners: BTreeMap::from([(me.clone(), own)]),
             me,
             limits,
-            rows: 0,
-            bytes: 0,
-            current: 0,
+            row_count: 0,
+            total_bytes: 0,
+            current_window: 0,
             now,
             revision: 0,
             rejected: RejectedRows::default(),
@@ -119,7 +119,7 @@
     /// The number of the window that contains this time.
     #[must_use]
     pub fn window(&self, at: Micros) -> u32 {
-        u32::try_from(at / self.limits.window.max(1)).unwrap_or(u32::MAX)
+        u32::try_from(at / self.limits.window_length.max(1)).unwrap_or(u32::MAX)
     }
 
     /// Adds to counts of an own row, which is created where it does not exist. Counts saturate at
@@ -132,14 +132,14 @@
         window: u32,
         table: u8,
         subject: &[u8],
-        adds: &[(usize, u32)],
+        increments: &[(usize, u32)],
     ) -> Result<(), RowError> {
         let too_long = subject.len() > MAX_SUBJECT_LENGTH;
-        if too_long || adds.iter().any(|(index, _)| *index >= MAX_COUNTS) {
+        if too_long || increments.iter().any(|(index, _)| *index >= MAX_COUNTS) {
             self.rejected.count(RowError::TooLong);
             return Err(RowError::TooLong);
         }
-        if adds.iter().all(|(_, add)| *add == 0) {
+        if increments.iter().all(|(_, increment)| *increment == 0) {
             return Ok(());
         }
         let key = Key {
@@ -148,15 +148,15 @@
             subject: subject.into(),
         };
         let own = self.owners.get(&self.me);
-        let version = own.map_or(0, |own| own.known) + 1;
+        let version = own.map_or(0, |own| own.known_version) + 1;
         let stored = own.and_then(|own| own.rows.get(&key));
         let mut counts = stored.map_or_else(Vec::new, |row| row.counts.clone());
-        for (index, add) in adds {
+        for (index, increment) in increments {
             if counts.len() <= *index {
                 counts.resize(index + 1, 0);
             }
-            let raised = counts[*index].saturating_add(*add);
-            counts[*index] = raised.min(self.limits.max_count);
+            let sum = counts[*index].saturating_add(*increment);
+            counts[*index] = sum.min(self.limits.max_count);
         }
         let me = self.me.clone();
         let row = Row {
@@ -164,10 +164,10 @@
             key,
             counts,
         };
-        self.put(&me, row)
+        self.store(&me, row)
             .inspect_err(|error| self.rejected.count(*error))?;
         if let Some(own) = self.owners.get_mut(&me) {
-            own.known = version;
+            own.known_version = version;
         }
         Ok(())
     }
@@ -177,12 +177,12 @@
     /// # Errors
     /// Returns why the row was rejected, for example because it is too long, too old or implausible.
     pub fn merge(&mut self, owner: &Owner, row: Row) -> Result<(), RowError> {
-        self.check(owner, &row)
-            .and_then(|()| self.put(owner, row))
+        self.validate(owner, &row)
+            .and_then(|()| self.store(owner, row))
             .inspect_err(|error| self.rejected.count(*error))
     }
 
-    fn check(&self, owner: &Owner, row: &Row) -> Result<(), RowError> {
+    fn validate(&self, owner: &Owner, row: &Row) -> Result<(), RowError> {
         let name_is_too_long = owner.name.len() > MAX_NAME_LENGTH;
         let subject_is_too_long = row.key.subject.len() > MAX_SUBJECT_LENGTH;
         if name_is_too_long || subject_is_too_long || row.counts.len() > MAX_COUNTS {
@@ -190,24 +190,25 @@
         }
         let started = owner.incarnation.saturating_mul(1_000);
         let latest = self.now.saturating_add(self.limits.skew);
-        let age = latest.checked_sub(started).ok_or(RowError::Impossible)?;
-        let max_version = (age / 1_000_000 + 1).saturating_mul(self.limits.max_raises_per_second);
+        let age = latest.checked_sub(started).ok_or(RowError::Implausible)?;
+        let max_version =
+            (age / 1_000_000 + 1).saturating_mul(self.limits.max_increments_per_second);
         let max_count = self.limits.max_count;
         if row.version == 0
             || row.version > max_version
             || row.counts.iter().any(|count| *count > max_count)
         {
-            return Err(RowError::Impossible);
+            return Err(RowError::Implausible);
         }
-        if *owner == self.me && !self.is_own(row) {
-            return Err(RowError::Foreign);
+        if *owner == self.me && !self.is_own_row(row) {
+            return Err(RowError::OwnerConflict);
         }
         Ok(())
     }
 
     /// Whether a row is one of this process's own that another one has passed on: no version and no count
     /// is higher than was raised here.
-    fn is_own(&self, row: &Row) -> bool {
+    fn is_own_row(&self, row: &Row) -> bool {
         let Some(own) = self
             .owners
             .get(&self.me)
@@ -215,20 +216,22 @@
         else {
             return false;
         };
-        let was_counted =
+        let is_within_own =
             |(index, count): (usize, &u32)| own.counts.get(index).is_some_and(|own| count <= own);
-        row.version <= own.version && row.counts.iter().enumerate().all(was_counted)
+        row.version <= own.version && row.counts.iter().enumerate().all(is_within_own)
     }
 
     /// Joins a row with what is stored.
-    fn put(&mut self, owner: &Owner, row: Row) -> Result<(), RowError> {
+    fn store(&mut self, owner: &Owner, row: Row) -> Result<(), RowError> {
         let Row {
             version,
             key,
             mut counts,
         } = row;
-        let newest = self.current.saturating_add(self.limits.windows_ahead);
-        if key.window < self.oldest() || key.window > newest {
+        let newest = self
+            .current_window
+            .saturating_add(self.limits.windows_ahead);
+        if key.window < self.oldest_window() || key.window > newest {
             return Err(RowError::Window);
         }
         while counts.last() == Some(&0) {
@@ -239,23 +242,23 @@
         }
         let stored = self.owners.entry(owner.clone()).or_default();
         let old = stored.rows.get(&key).map(|row| row.counts.len());
-        let before = old.map_or(0, |old| cost(&key, old));
-        let after = cost(&key, counts.len().max(old.unwrap_or(0)));
-        let is_full = self.rows >= self.limits.max_rows
+        let before = old.map_or(0, |old| accounted_bytes(&key, old));
+        let after = accounted_bytes(&key, counts.len().max(old.unwrap_or(0)));
+        let is_full = self.row_count >= self.limits.max_rows
             || stored.rows.len() >= self.limits.max_rows_per_owner;
-        if old.is_none() && is_full || self.bytes - before + after > self.limits.max_bytes {
+        if old.is_none() && is_full || self.total_bytes - before + after > self.limits.max_bytes {
             return Err(RowError::Full);
         }
         let changed = stored.join(&key, version, &counts);
-        self.rows += usize::from(old.is_none());
-        self.bytes = self.bytes - before + after;
+        self.row_count += usize::from(old.is_none());
+        self.total_bytes = self.total_bytes - before + after;
         self.revision += u64::from(changed);
         Ok(())
     }
 
     /// The oldest window that is retained.
-    fn oldest(&self) -> u32 {
-        (self.current + 1).saturating_sub(self.limits.retained_windows)
+    fn oldest_window(&self) -> u32 {
+        (self.current_window + 1).saturating_sub(self.limits.retained_windows)
     }
 
     /// Sets the time: rows of windows that are not retained any more expire, and with its last row an owner
@@ -263,24 +266,24 @@
     pub fn expire(&mut self, now: Micros) {
         self.now = self.now.max(now);
         let current = self.window(self.now);
-        if current == self.current {
+        if current == self.current_window {
             return;
         }
-        self.current = current;
-        let oldest = self.oldest();
-        self.rows = 0;
-        self.bytes = 0;
+        self.current_window = current;
+        let oldest = self.oldest_window();
+        self.row_count = 0;
+        self.total_bytes = 0;
         self.owners.retain(|owner, stored| {
             stored.expire(oldest);
-            self.rows += stored.rows.len();
+            self.row_count += stored.rows.len();
             for (key, row) in &stored.rows {
-                self.bytes += cost(key, row.counts.len());
+                self.total_bytes += accounted_bytes(key, row.counts.len());
             }
             // One that has just died is retained, so that others are notified.
             stored.alive
                 || *owner == self.me
                 || !stored.rows.is_empty()
-                || stored.died.saturating_add(1) >= current
+                || stored.died_in_window.saturating_add(1) >= current
         });
         self.revision += 1;
     }
@@ -294,7 +297,7 @@
             self.revision += u64::from(stored.alive != alive);
             stored.alive = alive;
             if !alive {
-                stored.died = self.current;
+                stored.died_in_window = self.current_window;
             }
         } else if alive
             && owner.name.len() <= MAX_NAME_LENGTH
@@ -311,13 +314,13 @@
 
     /// All of an owner's rows from `since` up to `upto` were merged or rejected: where there is no gap before
     /// them, the owner's rows are known up to there.
-    pub fn advance(&mut self, owner: &Owner, since: u64, upto: u64) {
+    pub fn advance(&mut self, owner: &Owner, since: u64, up_to: u64) {
         if *owner == self.me {
             return;
         }
         if let Some(stored) = self.owners.get_mut(owner) {
-            if since <= stored.known && upto > stored.known {
-                stored.known = upto;
+            if since <= stored.known_version && up_to > stored.known_version {
+                stored.known_version = up_to;
             }
         }
     }
--- a/crates/peers/src/rows/read.rs
+++ b/crates/peers/src/rows/read.rs
@@ -56,9 +56,9 @@
     #[must_use]
     pub fn sizes(&self) -> Sizes {
         Sizes {
-            rows: self.rows,
+            rows: self.row_count,
             owners: self.owners.len(),
-            bytes: self.bytes,
+            bytes: self.total_bytes,
         }
     }
 
@@ -66,14 +66,14 @@
     pub fn known(&self) -> impl Iterator<Item = (&Owner, u64)> {
         self.owners
             .iter()
-            .map(|(owner, stored)| (owner, stored.known))
+            .map(|(owner, stored)| (owner, stored.known_version))
     }
 
     /// Each owner as [`Rows::known`] has it, and whether it is alive.
     pub fn states(&self) -> impl Iterator<Item = (&Owner, u64, bool)> {
         self.owners
             .iter()
-            .map(|(owner, stored)| (owner, stored.known, stored.alive))
+            .map(|(owner, stored)| (owner, stored.known_version, stored.alive))
     }
 
     /// An owner's rows that are newer than a version, oldest version first.
--- a/crates/peers/src/rows/types.rs
+++ b/crates/peers/src/rows/types.rs
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// The length of a window, in microseconds.
-    pub window: Micros,
+    pub window_length: Micros,
     /// How many windows are retained, the current one included; rows of older ones expire.
     pub retained_windows: u32,
     /// How many windows ahead of the own clock a row may be, as clocks differ.
@@ -79,13 +79,13 @@
     /// The most that one count can reach within a window: more is implausible.
     pub max_count: u32,
     /// The most raises of one owner in a second since its start: a larger version is implausible.
-    pub max_raises_per_second: u64,
+    pub max_increments_per_second: u64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Limits {
-            window: 10_000_000,
+            window_length: 10_000_000,
             retained_windows: 60,
             windows_ahead: 2,
             skew: 60_000_000,
@@ -94,7 +94,7 @@
             max_rows: 200_000,
             max_bytes: 32 << 20,
             max_count: 1_000_000,
-            max_raises_per_second: 100_000,
+            max_increments_per_second: 100_000,
         }
     }
 }
@@ -121,10 +121,10 @@
     Window,
     /// An implausible count, version or incarnation.
     #[error("the count, the version or the incarnation is implausible")]
-    Impossible,
+    Implausible,
     /// A row of this process's own incarnation that it never raised.
     #[error("the row is of this process, which never raised it")]
-    Foreign,
+    OwnerConflict,
     /// A limit is reached.
     #[error("a limit of rows, owners or bytes is reached")]
     Full,
@@ -137,10 +137,10 @@
     pub too_long: u64,
     /// See [`RowError::Window`].
     pub window: u64,
-    /// See [`RowError::Impossible`].
-    pub impossible: u64,
-    /// See [`RowError::Foreign`].
-    pub foreign: u64,
+    /// See [`RowError::Implausible`].
+    pub implausible: u64,
+    /// See [`RowError::OwnerConflict`].
+    pub owner_conflict: u64,
     /// See [`RowError::Full`].
     pub full: u64,
 }
@@ -150,8 +150,8 @@
         let counter = match error {
             RowError::TooLong => &mut self.too_long,
             RowError::Window => &mut self.window,
-            RowError::Impossible => &mut self.impossible,
-            RowError::Foreign => &mut self.foreign,
+            RowError::Implausible => &mut self.implausible,
+            RowError::OwnerConflict => &mut self.owner_conflict,
             RowError::Full => &mut self.full,
         };
         *counter += 1;
--- a/crates/peers/tests/bad_peers.rs
+++ b/crates/peers/tests/bad_peers.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use oakshed_peers::datagram::{DatagramError, Frames};
+use oakshed_peers::datagram::{DatagramCodec, DatagramError};
 use oakshed_peers::membership::{Identity, KnownMember};
 use oakshed_peers::message::Body;
 use oakshed_peers::node::{Config, Effect, Node};
@@ -19,8 +19,8 @@
     Owner::new(&format!("n{n}"), NOW / 1_000)
 }
 
-fn frames(installation: &str, key: Option<&[u8]>, n: u32) -> Frames {
-    Frames::new(installation, key, owner(n), 60_000_000, 64)
+fn codec(installation: &str, key: Option<&[u8]>, n: u32) -> DatagramCodec {
+    DatagramCodec::new(installation, key, owner(n), 60_000_000, 64)
 }
 
 fn node(key: Option<&[u8]>) -> Node {
@@ -43,7 +43,7 @@
         let mut node = node(Some(b"key"));
         node.handle(NOW, address(1), &bytes);
         prop_assert_eq!(node.dropped().total(), 1);
-        prop_assert_eq!(node.living().count(), 0);
+        prop_assert_eq!(node.live_members().count(), 0);
     }
 
     #[test]
@@ -51,8 +51,8 @@
         body in prop::collection::vec(any::<u8>(), 0..300), kind in 0u8..8,
     ) {
         let mut node = node(Some(b"key"));
-        let mut peer = frames("here", Some(b"key"), 1);
-        let bytes = peer.wrap(NOW, &[&[kind], &body[..]].concat()).expect("it fits");
+        let mut peer = codec("here", Some(b"key"), 1);
+        let bytes = peer.encode(NOW, &[&[kind], &body[..]].concat()).expect("it fits");
         node.handle(NOW, address(1), &bytes);
         node.tick(NOW + 1_000_000);
         prop_assert!(node.dropped().total() <= 1);
@@ -63,23 +63,23 @@
         body in prop::collection::vec(any::<u8>(), 0..300), at in any::<prop::sample::Index>(), by in 1u8..,
         cut in any::<prop::sample::Index>(),
     ) {
-        let mut peer = frames("here", Some(b"key"), 1);
-        let mut mine = frames("here", Some(b"key"), 0);
-        let right = peer.wrap(NOW, &body).expect("it fits");
+        let mut peer = codec("here", Some(b"key"), 1);
+        let mut mine = codec("here", Some(b"key"), 0);
+        let right = peer.encode(NOW, &body).expect("it fits");
         let mut changed = right.clone();
         changed[at.index(right.len())] ^= by;
-        prop_assert!(mine.unwrap(NOW, &changed).is_err());
-        prop_assert!(mine.unwrap(NOW, &right[..cut.index(right.len())]).is_err());
-        let (from, got) = mine.unwrap(NOW, &right).expect("unchanged");
+        prop_assert!(mine.decode(NOW, &changed).is_err());
+        prop_assert!(mine.decode(NOW, &right[..cut.index(right.len())]).is_err());
+        let (from, got) = mine.decode(NOW, &right).expect("unchanged");
         prop_assert_eq!((from, got), (owner(1), &body[..]));
-        prop_assert_eq!(mine.unwrap(NOW, &right), Err(DatagramError::Replayed));
+        prop_assert_eq!(mine.decode(NOW, &right), Err(DatagramError::Replayed));
     }
 }
 
 /// A datagram of a member to this node.
 fn datagram(installation: &str, key: Option<&[u8]>, n: u32, at: u64, body: &[u8]) -> Vec<u8> {
-    frames(installation, key, n)
-        .wrap(at, body)
+    codec(installation, key, n)
+        .encode(at, body)
         .expect("it fits")
 }
 
@@ -90,8 +90,8 @@
     version[1] += 1;
     let late = datagram("here", key, 2, NOW - 61_000_000, body);
     let future = Owner::new("n3", NOW / 1_000 + 61_000);
-    let from_the_future = Frames::new("here", key, future, 0, 1)
-        .wrap(NOW, body)
+    let from_the_future = DatagramCodec::new("here", key, future, 0, 1)
+        .encode(NOW, body)
         .expect("it fits");
     let other_installation = datagram("there", key, 1, NOW, body);
     let other_key = datagram("here", Some(b"other"), 1, NOW, body);
@@ -99,20 +99,20 @@
     let malformed = datagram("here", key, 4, NOW, &[99]);
     vec![
         (version, DatagramError::Version),
-        (good[..10].to_vec(), DatagramError::Truncated),
+        (good[..10].to_vec(), DatagramError::Length),
         (good[..good.len() - 1].to_vec(), DatagramError::Mac),
         (other_installation, DatagramError::Installation),
         (other_key, DatagramError::Mac),
         (no_key, DatagramError::Mac),
         (malformed, DatagramError::Malformed),
         (late, DatagramError::Replayed),
-        (from_the_future, DatagramError::Impossible),
+        (from_the_future, DatagramError::Implausible),
     ]
 }
 
 #[test]
 fn each_kind_of_invalid_datagram_has_its_count() {
-    let body = postcard(&Body::Number(Default::default()));
+    let body = postcard(&Body::ListVersion(Default::default()));
     let mut node = node(Some(b"key"));
     let good = datagram("here", Some(b"key"), 1, NOW, &body);
     for (bytes, cause) in invalid_datagrams(&good, &body) {
@@ -139,20 +139,24 @@
         let identity = Identity {
             owner: owner(n),
             generation: 0,
-            at: address(n),
+            address: address(n),
         };
         let member = KnownMember {
             identity,
             swim_incarnation: 0,
         };
-        let mut peer = frames("here", None, n);
+        let mut peer = codec("here", None, n);
         let bytes = peer
-            .wrap(NOW, &postcard(&Body::Members(vec![member])))
+            .encode(NOW, &postcard(&Body::Members(vec![member])))
             .expect("it fits");
         node.handle(NOW, address(n), &bytes);
     }
-    assert!(node.living().count() <= 64, "{}", node.living().count());
-    assert_eq!(node.dropped().of(DatagramError::Impossible), 10_000 - 64);
+    assert!(
+        node.live_members().count() <= 64,
+        "{}",
+        node.live_members().count()
+    );
+    assert_eq!(node.dropped().of(DatagramError::Implausible), 10_000 - 64);
     // Nor does it answer more than its budget allows.
     let sent: usize = std::iter::from_fn(|| node.poll_effect())
         .map(|effect| {
--- a/crates/peers/tests/fleet/large.rs
+++ b/crates/peers/tests/fleet/large.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use oakshed_peers::endpoint_list::{EndpointListCache, ListUpdate, Worker, WorkerState};
-use oakshed_peers::membership::{Identity, KnownMember, Membership, Pace};
+use oakshed_peers::membership::{Identity, KnownMember, Membership, MembershipTiming};
 use oakshed_peers::rows::{Key, Limits, Owner, Row, Rows};
 
 use crate::list_helpers::worker;
@@ -17,11 +17,11 @@
 }
 
 /// Eight members of which one gets a list of a thousand from discovery, and all have it.
-fn with_large_list() -> World {
+fn world_with_large_list() -> World {
     let mut world = World::new(8, 1, |config| config.discovery = "d1".into());
-    world.until(30 * S, "all know all", World::all_know_all);
+    world.run_until(30 * S, "membership converges", World::membership_converged);
     world.send_list(3, 40, &list(0..MANY));
-    let took = world.until(60 * S, "all hold the list", |world| world.all_have_list(40));
+    let took = world.run_until(60 * S, "all hold the list", |world| world.all_have_list(40));
     println!(
         "{MANY} workers reach seven who have none in {} ms",
         took / MS
@@ -42,17 +42,17 @@
 /// Guards against a list of which each answer brings the same first chunks, and nobody ever the last.
 #[test]
 fn a_list_of_a_thousand_workers_reaches_members_without_one() {
-    with_large_list();
+    world_with_large_list();
 }
 
 /// Guards against a bound on removed workers by which a peer takes a list for complete that lacks most of them.
 #[test]
 fn the_loss_of_a_zone_of_hundreds_is_notified_for_every_worker() {
-    let mut world = with_large_list();
+    let mut world = world_with_large_list();
     world.run(10 * S);
     let since = world.now;
     world.send_list(5, 41, &list(0..MANY - 600));
-    let took = world.until(60 * S, "all hold the new list", |world| {
+    let took = world.run_until(60 * S, "all hold the new list", |world| {
         world.all_have_list(41)
     });
     println!("600 that left are known to all after {} ms", took / MS);
@@ -104,11 +104,11 @@
 }
 
 fn member(i: usize) -> KnownMember {
-    let at = SocketAddr::from(([127, 2, (i / 250) as u8, (i % 250) as u8 + 1], 7_000));
+    let address = SocketAddr::from(([127, 2, (i / 250) as u8, (i % 250) as u8 + 1], 7_000));
     let identity = Identity {
         owner: Owner::new(&format!("n{i}"), 1),
         generation: 0,
-        at,
+        address,
     };
     KnownMember {
         identity,
@@ -125,13 +125,13 @@
     let me = Identity {
         owner: config.me.clone(),
         generation: 0,
-        at: config.at,
+        address: config.address,
     };
     let mut membership = Membership::new(
         me,
         Vec::new(),
         config.max_members,
-        Pace::default(),
+        MembershipTiming::default(),
         START,
         1,
     );
@@ -148,7 +148,7 @@
             );
         }
     }
-    assert_eq!(membership.living().len(), 2 * MANY);
+    assert_eq!(membership.live_members().len(), 2 * MANY);
 }
 
 /// Guards against rows of living members that are rejected beside those of earlier incarnations.
@@ -182,10 +182,10 @@
 #[test]
 fn a_death_reaches_all_though_a_round_of_exchanges_outlasts_its_notice() {
     let mut world = World::new(250, 1, |config| config.exchange_interval = 2_500 * MS);
-    let took = until(&mut world, 60 * S);
+    let took = run_until_converged(&mut world, 60 * S);
     world.run(2 * S);
     world.kill(17);
-    let missed = until(&mut world, 40 * S);
+    let missed = run_until_converged(&mut world, 40 * S);
     println!(
         "250 know all after {} ms, a death after {} ms",
         took / MS,
@@ -194,9 +194,9 @@
 }
 
 /// Checked seldom, as a check is long among hundreds.
-fn until(world: &mut World, most: u64) -> u64 {
+fn run_until_converged(world: &mut World, most: u64) -> u64 {
     let start = world.now;
-    while !world.all_know_all() {
+    while !world.membership_converged() {
         assert!(world.now - start < most, "not within {} ms", most / MS);
         world.run(500 * MS);
     }
--- a/crates/peers/tests/fleet/list_helpers.rs
+++ b/crates/peers/tests/fleet/list_helpers.rs
@@ -27,7 +27,7 @@
         let now = self.now;
         let node = self.slots[i].node.as_mut().expect("alive");
         node.on_discovery_list(now, number, list);
-        self.settle(i);
+        self.apply_effects(i);
     }
 
     /// The number of the list that a node has cached.
--- a/crates/peers/tests/fleet/lists.rs
+++ b/crates/peers/tests/fleet/lists.rs
@@ -4,14 +4,14 @@
 use std::net::SocketAddr;
 
 use oakshed_peers::endpoint_list::{Worker, WorkerState};
-use oakshed_peers::polling::{may_poll_after, Fleet, PollTurns};
+use oakshed_peers::polling::{may_poll_after, Fleet, PollSchedule};
 use oakshed_peers::Micros;
 
 use crate::list_helpers::worker;
-use crate::world::{address, joins, World, MS, S, START};
+use crate::world::{address, seed_count, World, MS, S, START};
 
 /// How long discovery takes for an answer.
-const ANSWER: Micros = 20 * MS;
+const DISCOVERY_RESPONSE_TIME: Micros = 20 * MS;
 
 fn list(workers: usize) -> Vec<Worker> {
     (0..workers).map(|i| worker(format!("w{i}"))).collect()
@@ -20,7 +20,7 @@
 #[test]
 fn a_drain_reaches_all_members_and_an_older_list_overrides_nothing() {
     let mut world = World::new(100, 1, |config| config.discovery = "d1".into());
-    world.until(30 * S, "all know all", World::all_know_all);
+    world.run_until(30 * S, "membership converges", World::membership_converged);
     let mut workers = list(60);
     for i in 0..100 {
         world.send_list(i, 40, &workers);
@@ -29,7 +29,7 @@
     workers[7].state = WorkerState::Draining;
     workers.remove(9);
     world.send_list(3, 41, &workers);
-    let took = world.until(3 * S, "all have 41", |world| world.all_have_list(41));
+    let took = world.run_until(3 * S, "all have 41", |world| world.all_have_list(41));
     println!("a drain reaches 100 in {} ms", took / MS);
     for i in (0..100).filter(|i| *i != 3) {
         assert_eq!(
@@ -47,7 +47,7 @@
 /// A fleet that starts without a list. Discovery answers one call after the other.
 struct ColdStart {
     world: World,
-    join: Vec<SocketAddr>,
+    join_addresses: Vec<SocketAddr>,
     polled: BTreeSet<usize>,
     /// How many of the first pollers are still to be killed.
     to_kill: usize,
@@ -62,7 +62,7 @@
     fn new(n: usize, seed: u64, to_kill: usize) -> ColdStart {
         ColdStart {
             world: World::new(n, seed, |config| config.discovery = "d1".into()),
-            join: (0..joins(n)).map(address).collect(),
+            join_addresses: (0..seed_count(n)).map(address).collect(),
             polled: BTreeSet::new(),
             to_kill,
             free: START,
@@ -97,18 +97,18 @@
         let Some(node) = &self.world.slots[i].node else {
             return false;
         };
-        let living: Vec<_> = node
-            .living()
+        let live_members: Vec<_> = node
+            .live_members()
             .map(|(owner, at)| (owner.clone(), at))
             .collect();
         let fleet = Fleet {
             me: node.rows().me(),
             address: address(i),
-            living: &living,
-            join: &self.join,
-            members: self.world.slots.len(),
+            live_members: &live_members,
+            join_addresses: &self.join_addresses,
+            configured_members: self.world.slots.len(),
         };
-        let after = may_poll_after(&PollTurns::default(), &fleet, |at| node.is_dead(at));
+        let after = may_poll_after(&PollSchedule::default(), &fleet, |at| node.is_dead(at));
         let has_no_list = self.world.list_number(i) == 0;
         has_no_list && self.world.now >= START + after && !self.polled.contains(&i)
     }
@@ -120,7 +120,7 @@
             self.world.kill(i);
             return;
         }
-        self.free = self.free.max(self.world.now) + ANSWER;
+        self.free = self.free.max(self.world.now) + DISCOVERY_RESPONSE_TIME;
         self.answers.push((self.free, i));
     }
 
--- a/crates/peers/tests/fleet/membership.rs
+++ b/crates/peers/tests/fleet/membership.rs
@@ -3,9 +3,9 @@
 use crate::world::{NodeEvent, World, MS, S, START};
 
 /// A fleet in which everybody knows everybody, and how long that took.
-pub fn joined(n: usize, seed: u64) -> (World, u64) {
+pub fn converged_fleet(n: usize, seed: u64) -> (World, u64) {
     let mut world = World::new(n, seed, |_| ());
-    let took = world.until(30 * S, "all know all", World::all_know_all);
+    let took = world.run_until(30 * S, "membership converges", World::membership_converged);
     world.run(2 * S);
     (world, took)
 }
@@ -13,11 +13,11 @@
 #[test]
 fn a_kill_among_three_hundred_is_known_within_5_s() {
     for seed in [1, 2, 3] {
-        let (mut world, took) = joined(300, seed);
+        let (mut world, took) = converged_fleet(300, seed);
         let start = world.now;
         let dead = world.owner(17);
         world.kill(17);
-        let known = world.until(5 * S, "the others know", World::all_know_all);
+        let known = world.run_until(5 * S, "the others know", World::membership_converged);
         println!(
             "seed {seed}: 300 know all after {} ms; a kill after {} ms",
             took / MS,
@@ -33,7 +33,7 @@
 #[test]
 fn a_fifth_of_the_datagrams_lost_causes_no_false_death() {
     for seed in [1, 2, 3] {
-        let (mut world, _) = joined(60, seed);
+        let (mut world, _) = converged_fleet(60, seed);
         let start = world.now;
         world.loss = 200;
         world.run(60 * S);
@@ -46,20 +46,20 @@
             suspected.count(),
             world.deaths(start).len()
         );
-        assert_eq!(world.deaths(start).len(), 0, "{}", world.list(start));
+        assert_eq!(world.deaths(start).len(), 0, "{}", world.log_text(start));
     }
 }
 
 #[test]
 fn a_member_stalled_for_3_s_suspects_nobody_and_recovers() {
     for seed in [1, 2, 3] {
-        let (mut world, _) = joined(60, seed);
+        let (mut world, _) = converged_fleet(60, seed);
         let start = world.now;
         world.stall(9, 3 * S);
         world.run(3 * S);
-        let back = world.until(5 * S, "all know all", World::all_know_all);
+        let back = world.run_until(5 * S, "membership converges", World::membership_converged);
         world.run(10 * S);
-        assert!(world.all_know_all(), "it stays");
+        assert!(world.membership_converged(), "it stays");
         let name = &world.slots[9].name;
         println!("seed {seed}: back after {} ms", back / MS);
         assert!(
@@ -75,11 +75,11 @@
 #[test]
 fn a_pair_cut_one_way_or_both_is_not_declared_dead() {
     for seed in [1, 2, 3] {
-        let (mut world, _) = joined(30, seed);
+        let (mut world, _) = converged_fleet(30, seed);
         let start = world.now;
-        world.cut.insert((3, 4));
+        world.blocked.insert((3, 4));
         world.run(20 * S);
-        world.cut.insert((4, 3));
+        world.blocked.insert((4, 3));
         world.run(20 * S);
         assert_eq!(world.deaths(start), [], "seed {seed}");
     }
@@ -88,12 +88,12 @@
 #[test]
 fn a_third_killed_at_once_is_detected() {
     for seed in [1, 2, 3] {
-        let (mut world, _) = joined(99, seed);
+        let (mut world, _) = converged_fleet(99, seed);
         let start = world.now;
         for i in (0..99).step_by(3) {
             world.kill(i);
         }
-        let known = world.until(15 * S, "the rest know", World::all_know_all);
+        let known = world.run_until(15 * S, "the rest know", World::membership_converged);
         println!("seed {seed}: the rest know after {} ms", known / MS);
         let alive: Vec<_> = world
             .alive()
@@ -109,23 +109,23 @@
 #[test]
 fn a_restarted_member_is_known_by_its_new_incarnation() {
     for seed in [1, 2, 3] {
-        let (mut world, _) = joined(30, seed);
+        let (mut world, _) = converged_fleet(30, seed);
         // At once, so that nobody has missed it yet; and after it was declared dead.
         for pause in [100 * MS, 10 * S] {
             world.kill(5);
             world.run(pause);
             world.start(5);
-            let took = world.until(5 * S, "all know the new life", World::all_know_all);
+            let took = world.run_until(5 * S, "all know the new life", World::membership_converged);
             println!("seed {seed}: known again after {} ms", took / MS);
             world.run(5 * S);
-            assert!(world.all_know_all());
+            assert!(world.membership_converged());
         }
     }
 }
 
 #[test]
 fn five_hundred_members_discover_each_other() {
-    let (world, took) = joined(500, 1);
+    let (world, took) = converged_fleet(500, 1);
     println!("500 know all after {} ms", took / MS);
     assert_eq!(world.deaths(START), []);
 }
--- a/crates/peers/tests/fleet/rows.rs
+++ b/crates/peers/tests/fleet/rows.rs
@@ -4,7 +4,7 @@
 
 use oakshed_peers::rows::Owner;
 
-use crate::membership::joined;
+use crate::membership::converged_fleet;
 use crate::world::{World, MS, S};
 
 type Reading = BTreeMap<(Owner, u32, Vec<u8>), Vec<u32>>;
@@ -12,7 +12,7 @@
 /// The join of what all nodes have stored.
 fn union(world: &World) -> Reading {
     let mut all = Reading::new();
-    for (key, counts) in world.alive().flat_map(|(_, node)| World::reading(node)) {
+    for (key, counts) in world.alive().flat_map(|(_, node)| World::stored_rows(node)) {
         let joined = all.entry(key).or_default();
         joined.resize(joined.len().max(counts.len()), 0);
         for (joined, new) in joined.iter_mut().zip(counts) {
@@ -36,7 +36,7 @@
 #[test]
 fn halves_partitioned_for_10_s_agree_within_5_s() {
     for seed in [1, 2, 3] {
-        let (mut world, _) = joined(100, seed);
+        let (mut world, _) = converged_fleet(100, seed);
         world.load = 1;
         world.run(10 * S);
         world.split(|i| i % 2 == 0);
@@ -44,12 +44,12 @@
         let wanted = union(&world);
         world.heal();
         // Rows are raised on; what is wanted is all that there was when the partition healed.
-        let took = world.until(5 * S, "both sides agree", |world| {
+        let took = world.run_until(5 * S, "both sides agree", |world| {
             world
                 .alive()
-                .all(|(_, node)| contains(&World::reading(node), &wanted))
+                .all(|(_, node)| contains(&World::stored_rows(node), &wanted))
         });
-        let members = world.until(30 * S, "all know all", World::all_know_all);
+        let members = world.run_until(30 * S, "membership converges", World::membership_converged);
         println!(
             "seed {seed}: rows agree {} ms after the heal, members {} ms later",
             took / MS,
@@ -60,35 +60,35 @@
 
 #[test]
 fn rows_survive_datagram_loss_and_their_owner() {
-    let (mut world, _) = joined(30, 5);
+    let (mut world, _) = converged_fleet(30, 5);
     world.loss = 200;
     world.load = 2;
     world.run(5 * S);
     world.load = 0;
-    let took = world.until(10 * S, "all agree", World::all_agree);
+    let took = world.run_until(10 * S, "all agree", World::rows_converged);
     println!("30 agree {} ms after the last raise", took / MS);
     let before = union(&world);
     let dead = world.owner(7);
     world.kill(7);
     world.run(10 * S);
     world.start(7);
-    world.until(
+    world.run_until(
         20 * S,
         "the new life has the rows of the old one",
         |world| {
             let node = world.slots[7].node.as_ref();
-            node.is_some_and(|node| contains(&World::reading(node), &before))
+            node.is_some_and(|node| contains(&World::stored_rows(node), &before))
         },
     );
     assert!(before.keys().any(|(owner, ..)| *owner == dead));
     assert!(world
         .alive()
-        .all(|(_, node)| contains(&World::reading(node), &before)));
+        .all(|(_, node)| contains(&World::stored_rows(node), &before)));
 }
 
 #[test]
 fn nothing_is_dropped_or_rejected_among_correct_members() {
-    let (mut world, _) = joined(30, 6);
+    let (mut world, _) = converged_fleet(30, 6);
     world.load = 3;
     world.run(20 * S);
     for (i, node) in world.alive() {
--- a/crates/peers/tests/fleet/sizes.rs
+++ b/crates/peers/tests/fleet/sizes.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use oakshed_peers::budget::DEBT;
+use oakshed_peers::budget::MAX_DEBT_BYTES;
 
 use crate::world::{Slot, World, MS, S, START};
 
@@ -17,7 +17,7 @@
     let sizes = std::env::var("OAKSHED_PEERS_SIZES").unwrap_or("10,40".into());
     for n in sizes.split(',').map(|n| n.parse().expect("a size")) {
         let mut world = World::new(n, 1, |_| ());
-        let joined = world.until(60 * S, "all know all", World::all_know_all);
+        let joined = world.run_until(60 * S, "membership converges", World::membership_converged);
         world.load = 1;
         world.run(10 * S);
         let from = (world.now - START) / S;
@@ -31,7 +31,7 @@
 /// The bytes that a member sent in each measured second.
 fn bytes_by_second(slot: &Slot, from: u64) -> impl Iterator<Item = u64> + '_ {
     let seconds = from + 1..from + MEASURED;
-    seconds.map(|second| slot.out.get(&second).copied().unwrap_or(0))
+    seconds.map(|second| slot.sent_bytes.get(&second).copied().unwrap_or(0))
 }
 
 fn print_sizes(world: &World, joined: u64, from: u64, cpu_before: &[Duration]) {
@@ -42,7 +42,7 @@
         .flat_map(|slot| bytes_by_second(slot, from))
         .collect();
     let max = bytes.iter().max().expect("a second");
-    let ever = world.slots.iter().flat_map(|slot| slot.out.values());
+    let ever = world.slots.iter().flat_map(|slot| slot.sent_bytes.values());
     let peak = ever.max().expect("a second");
     let cpu: Vec<f64> = world
         .slots
@@ -69,9 +69,9 @@
 fn check_budget(world: &World) {
     let seconds = (world.now - START) / S;
     for slot in &world.slots {
-        let total: u64 = slot.out.values().sum();
+        let total: u64 = slot.sent_bytes.values().sum();
         assert!(
-            total <= 4_096 * seconds + 12_288 + DEBT,
+            total <= 4_096 * seconds + 12_288 + MAX_DEBT_BYTES,
             "{}: {total} bytes in {seconds} s",
             slot.name
         );
--- a/crates/peers/tests/fleet/timelines.rs
+++ b/crates/peers/tests/fleet/timelines.rs
@@ -44,7 +44,7 @@
     world.run(6 * S);
     world.heal();
     world.run(3 * S);
-    assert!(world.all_know_all());
+    assert!(world.membership_converged());
     insta::assert_snapshot!(draw(&world, from));
 }
 
@@ -56,11 +56,11 @@
         world.load = 2;
         world.run(4 * S + 7 * MS);
         (
-            world.list(START),
+            world.log_text(START),
             world
                 .slots
                 .iter()
-                .map(|slot| slot.out.clone())
+                .map(|slot| slot.sent_bytes.clone())
                 .collect::<Vec<_>>(),
         )
     };
--- a/crates/peers/tests/fleet/world.rs
+++ b/crates/peers/tests/fleet/world.rs
@@ -1,6 +1,6 @@
-//! A fleet in virtual time: nodes, and a network with delay, jitter, loss, cuts and stalls.
+//! A simulated fleet: nodes in virtual time, and a network with delay, loss and broken paths.
 //!
-//! The clock and the order of events come from one seed. Nodes exchange nothing but datagrams.
+//! The seed determines all times and the order of events. Nodes interact only by datagrams.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,8 +13,8 @@
 pub const START: Micros = 1_700_000_000_000_000;
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
-/// A socket's buffer holds so many datagrams for a process that is stalled.
-const BUFFER: usize = 256;
+/// The number of datagrams that the socket buffer of a stalled process holds.
+const SOCKET_BUFFER_DATAGRAMS: usize = 256;
 
 enum Event {
     Arrive {
@@ -26,7 +26,7 @@
     Resume(usize),
 }
 
-/// What a node reported, or what was done to it.
+/// An effect reported by a node, or a fault injected into it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum NodeEvent {
     Joined(Owner),
@@ -36,7 +36,7 @@
     Injected(String),
 }
 
-/// One line of the fleet's log.
+/// An entry of the fleet's log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LogEntry {
     pub at: Micros,
@@ -44,7 +44,7 @@
     pub event: NodeEvent,
 }
 
-/// A member's place in the fleet, and its process while it runs.
+/// A member of the fleet, and its process while it runs.
 pub struct Slot {
     pub name: String,
     pub at: SocketAddr,
@@ -52,8 +52,8 @@
     stalled: bool,
     inbox: Vec<(usize, Vec<u8>)>,
     wake: Micros,
-    /// Bytes out by second since the start.
-    pub out: BTreeMap<u64, u64>,
+    /// Bytes sent in each second since the start.
+    pub sent_bytes: BTreeMap<u64, u64>,
     pub cpu: Duration,
 }
 
@@ -61,21 +61,21 @@
     pub now: Micros,
     pub slots: Vec<Slot>,
     events: BTreeMap<(Micros, u64), Event>,
-    order: u64,
+    event_count: u64,
     rng: fastrand::Rng,
-    /// Of a thousand datagrams so many are lost.
+    /// The number of lost datagrams per thousand.
     pub loss: u32,
-    /// Directed pairs through which nothing comes.
-    pub cut: BTreeSet<(usize, usize)>,
+    /// Pairs of sender and receiver between which all datagrams are lost.
+    pub blocked: BTreeSet<(usize, usize)>,
     pub log: Vec<LogEntry>,
-    /// Rows that each raises in three seconds.
+    /// The number of rows that each node increments every 3 s.
     pub load: u32,
     next_load: Micros,
-    pub change: fn(&mut Config),
+    pub configure: fn(&mut Config),
 }
 
-/// Join addresses: three, and one for each 40 members where that is more.
-pub fn joins(n: usize) -> usize {
+/// The number of join addresses: one per 40 members, but at least three.
+pub fn seed_count(n: usize) -> usize {
     n.min(3.max(n / 40))
 }
 
@@ -84,8 +84,8 @@
 }
 
 impl World {
-    /// `n` nodes that all start within the first 100 ms, with the first ones as join addresses.
-    pub fn new(n: usize, seed: u64, change: fn(&mut Config)) -> World {
+    /// Starts `n` nodes at once. The first ones serve as join addresses.
+    pub fn new(n: usize, seed: u64, configure: fn(&mut Config)) -> World {
         let slots = (0..n).map(|i| Slot {
             name: format!("n{i}"),
             at: address(i),
@@ -93,21 +93,21 @@
             stalled: false,
             inbox: Vec::new(),
             wake: Micros::MAX,
-            out: BTreeMap::new(),
+            sent_bytes: BTreeMap::new(),
             cpu: Duration::ZERO,
         });
         let mut world = World {
             now: START,
             slots: slots.collect(),
             events: BTreeMap::new(),
-            order: 0,
+            event_count: 0,
             rng: fastrand::Rng::with_seed(seed),
             loss: 0,
-            cut: BTreeSet::new(),
+            blocked: BTreeSet::new(),
             log: Vec::new(),
             load: 0,
             next_load: START,
-            change,
+            configure,
         };
         for i in 0..n {
             world.start(i);
@@ -115,62 +115,62 @@
         world
     }
 
-    /// Starts a process, or starts it again: a new life with an empty memory.
+    /// Starts or restarts a process, as a new incarnation without state.
     pub fn start(&mut self, i: usize) {
-        let join = (0..joins(self.slots.len())).map(address).collect();
+        let join = (0..seed_count(self.slots.len())).map(address).collect();
         let me = Owner::new(&self.slots[i].name, self.now / 1_000);
         let mut config = Config::new(me, address(i), "here", join);
-        (self.change)(&mut config);
+        (self.configure)(&mut config);
         let node = Node::new(config, self.now, self.rng.u64(..));
         self.slots[i].wake = Micros::MAX;
         self.slots[i].node = Some(node);
-        self.note_injected(i, "start");
-        self.settle(i);
+        self.log_injected(i, "start");
+        self.apply_effects(i);
     }
 
-    fn note(&mut self, node: usize, event: NodeEvent) {
+    fn log_event(&mut self, node: usize, event: NodeEvent) {
         let at = self.now;
         self.log.push(LogEntry { at, node, event });
     }
 
-    pub fn note_injected(&mut self, node: usize, what: &str) {
-        self.note(node, NodeEvent::Injected(what.into()));
+    pub fn log_injected(&mut self, node: usize, what: &str) {
+        self.log_event(node, NodeEvent::Injected(what.into()));
     }
 
     pub fn kill(&mut self, i: usize) {
         self.slots[i].node = None;
-        self.note_injected(i, "kill");
+        self.log_injected(i, "kill");
     }
 
-    /// The process stands still; what comes waits in its socket.
+    /// Stalls a process. Datagrams that arrive meanwhile wait in its socket buffer.
     pub fn stall(&mut self, i: usize, span: Micros) {
         self.slots[i].stalled = true;
-        self.note_injected(i, "stall");
-        self.push(self.now + span, Event::Resume(i));
+        self.log_injected(i, "stall");
+        self.schedule(self.now + span, Event::Resume(i));
     }
 
-    /// Nothing passes between two sides, in both ways.
+    /// Partitions the network into two sides.
     pub fn split(&mut self, side: impl Fn(usize) -> bool) {
         let n = self.slots.len();
         for (a, b) in (0..n).flat_map(|a| (0..n).map(move |b| (a, b))) {
             if side(a) != side(b) {
-                self.cut.insert((a, b));
+                self.blocked.insert((a, b));
             }
         }
-        self.note_injected(0, "split");
+        self.log_injected(0, "split");
     }
 
     pub fn heal(&mut self) {
-        self.cut.clear();
-        self.note_injected(0, "heal");
+        self.blocked.clear();
+        self.log_injected(0, "heal");
     }
 
-    fn push(&mut self, at: Micros, event: Event) {
-        self.order += 1;
-        self.events.insert((at, self.order), event);
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.event_count += 1;
+        self.events.insert((at, self.event_count), event);
     }
 
-    /// Lets time pass.
+    /// Advances the virtual time.
     pub fn run(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
@@ -188,55 +188,51 @@
             }
             if load <= next {
                 self.now = self.now.max(load);
-                self.raise();
+                self.add_load();
                 continue;
             }
             let Some(((at, _), event)) = self.events.pop_first() else {
                 break;
             };
             self.now = self.now.max(at);
-            self.step(event);
+            self.handle_event(event);
         }
         self.now = end;
     }
 
-    /// Lets time pass until something holds; returns how long it took. Fails after `most`.
-    pub fn until(&mut self, most: Micros, what: &str, holds: impl Fn(&World) -> bool) -> Micros {
+    /// Runs until a condition holds, and returns how long that took. Fails after `max`.
+    pub fn run_until(&mut self, max: Micros, what: &str, holds: impl Fn(&World) -> bool) -> Micros {
         let start = self.now;
         while !holds(self) {
-            assert!(
-                self.now - start < most,
-                "not within {} ms: {what}",
-                most / MS
-            );
+            assert!(self.now - start < max, "not within {} ms: {what}", max / MS);
             self.run(20 * MS);
         }
         self.now - start
     }
 
-    fn raise(&mut self) {
+    fn add_load(&mut self) {
         self.next_load = self.now + 3 * S;
         for i in 0..self.slots.len() {
             for _ in 0..self.load {
                 let subject = [b'w', self.rng.u8(..4)];
-                let adds = [(0, self.rng.u32(1..20)), (1, self.rng.u32(0..2))];
+                let increments = [(0, self.rng.u32(1..20)), (1, self.rng.u32(0..2))];
                 let slot = &mut self.slots[i];
                 if let Some(node) = slot.node.as_mut().filter(|_| !slot.stalled) {
                     let window = node.rows().window(self.now);
                     node.rows_mut()
-                        .raise(window, 1, &subject, &adds)
-                        .expect("capacity for a row");
+                        .raise(window, 1, &subject, &increments)
+                        .expect("the row is within the limits");
                 }
             }
         }
     }
 
-    fn step(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Arrive { from, to, bytes } => {
                 let slot = &mut self.slots[to];
                 if slot.stalled {
-                    if slot.inbox.len() < BUFFER {
+                    if slot.inbox.len() < SOCKET_BUFFER_DATAGRAMS {
                         slot.inbox.push((from, bytes));
                     }
                     return;
@@ -245,7 +241,7 @@
                 let begin = Instant::now();
                 node.handle(self.now, address(from), &bytes);
                 slot.cpu += begin.elapsed();
-                self.settle(to);
+                self.apply_effects(to);
             }
             Event::Wake(i) => {
                 let slot = &mut self.slots[i];
@@ -257,12 +253,12 @@
                 let begin = Instant::now();
                 node.tick(self.now);
                 slot.cpu += begin.elapsed();
-                self.settle(i);
+                self.apply_effects(i);
             }
             Event::Resume(i) => {
                 self.slots[i].stalled = false;
-                self.note_injected(i, "resume");
-                // The timers first: that is the worst order, as what waits would have refuted suspicions.
+                self.log_injected(i, "resume");
+                // Timers first, which is the worst order: waiting datagrams may refute suspicions.
                 if let Some(node) = &mut self.slots[i].node {
                     node.tick(self.now);
                 }
@@ -271,13 +267,13 @@
                         node.handle(self.now, address(from), &bytes);
                     }
                 }
-                self.settle(i);
+                self.apply_effects(i);
             }
         }
     }
 
-    /// Does what a node wants done, and sets its timer.
-    pub fn settle(&mut self, i: usize) {
+    /// Carries out a node's effects, and schedules its next wake-up.
+    pub fn apply_effects(&mut self, i: usize) {
         while let Some(effect) = self.slots[i].node.as_mut().and_then(Node::poll_effect) {
             let event = match effect {
                 Effect::Send { to, bytes } => {
@@ -289,7 +285,7 @@
                 Effect::Died(owner) => NodeEvent::Died(owner),
                 Effect::List { update, .. } => NodeEvent::List(update),
             };
-            self.note(i, event);
+            self.log_event(i, event);
         }
         let Some(next) = self.slots[i].node.as_ref().map(Node::next_wake) else {
             return;
@@ -297,23 +293,23 @@
         let next = next.max(self.now + 1);
         if next < self.slots[i].wake {
             self.slots[i].wake = next;
-            self.push(next, Event::Wake(i));
+            self.schedule(next, Event::Wake(i));
         }
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         assert!(bytes.len() <= 1_200, "a datagram of {} bytes", bytes.len());
         *self.slots[from]
-            .out
+            .sent_bytes
             .entry((self.now - START) / S)
             .or_default() += bytes.len() as u64;
         let Some(to) = self.slots.iter().position(|slot| slot.at == to) else {
             return;
         };
         let lost = self.rng.u32(..1_000) < self.loss;
-        if !lost && !self.cut.contains(&(from, to)) {
+        if !lost && !self.blocked.contains(&(from, to)) {
             let at = self.now + 300 + self.rng.u64(..2 * MS);
-            self.push(at, Event::Arrive { from, to, bytes });
+            self.schedule(at, Event::Arrive { from, to, bytes });
         }
     }
 
@@ -324,21 +320,21 @@
             .filter_map(|(i, slot)| Some((i, slot.node.as_ref()?)))
     }
 
-    /// Every living node knows all others that are alive, and nobody else. Both are in order: a search for each
-    /// would take nearly all of a test's time among a thousand.
-    pub fn all_know_all(&self) -> bool {
-        let there: BTreeSet<&Owner> = self.alive().map(|(_, node)| node.rows().me()).collect();
+    /// Whether every live node knows exactly the other live ones. Both sides are sorted: with a
+    /// thousand nodes, searching for each member would take most of a test's time.
+    pub fn membership_converged(&self) -> bool {
+        let alive: BTreeSet<&Owner> = self.alive().map(|(_, node)| node.rows().me()).collect();
         self.alive().all(|(_, node)| {
-            let others = there
+            let others = alive
                 .iter()
                 .copied()
                 .filter(|owner| *owner != node.rows().me());
-            others.eq(node.living().map(|(owner, _)| owner))
+            others.eq(node.live_members().map(|(owner, _)| owner))
         })
     }
 
-    /// The rows that a node has stored.
-    pub fn reading(node: &Node) -> BTreeMap<(Owner, u32, Vec<u8>), Vec<u32>> {
+    /// The rows stored by a node.
+    pub fn stored_rows(node: &Node) -> BTreeMap<(Owner, u32, Vec<u8>), Vec<u32>> {
         let mut all = BTreeMap::new();
         node.rows().fold(1, |owner, window, subject, counts| {
             all.insert((owner.clone(), window, subject.to_vec()), counts.to_vec());
@@ -346,16 +342,16 @@
         all
     }
 
-    /// All living nodes read the same rows.
-    pub fn all_agree(&self) -> bool {
-        let mut readings = self.alive().map(|(_, node)| World::reading(node));
-        let Some(first) = readings.next() else {
+    /// Whether all live nodes have stored the same rows.
+    pub fn rows_converged(&self) -> bool {
+        let mut contents = self.alive().map(|(_, node)| World::stored_rows(node));
+        let Some(first) = contents.next() else {
             return true;
         };
-        readings.all(|other| other == first)
+        contents.all(|other| other == first)
     }
 
-    /// Whom nodes declared dead since a time.
+    /// The deaths that nodes reported since a time.
     pub fn deaths(&self, since: Micros) -> Vec<(Micros, usize, Owner)> {
         self.log
             .iter()
@@ -367,7 +363,7 @@
             .collect()
     }
 
-    /// An event as a short text.
+    /// A short label for an event.
     pub fn label(event: &NodeEvent) -> String {
         match event {
             NodeEvent::Joined(owner) => format!("joined {}", owner.name),
@@ -378,8 +374,8 @@
         }
     }
 
-    /// The events as text: one line each, from a moment on.
-    pub fn list(&self, since: Micros) -> String {
+    /// The log as text since a time, one line per event.
+    pub fn log_text(&self, since: Micros) -> String {
         let line = |entry: &LogEntry| {
             let label = World::label(&entry.event);
             let ms = (entry.at - START) / MS;
--- a/crates/peers/tests/rows.rs
+++ b/crates/peers/tests/rows.rs
@@ -132,10 +132,13 @@
         row(2, at, b"w7", vec![8]),
         row(1, at, b"w8", vec![1]),
     ] {
-        assert_eq!(a.merge(&a.me().clone(), foreign), Err(RowError::Foreign));
+        assert_eq!(
+            a.merge(&a.me().clone(), foreign),
+            Err(RowError::OwnerConflict)
+        );
     }
     assert_eq!(reading(&a), reading(&b));
-    assert_eq!(a.rejected().foreign, 3);
+    assert_eq!(a.rejected().owner_conflict, 3);
 }
 
 /// Merges rows of an owner, each of which is rejected for this cause.
@@ -157,10 +160,10 @@
         row(0, at, b"w", vec![1]),
         row(u64::MAX, at, b"w", vec![1]),
     ];
-    assert_rejected(&mut stored, &other, &implausible, RowError::Impossible);
+    assert_rejected(&mut stored, &other, &implausible, RowError::Implausible);
     let valid = [row(1, at, b"w", vec![1])];
     let from_the_future = Owner::new("s1", u64::MAX);
-    assert_rejected(&mut stored, &from_the_future, &valid, RowError::Impossible);
+    assert_rejected(&mut stored, &from_the_future, &valid, RowError::Implausible);
     let outside = [row(1, at + 3, b"w", vec![1]), row(1, at - 6, b"w", vec![1])];
     assert_rejected(&mut stored, &other, &outside, RowError::Window);
     let too_long = [
@@ -173,7 +176,7 @@
     assert!(reading(&stored).is_empty());
     let rejected = stored.rejected();
     assert_eq!(
-        (rejected.impossible, rejected.window, rejected.too_long),
+        (rejected.implausible, rejected.window, rejected.too_long),
         (4, 2, 3)
     );
 }
--- a/crates/peers/tests/wall_clock.rs
+++ b/crates/peers/tests/wall_clock.rs
@@ -1,41 +1,41 @@
 //! Datagrams between processes that started at different readings of the wall clock.
 
-use oakshed_peers::datagram::{DatagramError, Frames};
+use oakshed_peers::datagram::{DatagramCodec, DatagramError};
 use oakshed_peers::rows::Owner;
 
 const NOW: u64 = 1_700_000_000_000_000;
 const HOUR: u64 = 3_600_000_000;
 const SKEW: u64 = 60_000_000;
 
-fn frames(name: &str, born: u64) -> Frames {
-    Frames::new("here", None, Owner::new(name, born / 1_000), SKEW, 64)
+fn codec(name: &str, born: u64) -> DatagramCodec {
+    DatagramCodec::new("here", None, Owner::new(name, born / 1_000), SKEW, 64)
 }
 
 /// One process began while the wall clock was an hour behind, and it is right again: its own clock stays behind.
 #[test]
 fn a_process_started_with_a_skewed_clock_recovers_with_the_clock() {
     let behind = NOW - HOUR;
-    let (mut right, mut wrong) = (frames("right", NOW), frames("wrong", behind));
-    let datagram = right.wrap(NOW, b"body").expect("it fits");
+    let (mut right, mut wrong) = (codec("right", NOW), codec("wrong", behind));
+    let datagram = right.encode(NOW, b"body").expect("it fits");
     assert_eq!(
-        wrong.unwrap(behind, &datagram),
-        Err(DatagramError::Impossible)
+        wrong.decode(behind, &datagram),
+        Err(DatagramError::Implausible)
     );
-    let stale = wrong.wrap(behind, b"body").expect("it fits");
-    assert_eq!(right.unwrap(NOW, &stale), Err(DatagramError::Replayed));
+    let stale = wrong.encode(behind, b"body").expect("it fits");
+    assert_eq!(right.decode(NOW, &stale), Err(DatagramError::Replayed));
 
     wrong.observe_wall_clock(behind, NOW);
-    let datagram = right.wrap(NOW, b"body").expect("it fits");
+    let datagram = right.encode(NOW, b"body").expect("it fits");
     assert_eq!(
         wrong
-            .unwrap(behind, &datagram)
+            .decode(behind, &datagram)
             .map(|(from, _)| &*from.name == "right"),
         Ok(true)
     );
-    let stale = wrong.wrap(behind, b"body").expect("it fits");
+    let stale = wrong.encode(behind, b"body").expect("it fits");
     assert_eq!(
         right
-            .unwrap(NOW, &stale)
+            .decode(NOW, &stale)
             .map(|(from, _)| &*from.name == "wrong"),
         Ok(true)
     );
@@ -46,15 +46,12 @@
 #[test]
 fn processes_on_one_machine_survive_a_clock_step() {
     for wall in [NOW + HOUR, NOW - HOUR] {
-        let (mut one, mut other) = (
-            frames("one", NOW - 2 * HOUR),
-            frames("other", NOW - 2 * HOUR),
-        );
-        let before = one.wrap(NOW, b"body").expect("it fits");
+        let (mut one, mut other) = (codec("one", NOW - 2 * HOUR), codec("other", NOW - 2 * HOUR));
+        let before = one.encode(NOW, b"body").expect("it fits");
         one.observe_wall_clock(NOW, wall);
         other.observe_wall_clock(NOW, wall);
-        assert_eq!(other.unwrap(NOW, &before), Err(DatagramError::Replayed));
-        let after = one.wrap(NOW, b"body").expect("it fits");
-        assert!(other.unwrap(NOW, &after).is_ok(), "stepped to {wall}");
+        assert_eq!(other.decode(NOW, &before), Err(DatagramError::Replayed));
+        let after = one.encode(NOW, b"body").expect("it fits");
+        assert!(other.decode(NOW, &after).is_ok(), "stepped to {wall}");
     }
 }
--- a/crates/peers/tests/wire_form.rs
+++ b/crates/peers/tests/wire_form.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 
-use oakshed_peers::datagram::Frames;
+use oakshed_peers::datagram::DatagramCodec;
 use oakshed_peers::endpoint_list::{ListChunk, ListVersion, Worker, WorkerState};
 use oakshed_peers::membership::{Identity, KnownMember};
 use oakshed_peers::message::{Body, Delta, Digest, OwnerRef, PackedRow};
@@ -20,11 +20,11 @@
 }
 
 fn member(n: u64) -> KnownMember {
-    let at: SocketAddr = "127.0.0.1:7000".parse().expect("an address");
+    let address: SocketAddr = "127.0.0.1:7000".parse().expect("an address");
     let identity = Identity {
         owner: owner(n),
         generation: 2,
-        at,
+        address,
     };
     KnownMember {
         identity,
@@ -43,15 +43,15 @@
     let row = PackedRow {
         version: 2,
         table: 1,
-        back: 3,
+        windows_back: 3,
         subject: b"w7".to_vec(),
         counts: vec![7, 0, 300],
     };
     Delta {
         owner,
         since: 5,
-        upto: 9,
-        back: 1,
+        covered: 9,
+        windows_back: 1,
         rows: vec![row],
     }
 }
@@ -62,8 +62,8 @@
         complete,
         first: 10,
         last: 0xff_ffff,
-        list: list_version(),
-        known: vec![(0, 0), (300, 17)],
+        list_version: list_version(),
+        states: vec![(0, 0), (300, 17)],
     };
     let worker = |id: &str, state| Worker {
         id: id.into(),
@@ -86,7 +86,7 @@
     vec![
         ("membership", Body::Membership(vec![1, 2, 3])),
         ("members", Body::Members(vec![member(1), member(2)])),
-        ("dead", Body::Dead(vec![member(3)])),
+        ("dead", Body::DeadMembers(vec![member(3)])),
         ("digest", Body::Digest(digest(true))),
         ("wanted", Body::Digest(digest(false))),
         (
@@ -96,8 +96,8 @@
                 vec![delta(OwnerRef::Hash(77)), delta(OwnerRef::Full(owner(4)))],
             ),
         ),
-        ("number", Body::Number(list_version())),
-        ("list", Body::List(chunk)),
+        ("number", Body::ListVersion(list_version())),
+        ("list", Body::ListChunk(chunk)),
     ]
 }
 
@@ -145,11 +145,11 @@
 
 #[test]
 fn datagrams_and_the_snapshot_are_as_an_older_build_wrote_them() {
-    let mut sender = Frames::new("here", Some(b"key"), owner(0), SKEW, 64);
+    let mut sender = DatagramCodec::new("here", Some(b"key"), owner(0), SKEW, 64);
     let mut now = String::new();
     for (name, body) in bodies() {
         let body = postcard::to_allocvec(&body).expect("a body");
-        let datagram = sender.wrap(NOW, &body).expect("it fits");
+        let datagram = sender.encode(NOW, &body).expect("it fits");
         writeln!(now, "{name} {}", hex(&datagram)).expect("writing to memory");
     }
     writeln!(now, "snapshot {}", hex(&snapshot().encode())).expect("writing to memory");
@@ -158,7 +158,7 @@
 
 #[test]
 fn datagrams_and_the_snapshot_of_an_older_build_are_read() {
-    let mut receiver = Frames::new("here", Some(b"key"), owner(9), SKEW, 64);
+    let mut receiver = DatagramCodec::new("here", Some(b"key"), owner(9), SKEW, 64);
     let kept: Vec<(&str, Vec<u8>)> = FIXTURE
         .lines()
         .filter_map(|line| line.split_once(' '))
@@ -167,7 +167,7 @@
     let (snapshot_line, datagrams) = kept.split_last().expect("a snapshot");
     assert_eq!(datagrams.len(), bodies().len());
     for ((name, datagram), (_, expected)) in datagrams.iter().zip(bodies()) {
-        let (from, body) = receiver.unwrap(NOW, datagram).expect(name);
+        let (from, body) = receiver.decode(NOW, datagram).expect(name);
         assert_eq!(from, owner(0), "{name}");
         assert_eq!(postcard::from_bytes(body), Ok(expected), "{name}");
     }
