--- a/crates/peers/src/budget.rs
+++ b/crates/peers/src/budget.rs
@@ -1,45 +1,48 @@
-//! The bandwidth budget: a token bucket over all datagrams of a member.
+//! The bandwidth budget of a member: a token bucket that covers all of its datagrams.
 //!
-//! Datagrams that can wait (rows, lists) leave enough for probes and their answers, which alone may go into a
-//! small debt.
+//! Rows, membership updates and endpoint lists leave enough tokens for probes and their answers.
+//! Only probes and answers may overdraw the bucket, by at most [`MAX_DEBT_BYTES`].
 
 use crate::Micros;
 
-/// How urgent a datagram is.
+/// The class of a datagram, which determines how much of the budget it may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrafficClass {
-    /// Probes and their answers: may go into debt.
+    /// Probes and their answers, which may overdraw the bucket.
     Probe,
-    /// Endpoint lists, and the greeting of a new member: who has no list cannot serve.
+    /// Endpoint lists, and the first members sent to a new member: a member without a list cannot
+    /// serve requests.
     List,
-    /// Other updates of membership.
+    /// Other membership updates.
     Update,
     /// Rows and digests.
     Rows,
 }
 
-/// A token bucket, in bytes.
+/// A token bucket that counts bytes.
 #[derive(Clone, Debug)]
 pub struct Budget {
     rate: u64,
     burst: u64,
-    /// Bytes times a million, shifted by the debt so that it is never negative.
+    /// Available bytes times 1,000,000. Offset by [`MAX_DEBT_BYTES`], so that it never becomes
+    /// negative.
     tokens: u64,
     refilled_at: Micros,
     /// Bytes sent.
     pub sent: u64,
-    /// Datagrams that were not sent.
+    /// Datagrams rejected because the budget was exhausted.
     pub over_budget: u64,
 }
 
-/// How far probes may go into debt, in bytes.
+/// How many bytes probes may overdraw the bucket by.
 pub const MAX_DEBT_BYTES: u64 = 2_048;
-/// What rows and updates leave for lists, in bytes.
+/// Bytes that rows and updates leave for endpoint lists.
 const LIST_RESERVE_BYTES: u64 = 4_096;
 const MICROS_PER_SECOND: u64 = 1_000_000;
 
 impl Budget {
-    /// At most `rate` bytes a second over time, at most `burst` at once.
+    /// A full bucket that permits `rate` bytes per second on average, and bursts of up to `burst`
+    /// bytes.
     #[must_use]
     pub fn new(rate: u64, burst: u64, now: Micros) -> Budget {
         Budget {
@@ -69,13 +72,14 @@
         }
     }
 
-    /// How many bytes of a class may be sent now.
+    /// The number of bytes of a class that may be sent now.
     pub fn available(&mut self, now: Micros, class: TrafficClass) -> usize {
         self.refill(now);
         (self.tokens / MICROS_PER_SECOND).saturating_sub(Budget::reserved(class)) as usize
     }
 
-    /// Takes the bytes of one datagram; returns whether it may be sent.
+    /// Deducts the bytes of one datagram. Returns false, and deducts nothing, if the budget does
+    /// not allow it.
     pub fn try_consume(&mut self, now: Micros, class: TrafficClass, bytes: usize) -> bool {
         let allowed = self.available(now, class) >= bytes;
         if allowed {
--- a/crates/peers/src/datagram.rs
+++ b/crates/peers/src/datagram.rs
@@ -1,11 +1,14 @@
-//! The framing of datagrams: version, installation, sender, sequence number, and the MAC over all of it.
+//! The framing and authentication of datagrams.
 //!
-//! [`DatagramCodec`] rejects datagrams of other versions and installations, and those that are changed, truncated or
-//! replayed. No byte that the MAC does not cover is returned, and strangers' datagrams take no memory.
+//! [`DatagramCodec`] rejects datagrams of other protocol versions and installations, and those that
+//! were modified, truncated or replayed. Decoding returns only bytes that the MAC covers, and state
+//! is kept only for senders that passed authentication.
 //!
-//! Form: magic, version, installation (4 bytes of its SHA-256), header and body (postcard), MAC. The
-//! MAC is HMAC with SHA-256 (RFC 2104), truncated to its first 16 bytes (section 5 of the RFC). The guard
-//! against replays is the sliding window of RFC 4303, section 3.4.3, beside a bound on the age.
+//! A datagram consists of a magic byte, the version, the first 4 bytes of the SHA-256 of the
+//! installation's name, the header and the body (both postcard), and the MAC. The MAC is
+//! HMAC-SHA-256 (RFC 2104), truncated to its first 16 bytes (section 5 of the RFC). Replays are
+//! detected by the sliding window of RFC 4303, section 3.4.3, combined with a bound on the age of a
+//! datagram.
 
 use std::collections::BTreeMap;
 
@@ -17,60 +20,62 @@
 use crate::rows::{Owner, MAX_NAME_LENGTH};
 use crate::Micros;
 
-/// The most bytes of a datagram.
+/// The maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM_LENGTH: usize = 1_200;
 const MAGIC: u8 = 0xa5;
 const VERSION: u8 = 1;
-/// Magic, version, installation.
+/// Bytes of the prefix: magic, version and installation.
 const PREFIX_LENGTH: usize = 6;
 const MAC_LENGTH: usize = 16;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum DatagramError {
-    /// Shorter than any, or longer.
-    #[error("shorter than any datagram, or longer")]
+    /// The length is out of range: truncated, or longer than [`MAX_DATAGRAM_LENGTH`].
+    #[error("datagram length is out of range")]
     Length,
-    /// Another version of the protocol, or not this protocol at all.
-    #[error("another version of the protocol")]
+    /// Another protocol version, or not a datagram of this protocol.
+    #[error("datagram of another protocol version")]
     Version,
-    /// Of another installation.
-    #[error("of another installation")]
+    /// The datagram belongs to another installation.
+    #[error("datagram of another installation")]
     Installation,
-    /// The MAC is wrong: the datagram was changed on its way, or another key was used.
-    #[error("the MAC is wrong")]
+    /// The MAC does not match: the datagram was modified in transit, or the sender uses another
+    /// key.
+    #[error("the MAC of the datagram does not match")]
     Mac,
-    /// Received before, or too old.
-    #[error("received before, or too old")]
+    /// A duplicate, a datagram of this process itself, or a timestamp too far from the local clock.
+    #[error("datagram was received before, or its timestamp is out of range")]
     Replayed,
-    /// The MAC is right, but the content cannot be decoded.
-    #[error("malformed")]
+    /// The MAC matches, but the content cannot be decoded.
+    #[error("malformed datagram")]
     Malformed,
-    /// Implausible content: names that are too long, incarnations from the future, too many members.
-    #[error("implausible")]
+    /// The content is implausible: a name that is too long, an incarnation in the future, or too
+    /// many members.
+    #[error("implausible datagram content")]
     Implausible,
 }
 
-/// How many datagrams were dropped, and why.
+/// The number of dropped datagrams by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DropCounts {
-    /// The counts, in the order of [`DatagramError`].
+    /// The counts, indexed in the order of [`DatagramError`].
     pub by: [u64; 7],
 }
 
 impl DropCounts {
-    /// Counts one.
+    /// Counts one dropped datagram.
     pub fn count(&mut self, cause: DatagramError) {
         self.by[cause as usize] += 1;
     }
 
-    /// The count of one kind.
+    /// The number of datagrams dropped for one reason.
     #[must_use]
     pub fn of(&self, cause: DatagramError) -> u64 {
         self.by[cause as usize]
     }
 
-    /// The sum of all kinds.
+    /// The number of dropped datagrams.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.by.iter().sum()
@@ -81,20 +86,20 @@
 struct Header {
     from: Owner,
     sequence: u64,
-    /// The sender's clock, in milliseconds of Unix time.
+    /// When the datagram was sent by the sender's clock, in milliseconds of Unix time.
     sent_at: u64,
 }
 
-/// The sequence numbers received from one sender: RFC 4303's window.
+/// The sequence numbers received from one sender: the sliding window of RFC 4303.
 struct ReplayWindow {
     highest: u64,
-    /// Bit n: `highest - n` was received.
+    /// Bit n is set if `highest - n` was received.
     received: u64,
     last_received: Micros,
 }
 
 impl ReplayWindow {
-    /// Marks a sequence number as received; fails where it was before, or is too old.
+    /// Records a sequence number. Fails if it was received before, or is older than the window.
     fn record(&mut self, sequence: u64) -> Result<(), DatagramError> {
         if sequence > self.highest {
             let ahead = sequence - self.highest;
@@ -116,22 +121,23 @@
     }
 }
 
-/// Frames the datagrams that are sent, and checks those that come.
+/// Encodes outgoing datagrams, and authenticates and decodes incoming ones.
 pub struct DatagramCodec {
     key: Vec<u8>,
     installation: [u8; 4],
     me: Owner,
     sequence: u64,
     skew: Micros,
-    /// The wall clock less the clock of this process.
+    /// The difference between the wall clock and the clock of this process.
     wall_offset: i64,
     max_senders: usize,
     replay_windows: BTreeMap<Owner, ReplayWindow>,
 }
 
 impl DatagramCodec {
-    /// Without a key the installation's name is the key: accidental changes and other installations are
-    /// detected, but who knows the name can forge. `skew`: how far clocks may differ, in microseconds.
+    /// Creates a codec. Without a key, the installation's name serves as the key. That detects
+    /// accidental corruption and datagrams of other installations, but anyone who knows the name
+    /// can forge datagrams. `skew` is the maximum difference between clocks, in microseconds.
     #[must_use]
     pub fn new(
         installation: &str,
@@ -153,8 +159,9 @@
         }
     }
 
-    /// Sets the wall clock, by which datagrams are stamped and their age is checked. Guards against processes
-    /// that started while the wall clock was wrong, and would reject all others from then on.
+    /// Sets the wall clock, which stamps outgoing datagrams and determines the age of incoming
+    /// ones. Without this, a process started while the wall clock was wrong would reject all others
+    /// from then on.
     pub fn observe_wall_clock(&mut self, now: Micros, wall: Micros) {
         self.wall_offset = wall.wrapping_sub(now) as i64;
     }
@@ -169,13 +176,13 @@
         Some(mac)
     }
 
-    /// How many bytes a body may have at most.
+    /// The maximum length of a body, in bytes.
     #[must_use]
     pub fn max_body_length(&self) -> usize {
         MAX_DATAGRAM_LENGTH - PREFIX_LENGTH - MAC_LENGTH - (1 + self.me.name.len() + 3 * 10)
     }
 
-    /// Encodes a body. None: it is longer than [`DatagramCodec::max_body_length`].
+    /// Encodes a body. Returns `None` if it is longer than [`DatagramCodec::max_body_length`].
     pub fn encode(&mut self, now: Micros, body: &[u8]) -> Option<Vec<u8>> {
         if body.len() > self.max_body_length() {
             return None;
@@ -196,10 +203,10 @@
         Some(bytes)
     }
 
-    /// Checks a datagram, and returns its sender and its body.
+    /// Authenticates a datagram, and returns its sender and its body.
     ///
     /// # Errors
-    /// Returns why the datagram is rejected: version, length, installation, authentication or replay.
+    /// Returns an error if the datagram is malformed, fails authentication or is a replay.
     pub fn decode<'a>(
         &mut self,
         now: Micros,
@@ -214,7 +221,7 @@
         Ok((from, body))
     }
 
-    /// Checks the prefix and the MAC; returns the bytes that it covers.
+    /// Checks the prefix and the MAC, and returns the bytes that the MAC covers.
     fn authenticate<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], DatagramError> {
         let other_magic = bytes.first().is_some_and(|magic| *magic != MAGIC);
         let other_version = bytes.get(1).is_some_and(|version| *version != VERSION);
@@ -237,7 +244,7 @@
         Ok(covered)
     }
 
-    /// Checks the sender's name, incarnation and clock.
+    /// Checks the sender's name and incarnation, and the timestamp.
     fn check_header(&self, now: Micros, header: &Header) -> Result<(), DatagramError> {
         let Header { from, sent_at, .. } = header;
         let wall = self.wall_clock(now);
@@ -254,7 +261,7 @@
         Ok(())
     }
 
-    /// Checks that a sequence number comes for the first time.
+    /// Checks that a sequence number has not been received from this sender before.
     fn check_sequence(
         &mut self,
         now: Micros,
@@ -278,7 +285,8 @@
         Ok(())
     }
 
-    /// Evicts the sender that has been silent longest; its old datagrams are rejected by their age.
+    /// Evicts the sender with the least recent datagram. Old datagrams of that sender are still
+    /// rejected by their timestamps.
     fn evict_least_recent_sender(&mut self) {
         let least_recent = self
             .replay_windows
--- a/crates/peers/src/lib.rs
+++ b/crates/peers/src/lib.rs
@@ -1,14 +1,17 @@
-//! What the schedulers of one installation share: membership, counters and the endpoint list.
+//! State that the schedulers of one installation replicate: membership, counters and the endpoint
+//! list.
 //!
-//! The protocol is made of state machines: rows of counters that only their owner raises, who is alive, what
-//! a new member receives. They open no socket, read no clock, start no thread and draw no randomness of their
-//! own: time and seeds are passed in, effects are returned as values.
+//! The protocol is a set of state machines without I/O. They open no sockets, read no clocks and
+//! spawn no threads; time and random seeds are passed in, and effects are returned as values.
 //!
-//! - [`node`]: one member, made of all other parts.
-//! - [`datagram`] and [`message`]: the framing and the bodies of datagrams; [`budget`] bounds their bytes.
-//! - [`membership`]: who is alive.
-//! - [`rows`]: the shared counters; [`exchange`]: anti-entropy for these; [`snapshot`]: their file.
-//! - [`endpoint_list`]: discovery's list, as peers pass it on; [`polling`]: who polls discovery first.
+//! - [`node`]: a member as a whole, composed of the other modules.
+//! - [`datagram`] and [`message`]: the framing and the bodies of datagrams.
+//! - [`budget`]: the limit on the bytes sent.
+//! - [`membership`]: failure detection, and which members are alive.
+//! - [`rows`]: the shared counters; [`exchange`]: their anti-entropy protocol.
+//! - [`snapshot`]: the file format that preserves the counters across a restart.
+//! - [`endpoint_list`]: the exchange of discovery's endpoint list between members.
+//! - [`polling`]: when each member may poll discovery after a start of the whole fleet.
 
 pub mod budget;
 pub mod datagram;
@@ -21,5 +24,5 @@
 pub mod rows;
 pub mod snapshot;
 
-/// Microseconds of Unix time.
+/// A point in time or a duration, in microseconds. Points in time are Unix time.
 pub type Micros = u64;
--- a/crates/peers/src/message.rs
+++ b/crates/peers/src/message.rs
@@ -1,6 +1,6 @@
-//! The bodies of datagrams, encoded in postcard's varints.
+//! The bodies of datagrams, encoded by postcard with variable-length integers.
 //!
-//! Variants and fields are encoded by their order, so names may change and places may not.
+//! Variants and fields are encoded by position: they may be renamed, but not reordered.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,84 +8,88 @@
 use crate::membership::KnownMember;
 use crate::rows::Owner;
 
-/// What a member knows of the owners whose hash lies in a range.
+/// A member's knowledge of the owners whose hashes lie in a range.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Digest {
-    /// Whether it has all known owners of the range, so that the sender lacks all rows of others. Otherwise
-    /// it is an answer, and only the owners in it are wanted.
+    /// Whether the digest lists all owners of the range that its sender knows, so that it lacks all
+    /// rows of any other owner. Otherwise it is a reply that requests rows of the listed owners
+    /// only.
     pub complete: bool,
-    /// The first hash of the range.
+    /// The lowest hash of the range.
     pub first: u32,
-    /// The last hash of the range.
+    /// The highest hash of the range.
     pub last: u32,
     /// The version of the sender's endpoint list.
     pub list_version: ListVersion,
-    /// The hash, as the distance from the one before, and the state: 0 where the owner is unknown, else one
-    /// more than twice the version up to which all rows are known, and one more where the owner is alive.
+    /// The owners in ascending order of their hashes: the difference from the previous hash (at
+    /// first, from `first`), and the state. The state is 0 for an unknown owner. Otherwise it is
+    /// twice the version up to which all rows are known, plus 1, plus another 1 if the owner is
+    /// alive.
     pub states: Vec<(u32, u64)>,
 }
 
 /// One row in a delta.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedRow {
-    /// The version, as the distance from the row before.
+    /// The version, as the difference from the previous row (at first, from [`Delta::since`]).
     pub version: u64,
-    /// The table.
+    /// The table of the row.
     pub table: u8,
-    /// The window, as the distance back from the delta's newest.
+    /// The window, as the number of windows before the newest one of the delta.
     pub windows_back: u32,
-    /// The subject.
+    /// The subject of the row.
     pub subject: Vec<u8>,
-    /// The counts.
+    /// The counts of the row.
     pub counts: Vec<u32>,
 }
 
 /// An owner, in the shortest form that identifies it to the receiver.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum OwnerRef {
-    /// By its hash in digests: the receiver knows it.
+    /// The hash that digests use, for an owner known to the receiver.
     Hash(u32),
-    /// In full.
+    /// The name and incarnation.
     Full(Owner),
 }
 
-/// Rows of one owner, oldest version first: all that it raised after `since` up to `upto`.
+/// Rows of one owner in ascending order of their versions.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The owner.
+    /// The owner of the rows.
     pub owner: OwnerRef,
-    /// The version after which they begin.
+    /// The version after which the rows begin.
     pub since: u64,
-    /// The version up to which nothing is missing, as the distance from `since`.
+    /// The number of versions after `since` that the delta covers without a gap.
     pub covered: u64,
-    /// The newest window among them, as the distance back from the datagram's newest.
+    /// The newest window of the owner, as the number of windows before the newest one of the
+    /// datagram.
     pub windows_back: u32,
-    /// The rows.
+    /// The rows, omitting expired ones.
     pub rows: Vec<PackedRow>,
 }
 
-/// A datagram's body.
+/// The body of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Body {
-    /// A packet of the membership library.
+    /// A foca packet.
     Membership(Vec<u8>),
-    /// Members that the receiver did not know.
+    /// Live members that the receiver does not know.
     Members(Vec<KnownMember>),
-    /// Members that were declared dead recently.
+    /// Members that were recently declared dead.
     DeadMembers(Vec<KnownMember>),
-    /// What the sender knows; the receiver answers with the rest.
+    /// The versions that the sender knows. The receiver answers with the rows that are missing.
     Digest(Digest),
-    /// Rows that the receiver lacked, and the newest window among them.
+    /// The newest window of all rows, and the rows that the receiver lacks.
     Rows(u32, Vec<Delta>),
-    /// The version of the sender's endpoint list: who has a newer one sends what changed, who has an older
-    /// one answers with its own.
+    /// The version of the sender's endpoint list. A receiver with a newer list answers with the
+    /// changes, one with an older list answers with its own version.
     ListVersion(ListVersion),
     /// A chunk of an endpoint list.
     ListChunk(ListChunk),
 }
 
 impl Body {
-    /// The names of the kinds, for counters.
+    /// The names of the variants, as used in counters.
     pub const KINDS: [&'static str; 7] = [
         "membership",
         "members",
@@ -96,7 +100,7 @@
         "lists",
     ];
 
-    /// Which of [`Body::KINDS`] this is.
+    /// The index of the variant in [`Body::KINDS`].
     #[must_use]
     pub fn kind(&self) -> usize {
         match self {
@@ -111,7 +115,7 @@
     }
 }
 
-/// Members in as many datagrams as they need, of at most `max_length` bytes each.
+/// Splits members into chunks of at most `max_length` bytes.
 pub(crate) fn chunks(
     members: Vec<KnownMember>,
     max_length: usize,
@@ -119,7 +123,8 @@
     let mut chunks: Vec<Vec<KnownMember>> = Vec::new();
     let mut left = 0;
     for member in members {
-        // Lengths, incarnations, generation and address (IPv6), as varints.
+        // An upper bound: name and its length, incarnation, generation, IPv6 address and SWIM
+        // incarnation, as varints.
         let length = member.identity.owner.name.len() + 1 + 10 + 3 + 21 + 3;
         if length > left {
             chunks.push(Vec::new());
