--- a/crates/peers/src/endpoint_list/mod.rs
+++ b/crates/peers/src/endpoint_list/mod.rs
@@ -1,10 +1,10 @@
-//! The endpoint list that schedulers pass on: discovery's list with its number, which workers are draining,
-//! and since when each runs.
+//! The cache of discovery's endpoint list, and its replication between schedulers: the list's
+//! number, and the state and start time of each worker.
 //!
-//! [`EndpointListCache`] has the newest list that is known of the own discovery service, by whoever sent
-//! it. A list from a peer never relaxes anything: an older list never overrides a newer one, lists of
-//! different services are never compared, and updates only restrict (a worker is draining, a worker started
-//! later than known).
+//! [`EndpointListCache`] holds the newest known list of the scheduler's own discovery service,
+//! received either from that service or from a peer. A list from a peer can only restrict the use
+//! of workers: a worker is draining or removed, or started later than known. An older list never
+//! replaces a newer one, and numbers of different discovery services are never compared.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,19 +14,19 @@
 
 pub use types::{EndpointList, ListChunk, ListUpdate, ListVersion, Worker, WorkerState};
 
-/// The longest id of a worker or name of a discovery service, in bytes.
+/// The maximum length of a worker's id or of a discovery service's name, in bytes.
 pub const MAX_ID_LENGTH: usize = 64;
-/// The most bytes of workers in one chunk.
+/// The maximum number of bytes of workers in one chunk.
 const MAX_CHUNK_LENGTH: usize = 960;
-/// Bytes of a worker in a chunk beside its id: its length, state and start.
+/// Bytes of a worker in a chunk, excluding the id: the id's length, the state and the start time.
 const WORKER_OVERHEAD: usize = 9;
 
-/// A worker in the cache.
+/// A cached worker.
 #[derive(Clone, Debug)]
 struct Entry {
     state: WorkerState,
     start: u64,
-    /// The number of the list that changed it last.
+    /// The number of the list that last changed this worker.
     changed_in: u64,
 }
 
@@ -44,47 +44,48 @@
     }
 }
 
-/// A list of which some chunks have come.
+/// A list that is being assembled from chunks.
 #[derive(Clone, Debug)]
 struct PartialList {
     base: u64,
     number: u64,
     count: u16,
-    /// When discovery sent it.
+    /// When discovery sent the list.
     sent_at: Micros,
     chunks: BTreeSet<u16>,
     workers: Vec<Worker>,
 }
 
 impl PartialList {
-    /// Whether a chunk belongs to this list.
     fn contains_chunk(&self, chunk: &ListChunk) -> bool {
         self.base == chunk.base && self.number == chunk.number && self.count == chunk.count
     }
 }
 
-/// The newest endpoint list that is known.
+/// The newest known endpoint list.
 #[derive(Clone, Debug)]
 pub struct EndpointListCache {
     discovery: String,
-    /// The most workers, and the most removed ones that are retained beside them, so that peers are notified
-    /// of these.
+    /// The maximum number of workers, and likewise of removed workers that are retained so that
+    /// peers learn of the removal.
     max_workers: usize,
-    /// The age beyond which a peer's list is ignored.
+    /// The age beyond which a peer's list is ignored, in microseconds.
     max_age: Micros,
     number: u64,
     /// When discovery sent the list.
     sent_at: Micros,
     workers: BTreeMap<String, Entry>,
-    /// The last change of removed workers that are not retained: who has an older list needs a snapshot.
+    /// The newest list number that changed a removed worker which is no longer retained. Peers with
+    /// an older list need a snapshot instead of a delta.
     min_delta_base: u64,
     partial: Option<PartialList>,
-    /// Chunks that were ignored: lists of other discovery services, older lists, or too many workers.
+    /// The number of ignored chunks (other discovery services, outdated or invalid lists, too many
+    /// workers) and of workers ignored because the cache was full.
     pub ignored: u64,
 }
 
 impl EndpointListCache {
-    /// A cache of one discovery service, identified by its address as the settings have it.
+    /// Creates a cache for one discovery service, identified by its address as configured.
     #[must_use]
     pub fn new(discovery: &str, max_workers: usize, max_age: Micros) -> EndpointListCache {
         EndpointListCache {
@@ -110,8 +111,9 @@
         }
     }
 
-    /// The own discovery service sent a snapshot: it counts whatever its number is. Returns whether peers have
-    /// to be notified of it.
+    /// Applies a snapshot sent by this scheduler's discovery service, which is authoritative even
+    /// if its number is lower. Returns whether the number changed, so that peers have to be
+    /// notified.
     pub fn on_discovery_list(&mut self, now: Micros, number: u64, list: &[Worker]) -> bool {
         let is_new = number != self.number;
         self.apply(now, number, 0, list);
@@ -125,7 +127,7 @@
         is_new
     }
 
-    /// Applies a snapshot (base 0) or a delta.
+    /// Applies a snapshot (`base` is 0) or a delta.
     fn apply(&mut self, sent_at: Micros, number: u64, base: u64, list: &[Worker]) {
         if base == 0 {
             let present: BTreeSet<&str> = list.iter().map(|worker| worker.id.as_str()).collect();
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Purges the removed workers beyond the most that are retained, the longest removed first.
+    /// Purges removed workers in excess of the retention limit, those removed earliest first.
     fn purge_removed(&mut self) {
         let mut removed: Vec<(u64, String)> = self
             .workers
@@ -178,13 +180,13 @@
         }
     }
 
-    /// The chunks that bring a peer from its list to the cached one.
+    /// The chunks that update a peer's list to the cached one.
     #[must_use]
     pub fn chunks(&self, now: Micros, theirs: ListVersion) -> Vec<ListChunk> {
         if theirs.discovery != self.version().discovery || theirs.number >= self.number {
             return Vec::new();
         }
-        // Guards against a delta that lacks removed workers which are not retained any more.
+        // A delta would omit removed workers that are no longer retained.
         let base = if theirs.number < self.min_delta_base {
             0
         } else {
@@ -207,7 +209,8 @@
         (0..count).zip(chunks).map(chunk).collect()
     }
 
-    /// The workers that have changed since a base (0: all), in chunks; one chunk at least.
+    /// The workers that changed after list number `base` (all if it is 0), split into chunks.
+    /// Returns at least one chunk.
     fn changes_since(&self, base: u64) -> Vec<Vec<Worker>> {
         let mut chunks: Vec<Vec<Worker>> = Vec::new();
         let mut current = Vec::new();
@@ -229,14 +232,14 @@
         chunks
     }
 
-    /// A chunk of a peer's list came. Returns what it changes.
+    /// Applies a chunk of a peer's list, and returns the resulting updates.
     pub fn apply_chunk(&mut self, now: Micros, chunk: ListChunk) -> Vec<ListUpdate> {
         let age = chunk.age.saturating_mul(1_000);
         if !self.is_usable(&chunk, age) {
             self.ignored += 1;
             return Vec::new();
         }
-        // A delta whose base is missing cannot be applied, but its restrictions count.
+        // A delta with an unknown base cannot be applied, but its restrictions are valid.
         let mut updates = self.restrictions(chunk.number, age, &chunk.workers);
         if chunk.base > self.number {
             return updates;
@@ -252,7 +255,8 @@
         updates
     }
 
-    /// Whether a chunk is well-formed, of the own discovery service, newer than the cache and not too old.
+    /// Whether a chunk is well-formed, recent enough, newer than the cached list and of this
+    /// scheduler's discovery service.
     fn is_usable(&self, chunk: &ListChunk, age: Micros) -> bool {
         chunk.index < chunk.count
             && chunk.workers.len() <= 2 * self.max_workers
@@ -262,11 +266,11 @@
             && age <= self.max_age
     }
 
-    /// Adds a chunk to its list; returns the list once all of its chunks have come.
+    /// Adds a chunk to its list. Returns the list when all of its chunks have been received.
     fn collect_chunk(&mut self, sent_at: Micros, chunk: ListChunk) -> Option<PartialList> {
         let mut partial = match self.partial.take() {
             Some(partial) if partial.contains_chunk(&chunk) => partial,
-            // Chunks of a newer list have come already.
+            // Chunks of a newer list have already been received.
             Some(partial) if partial.number > chunk.number && partial.base <= self.number => {
                 self.partial = Some(partial);
                 return None;
@@ -294,7 +298,7 @@
         Some(partial)
     }
 
-    /// The cached workers that are not in a snapshot.
+    /// Updates that remove the cached workers which a snapshot does not contain.
     fn missing_from(&self, snapshot: &PartialList, age: Micros) -> Vec<ListUpdate> {
         let present: BTreeSet<&str> = snapshot.workers.iter().map(|w| w.id.as_str()).collect();
         self.workers
@@ -309,7 +313,8 @@
             .collect()
     }
 
-    /// What of a newer list restricts cached workers. Workers that are not cached get no jobs anyway.
+    /// Updates from a newer list that restrict cached workers. Workers that are not cached get no
+    /// jobs anyway.
     fn restrictions(&self, number: u64, age: Micros, workers: &[Worker]) -> Vec<ListUpdate> {
         let mut updates = Vec::new();
         for worker in workers {
@@ -334,7 +339,7 @@
         updates
     }
 
-    /// The cached list, or nothing where there is none.
+    /// The cached list, or `None` if no list has been received.
     #[must_use]
     pub fn list(&self, now: Micros) -> Option<EndpointList> {
         if self.number == 0 {
--- a/crates/peers/src/endpoint_list/types.rs
+++ b/crates/peers/src/endpoint_list/types.rs
@@ -1,85 +1,88 @@
-//! Endpoint lists as peers exchange them, and the updates that a list from a peer brings.
+//! The wire format of endpoint lists, and the updates that result from a peer's list.
 
 use serde::{Deserialize, Serialize};
 
 use crate::Micros;
 
-/// What the endpoint list says of a worker. A later state is the more restrictive one.
+/// The state of a worker on the endpoint list, ordered from the least to the most restrictive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum WorkerState {
-    /// It takes jobs.
+    /// The worker accepts jobs.
     Ready,
-    /// It finishes what it has.
+    /// The worker completes its current jobs and accepts no others.
     Draining,
-    /// It is not on the list any more.
+    /// The worker is no longer on the list.
     Removed,
 }
 
-/// A worker as the endpoint list has it.
+/// A worker on the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Worker {
-    /// Its id.
+    /// The worker's id.
     pub id: String,
-    /// Whether it takes jobs.
+    /// Whether the worker accepts jobs.
     pub state: WorkerState,
-    /// When it started, in milliseconds of Unix time.
+    /// When the worker started, in milliseconds of Unix time.
     pub start: u64,
 }
 
-/// The version of an endpoint list: its discovery service and number; number 0: there is no list.
+/// The version of an endpoint list: its discovery service and its number, which is 0 if there is no
+/// list.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListVersion {
-    /// 24 bits of a hash of the discovery service's name. Numbers of different services are never compared.
+    /// 24 bits of a hash of the discovery service's name. Numbers of different services are never
+    /// compared.
     pub discovery: u32,
-    /// Discovery's number.
+    /// The number that discovery assigned to the list.
     pub number: u64,
 }
 
-/// One chunk of a snapshot of the endpoint list, or of a delta to it.
+/// A chunk of an endpoint list, which is transferred as a snapshot or as a delta.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListChunk {
-    /// The discovery service, by name: hashes may collide.
+    /// The name of the discovery service, because hashes may collide.
     pub discovery: String,
-    /// The delta's base: its changes are those since this number; 0: a snapshot.
+    /// The list number that the delta is relative to, or 0 for a snapshot.
     pub base: u64,
     /// The list's number.
     pub number: u64,
-    /// How long ago discovery sent it, in milliseconds.
+    /// The time since discovery sent the list, in milliseconds.
     pub age: u64,
-    /// The index of this chunk.
+    /// The index of this chunk, starting at 0.
     pub index: u16,
-    /// The number of chunks.
+    /// The number of chunks of the list.
     pub count: u16,
     /// The workers of this chunk.
     pub workers: Vec<Worker>,
 }
 
-/// What a peer's list changes.
+/// An update that results from a peer's list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// A worker that may still be ready in the own list is draining or removed: no job to it from now on.
+    /// A worker that may still be ready on the local list is draining or removed, and must get no
+    /// more jobs.
     Withdrawn {
-        /// Its id.
+        /// The worker's id.
         worker: String,
-        /// Draining or removed.
+        /// The worker's new state: draining or removed.
         state: WorkerState,
-        /// The number of the list that says so.
+        /// The number of the list that contains this state.
         number: u64,
-        /// How old that list is, in microseconds.
+        /// The age of that list, in microseconds.
         age: Micros,
     },
-    /// A worker started later than the own list has it, and so is colder.
+    /// A worker started later than recorded on the local list, so its caches are colder.
     StartedLater {
-        /// Its id.
+        /// The worker's id.
         worker: String,
-        /// When it started, in milliseconds of Unix time.
+        /// When the worker started, in milliseconds of Unix time.
         start: u64,
     },
-    /// The complete list of this number is cached now.
+    /// The list of this number has been received completely and is now cached.
     Complete {
-        /// Discovery's number.
+        /// The number that discovery assigned to the list.
         number: u64,
-        /// How old the list is, in microseconds.
+        /// The age of the list, in microseconds.
         age: Micros,
     },
 }
@@ -87,10 +90,10 @@
 /// The cached endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndpointList {
-    /// Discovery's number.
+    /// The number that discovery assigned to the list.
     pub number: u64,
-    /// How old the list is, in microseconds.
+    /// The age of the list, in microseconds.
     pub age: Micros,
-    /// The workers, by id.
+    /// The workers, sorted by id.
     pub workers: Vec<Worker>,
 }
--- a/crates/peers/src/polling.rs
+++ b/crates/peers/src/polling.rs
@@ -1,9 +1,10 @@
-//! Which members may poll discovery for the endpoint list when hundreds start at once.
+//! The order in which members may poll discovery for the endpoint list, which limits the calls when
+//! hundreds start at once.
 //!
-//! The join addresses of the settings come first, in their order, as all members know these before they know
-//! each other; then the living by rendezvous hash (Thaler and Ravishankar, 'Using name-based mappings to
-//! increase hit rates', IEEE/ACM ToN 6(1), 1998). After a bounded time each member polls, whatever its peers
-//! say.
+//! Members at the configured join addresses come first, in the configured order, because all
+//! members know these before they know each other. The others follow in the order of their
+//! rendezvous hashes (Thaler and Ravishankar, 'Using name-based mappings to increase hit rates',
+//! IEEE/ACM ToN 6(1), 1998). After a maximum delay each member polls, regardless of its rank.
 
 use std::net::SocketAddr;
 
@@ -12,17 +13,20 @@
 use crate::rows::Owner;
 use crate::Micros;
 
-/// How many members poll in one turn.
+/// The number of members that poll in one turn.
 const POLLS_PER_TURN: u64 = 2;
 
-/// The times of polling, in microseconds.
+/// The delays before polling, in microseconds.
 #[derive(Clone, Debug)]
 pub struct PollSchedule {
-    /// How long a member that is no join address waits at least, to discover the others.
+    /// The minimum delay of a member that is not at a join address, which gives it time to learn of
+    /// the others.
     pub min_delay: Micros,
-    /// How long the members of a turn may be silent before those of the next one poll.
+    /// The interval between turns: if no list has arrived by then, the members of the next turn
+    /// poll.
     pub turn_interval: Micros,
-    /// After this each member polls; it is spread over as much again, by the hash of the name.
+    /// The delay after which each member polls in any case. A hash of its name and incarnation adds
+    /// up to the same time again, which spreads these polls.
     pub fallback_delay: Micros,
 }
 
@@ -36,22 +40,22 @@
     }
 }
 
-/// The fleet as one member knows it.
+/// The fleet as known to one member.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet<'a> {
     /// This member.
     pub me: &'a Owner,
-    /// Its address.
+    /// This member's address.
     pub address: SocketAddr,
-    /// The others that are alive as far as is known.
+    /// The other members that are known to be alive.
     pub live_members: &'a [(Owner, SocketAddr)],
-    /// The join addresses of the settings.
+    /// The configured join addresses.
     pub join_addresses: &'a [SocketAddr],
-    /// How many members there are by the settings.
+    /// The configured number of members.
     pub configured_members: usize,
 }
 
-/// The weight of a member in the rendezvous hash.
+/// The weight of a member in the rendezvous hash. Higher weights come first.
 fn weight(owner: &Owner) -> u64 {
     let incarnation = owner.incarnation.to_le_bytes();
     let hash = Sha256::digest([owner.name.as_bytes(), b"/list", &incarnation].concat());
@@ -60,11 +64,11 @@
     ])
 }
 
-/// After how long since its start this process may poll, as long as no list has come. `is_dead`: whether a
-/// join address is known to be dead.
+/// The time after its start from which this process may poll if it has not received a list.
+/// `is_dead` tells whether the member at a join address is known to be dead.
 ///
-/// At first each member knows few of the others, and would take itself for one of the first: so it waits at
-/// least for the rank that its hash has among as many members as the settings name.
+/// At first each member knows few others, and would rank itself among the first. Its rank is
+/// therefore at least the one its hash is expected to have among the configured number of members.
 pub fn may_poll_after(
     schedule: &PollSchedule,
     fleet: &Fleet<'_>,
@@ -88,7 +92,7 @@
     after.min(fallback)
 }
 
-/// The rank of a member that is no join address.
+/// The rank of a member that is not at a join address.
 fn rank(fleet: &Fleet<'_>, seeds: &[SocketAddr], own_weight: u64) -> u64 {
     let ranked_before = fleet
         .live_members
