--- a/crates/peers/src/exchange/compare.rs
+++ b/crates/peers/src/exchange/compare.rs
@@ -1,35 +1,35 @@
-//! Comparing a digest with the stored rows.
+//! The comparison of a peer's digest with the stored rows.
 
 use super::{decode_states, encode_states, owners_by_hash, unique_owner, HashedOwner, OwnerState};
 use crate::endpoint_list::ListVersion;
 use crate::message::Digest;
 use crate::rows::{Owner, Rows};
 
-/// An owner of whom a peer lacks rows.
+/// An owner some of whose rows a peer lacks.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MissingRows {
     /// The owner.
     pub owner: Owner,
-    /// The version after which they begin.
+    /// The version after which the missing rows begin.
     pub since: u64,
-    /// Whether the peer knows the owner by its hash.
+    /// Whether the owner's hash identifies it to the peer.
     pub known_by_hash: bool,
 }
 
-/// How the sender of a digest and this member differ.
+/// The differences between the sender of a digest and this member.
 #[derive(Clone, Debug, Default)]
 pub struct Difference {
-    /// The rows that the sender lacks, the owner with the most first.
+    /// The rows that the sender lacks, starting with the owner that has the most of them.
     pub missing: Vec<MissingRows>,
-    /// The owners that are alive here, and not there.
+    /// The owners that are alive according to this member, but not according to the sender.
     pub alive_here: Vec<Owner>,
-    /// The owners that are alive there, and not here.
+    /// The owners that are alive according to the sender, but not according to this member.
     pub alive_there: Vec<Owner>,
-    /// The digest of what this member lacks, where there is such.
+    /// The digest that requests the rows this member lacks, if there are any.
     pub request: Option<Digest>,
 }
 
-/// Compares a digest with the stored rows. None: malformed.
+/// Compares a digest with the stored rows. Returns `None` if the digest is malformed.
 #[must_use]
 pub fn compare(rows: &Rows, digest: &Digest, list_version: ListVersion) -> Option<Difference> {
     let theirs = decode_states(digest)?;
@@ -69,7 +69,7 @@
     Some(difference)
 }
 
-/// The digest of the owners of whom the sender knows more; nothing where there are none.
+/// The digest of the owners that the sender has newer information on, or `None` if there are none.
 fn missing_here(
     digest: &Digest,
     theirs: &[(u32, Option<OwnerState>)],
--- a/crates/peers/src/exchange/deltas.rs
+++ b/crates/peers/src/exchange/deltas.rs
@@ -1,37 +1,39 @@
-//! Packing the rows that a peer lacks into datagrams, and merging those that come.
+//! Packs the rows that a peer lacks into datagrams, and merges those that are received.
 
 use super::{hash, owners_by_hash, unique_owner, MissingRows, MAX_HASH};
 use crate::message::{Delta, OwnerRef, PackedRow};
 use crate::rows::{Key, Owner, Row, Rows};
 
-/// Bytes of a datagram's body beside the deltas: its kind, the newest window, the number of deltas.
+/// Bytes of a body excluding the deltas: its variant, the newest window and the number of deltas.
 const BODY_OVERHEAD: usize = 8;
-/// Bytes of a delta's owner by its hash.
+/// Bytes of an owner that is encoded as its hash.
 const HASHED_OWNER_LENGTH: usize = 5;
-/// Bytes of a delta beside its owner and versions: windows and the number of rows.
+/// Bytes of a delta excluding its owner and versions: the newest window and the number of rows.
 const DELTA_OVERHEAD: usize = 7;
-/// Bytes of a packed row beside its numbers and subject: the table, and the lengths of subject and counts.
+/// Bytes of a packed row excluding its numbers and subject: the table, and the lengths of subject
+/// and counts.
 const ROW_OVERHEAD: usize = 3;
 
-/// How many bytes a number takes as a varint.
+/// The length of a number's varint encoding, in bytes.
 fn varint_length(number: u64) -> usize {
     (70 - (number | 1).leading_zeros() as usize) / 7
 }
 
-/// Rows of one owner, as many as fit.
+/// The rows of one owner that fit into a datagram.
 struct Packed {
     rows: Vec<PackedRow>,
-    /// The newest window of the owner.
+    /// The newest window among the rows after the requested version, including those that did not
+    /// fit.
     newest: u32,
-    /// The version of the last row.
+    /// The version of the last packed row.
     last: u64,
-    /// Whether further rows did not fit.
+    /// Whether some rows did not fit.
     is_cut: bool,
-    /// The bytes that are left.
+    /// The remaining bytes.
     space: usize,
 }
 
-/// Packs an owner's rows after a version into so many bytes.
+/// Packs the rows of an owner that are newer than a version into at most `space` bytes.
 fn pack_rows(rows: &Rows, owner: &Owner, since: u64, space: usize) -> Packed {
     let newest = rows
         .newer_than(owner, since)
@@ -78,8 +80,9 @@
         + ROW_OVERHEAD
 }
 
-/// Packs missing rows into one datagram of at most `space` bytes. What is packed is removed from `missing`,
-/// or advanced in it. The newest window of all deltas comes first.
+/// Packs missing rows into the body of one datagram, of at most `space` bytes. Packed rows are
+/// removed from `missing`: completed owners are dropped, and the position within a partially packed
+/// owner is advanced. Returns the newest window of all deltas, and the deltas.
 pub fn pack_deltas(rows: &Rows, missing: &mut Vec<MissingRows>, space: usize) -> (u32, Vec<Delta>) {
     let mut deltas: Vec<(u32, Delta)> = Vec::new();
     let mut remaining = space.saturating_sub(BODY_OVERHEAD);
@@ -101,7 +104,7 @@
             break;
         }
         let (last, is_cut) = (packed.last, packed.is_cut);
-        // Where there are no rows, all of them have expired.
+        // If there are no rows, all of them have expired.
         if !packed.rows.is_empty() {
             remaining = packed.space;
             deltas.push((packed.newest, delta(rows, missing, packed)));
@@ -121,7 +124,8 @@
     (newest, deltas.collect())
 }
 
-/// The delta of packed rows; `back` is set once all deltas of the datagram are known.
+/// Builds the delta of packed rows. `windows_back` is set when all deltas of the datagram are
+/// known.
 fn delta(rows: &Rows, missing: &MissingRows, packed: Packed) -> Delta {
     let owner = &missing.owner;
     let known = rows
@@ -147,8 +151,8 @@
     }
 }
 
-/// Merges the deltas of a datagram. Returns false where one is malformed: versions or windows beyond their
-/// types.
+/// Merges the deltas of a datagram. Returns false if one is malformed: its versions or windows are
+/// out of range.
 pub fn merge_deltas(rows: &mut Rows, newest: u32, deltas: Vec<Delta>) -> bool {
     let all = owners_by_hash(rows, 0, MAX_HASH);
     let owners: Vec<Option<Owner>> = deltas
@@ -166,8 +170,8 @@
     true
 }
 
-/// Merges one delta; nothing where it is malformed. `owner` is absent where its rows have expired here since
-/// the digest.
+/// Merges one delta. Returns `None` if it is malformed. `owner` is `None` if the owner has been
+/// removed here since the digest was sent, or if its hash is ambiguous.
 fn merge_delta(rows: &mut Rows, newest: u32, delta: Delta, owner: Option<Owner>) -> Option<()> {
     let up_to = delta.since.checked_add(delta.covered)?;
     let newest = newest.checked_sub(delta.windows_back)?;
@@ -187,7 +191,8 @@
             key,
             counts: packed.counts,
         };
-        // What is rejected is counted there; it would only come again if it delayed the rest.
+        // [`Rows::merge`] counts rejected rows. The known version still advances past them, or the
+        // peer would send them again, ahead of all later rows.
         let _ = rows.merge(&owner, row);
     }
     if version > up_to {
--- a/crates/peers/src/exchange/mod.rs
+++ b/crates/peers/src/exchange/mod.rs
@@ -1,8 +1,10 @@
-//! Anti-entropy: how two members compare their rows and exchange what is missing.
+//! The anti-entropy protocol by which two members compare their rows and exchange those that are
+//! missing.
 //!
-//! It chooses what is compared and what is sent first (van Renesse et al., 'Efficient Reconciliation and
-//! Flow Control for Anti-Entropy Protocols', LADIS 2008: versions by owner, oldest first, the owner with the
-//! most missing rows first). A gap between rows is never skipped.
+//! Members compare one version number per owner. They send the oldest missing rows first, beginning
+//! with the owner that has the most of them (van Renesse et al., 'Efficient Reconciliation and Flow
+//! Control for Anti-Entropy Protocols', LADIS 2008). The known version of an owner never advances
+//! past a gap between its rows.
 
 use crate::endpoint_list::ListVersion;
 use crate::message::Digest;
@@ -14,13 +16,13 @@
 pub use compare::{compare, Difference, MissingRows};
 pub use deltas::{merge_deltas, pack_deltas};
 
-/// The most owners in one digest: at 5 bytes each, half a datagram.
+/// The maximum number of owners in one digest. At 5 bytes each, they take half a datagram.
 pub const MAX_DIGEST_OWNERS: usize = 100;
-/// The highest hash of an owner: they have 24 bits.
+/// The highest hash of an owner: hashes have 24 bits.
 const MAX_HASH: u32 = 0xff_ffff;
 
-/// The hash of an owner in digests. Two owners that share one are treated as unknown, and sent in full:
-/// that costs bytes, and loses nothing.
+/// The hash that identifies an owner in digests. Owners whose hashes collide are treated as unknown
+/// and sent in full, which costs bandwidth but loses no data.
 #[must_use]
 pub fn hash(owner: &Owner) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
@@ -29,16 +31,16 @@
     hasher.finalize() & MAX_HASH
 }
 
-/// What is known of an owner.
+/// A member's knowledge of an owner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct OwnerState {
-    /// The version up to which all of its rows are known.
+    /// The version up to which all rows are known.
     known_version: u64,
     alive: bool,
 }
 
 impl OwnerState {
-    /// A state as a digest has it; 0: not even the owner is known.
+    /// Encodes a state for a digest; 0 stands for an unknown owner.
     fn encode(state: Option<OwnerState>) -> u64 {
         let Some(state) = state else {
             return 0;
@@ -55,14 +57,14 @@
     }
 }
 
-/// An owner, its hash and what is known of it.
+/// An owner with its hash and state.
 struct HashedOwner<'a> {
     hash: u32,
     owner: &'a Owner,
     state: OwnerState,
 }
 
-/// The owners whose hash lies in a range, by hash.
+/// The owners whose hashes lie in a range, sorted by hash.
 fn owners_by_hash(rows: &Rows, first: u32, last: u32) -> Vec<HashedOwner<'_>> {
     let mut found: Vec<HashedOwner<'_>> = rows
         .states()
@@ -80,7 +82,7 @@
     found
 }
 
-/// The one owner of a hash; nothing where there are two.
+/// The owner with a hash, or `None` if there is none or the hash is ambiguous.
 fn unique_owner<'a, 'b>(all: &'b [HashedOwner<'a>], hash: u32) -> Option<&'b HashedOwner<'a>> {
     let at = all.partition_point(|hashed| hashed.hash < hash);
     let found = all.get(at)?;
@@ -88,14 +90,15 @@
     (found.hash == hash && !collides).then_some(found)
 }
 
-/// Which range of owners a member compares next: its digests go through all of them.
+/// The position of a member's digests, which cycle through all owners range by range.
 #[derive(Clone, Debug, Default)]
 pub struct DigestCursor {
     next: u32,
 }
 
 impl DigestCursor {
-    /// Begins at any hash: members that begin at the same one would compare the same range at the same time.
+    /// Starts at the given hash. Members should start at different ones, so that they do not all
+    /// compare the same range at the same time.
     #[must_use]
     pub fn new(at: u32) -> DigestCursor {
         DigestCursor {
@@ -113,7 +116,7 @@
             first = self.next;
             range = &all[all.partition_point(|hashed| hashed.hash < first)..];
             if range.len() > MAX_DIGEST_OWNERS {
-                // Owners of one hash are never separated.
+                // Owners that share a hash stay in the same range.
                 let end = range[MAX_DIGEST_OWNERS].hash;
                 range = &range[..range.partition_point(|hashed| hashed.hash < end)];
                 last = end.saturating_sub(1);
@@ -134,7 +137,8 @@
     }
 }
 
-/// States by ascending hash as a digest has them; of equal hashes the first.
+/// Encodes states in ascending order of their hashes. Of several states with the same hash, only
+/// the first is encoded.
 fn encode_states(
     states: impl Iterator<Item = (u32, Option<OwnerState>)>,
     first: u32,
@@ -151,7 +155,7 @@
     encoded
 }
 
-/// A digest's states by hash. None: malformed.
+/// Decodes the states of a digest. Returns `None` if the digest is malformed.
 fn decode_states(digest: &Digest) -> Option<Vec<(u32, Option<OwnerState>)>> {
     let mut hash = digest.first;
     let mut states = Vec::with_capacity(digest.states.len());
--- a/crates/peers/src/rows/mod.rs
+++ b/crates/peers/src/rows/mod.rs
@@ -1,10 +1,10 @@
-//! The shared rows of counters: each is raised by its owner only, and stored and passed on by all.
+//! Shared rows of counters. Only its owner increments a row; all members store and forward it.
 //!
-//! [`Rows`] merges, expires and bounds them. Merging is a join (the larger version, the larger of each
-//! count: a grow-only counter after Shapiro et al., 'A comprehensive study of convergent and commutative
-//! replicated data types', INRIA RR-7506, 2011, section 3.1.1), so it may happen in any order and any number
-//! of times. A row of one owner is never raised by another, and the rows of a dead owner stay until they
-//! expire.
+//! [`Rows`] merges and expires rows, and enforces limits. Merging takes the larger version and the
+//! larger of each count: a grow-only counter as in Shapiro et al., 'A comprehensive study of
+//! convergent and commutative replicated data types', INRIA RR-7506, 2011, section 3.1.1. Rows may
+//! therefore be merged in any order and any number of times. The rows of a dead owner are retained
+//! until they expire.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,10 +18,10 @@
     MAX_SUBJECT_LENGTH,
 };
 
-/// Bytes accounted for a row beside its subject and counts: both indices and their nodes.
+/// Bytes accounted for a row in addition to its subject and counts: the entries in both indices.
 const ROW_OVERHEAD: usize = 128;
 
-/// A row in memory.
+/// A stored row.
 #[derive(Clone, Debug, Default)]
 struct StoredRow {
     version: u64,
@@ -31,7 +31,7 @@
 /// The rows of one owner.
 #[derive(Clone, Debug, Default)]
 struct OwnerRows {
-    /// All that the owner raised up to this version is stored, or has expired.
+    /// The version up to which all rows of the owner are stored or have expired.
     known_version: u64,
     rows: BTreeMap<Key, StoredRow>,
     by_version: BTreeSet<(u64, Key)>,
@@ -47,7 +47,8 @@
         debug_assert_eq!(self.rows.len(), self.by_version.len());
     }
 
-    /// Joins a row with the stored one, which is there; returns whether that changes it.
+    /// Merges a row into the stored one, which is created if absent. Returns whether that changed
+    /// it.
     fn join(&mut self, key: &Key, version: u64, counts: &[u32]) -> bool {
         let stored = self.rows.entry(key.clone()).or_default();
         if stored.counts.len() < counts.len() {
@@ -76,7 +77,7 @@
     owners: BTreeMap<Owner, OwnerRows>,
     row_count: usize,
     total_bytes: usize,
-    /// The current window by the own clock.
+    /// The current window by the local clock.
     current_window: u32,
     now: Micros,
     revision: u64,
@@ -88,7 +89,7 @@
 }
 
 impl Rows {
-    /// No rows yet, for one incarnation of a member. `now` is Unix time.
+    /// Creates an empty store for one incarnation of a member. `now` is Unix time.
     #[must_use]
     pub fn new(me: Owner, limits: Limits, now: Micros) -> Rows {
         let own = OwnerRows {
@@ -110,23 +111,24 @@
         rows
     }
 
-    /// The owner that this process is.
+    /// The name and incarnation of this process as an owner.
     #[must_use]
     pub fn me(&self) -> &Owner {
         &self.me
     }
 
-    /// The number of the window that contains this time.
+    /// The number of the window that contains a time.
     #[must_use]
     pub fn window(&self, at: Micros) -> u32 {
         u32::try_from(at / self.limits.window_length.max(1)).unwrap_or(u32::MAX)
     }
 
-    /// Adds to counts of an own row, which is created where it does not exist. Counts saturate at
-    /// [`Limits::max_count`].
+    /// Increments counts of one of this process's own rows, which is created if absent.
+    /// `increments` are pairs of index and amount. Counts saturate at [`Limits::max_count`].
     ///
     /// # Errors
-    /// Returns why the row was rejected, for example because it is too long or the limits are reached.
+    /// Returns an error if the row is too long or outside the accepted windows, or if a limit is
+    /// reached.
     pub fn raise(
         &mut self,
         window: u32,
@@ -172,10 +174,11 @@
         Ok(())
     }
 
-    /// Merges a row that another process has stored.
+    /// Merges a row received from another process or read from a snapshot.
     ///
     /// # Errors
-    /// Returns why the row was rejected, for example because it is too long, too old or implausible.
+    /// Returns an error if the row is implausible, too long or outside the accepted windows, or if a
+    /// limit is reached.
     pub fn merge(&mut self, owner: &Owner, row: Row) -> Result<(), RowError> {
         self.validate(owner, &row)
             .and_then(|()| self.store(owner, row))
@@ -206,8 +209,8 @@
         Ok(())
     }
 
-    /// Whether a row is one of this process's own that another one has passed on: no version and no count
-    /// is higher than was raised here.
+    /// Whether a row that another process forwarded was produced by this one: neither its version
+    /// nor any count is higher than in the stored row.
     fn is_own_row(&self, row: &Row) -> bool {
         let Some(own) = self
             .owners
@@ -221,7 +224,7 @@
         row.version <= own.version && row.counts.iter().enumerate().all(is_within_own)
     }
 
-    /// Joins a row with what is stored.
+    /// Merges a row into the stored ones, within the limits.
     fn store(&mut self, owner: &Owner, row: Row) -> Result<(), RowError> {
         let Row {
             version,
@@ -256,13 +259,13 @@
         Ok(())
     }
 
-    /// The oldest window that is retained.
+    /// The oldest retained window.
     fn oldest_window(&self) -> u32 {
         (self.current_window + 1).saturating_sub(self.limits.retained_windows)
     }
 
-    /// Sets the time: rows of windows that are not retained any more expire, and with its last row an owner
-    /// that is not alive. A clock that steps back brings nothing back.
+    /// Advances the clock. Rows of windows that are no longer retained expire, and dead owners
+    /// without rows are removed. A clock that is set back has no effect.
     pub fn expire(&mut self, now: Micros) {
         self.now = self.now.max(now);
         let current = self.window(self.now);
@@ -279,7 +282,7 @@
             for (key, row) in &stored.rows {
                 self.total_bytes += accounted_bytes(key, row.counts.len());
             }
-            // One that has just died is retained, so that others are notified.
+            // An owner that has just died is retained, so that its death reaches other members.
             stored.alive
                 || *owner == self.me
                 || !stored.rows.is_empty()
@@ -288,7 +291,7 @@
         self.revision += 1;
     }
 
-    /// Sets whether an owner is alive. Owners beyond the limit are ignored.
+    /// Sets whether an owner is alive. New owners beyond the limit are ignored.
     pub fn set_alive(&mut self, owner: &Owner, alive: bool) {
         if *owner == self.me {
             return;
@@ -312,8 +315,8 @@
         }
     }
 
-    /// All of an owner's rows from `since` up to `upto` were merged or rejected: where there is no gap before
-    /// them, the owner's rows are known up to there.
+    /// Advances the version up to which an owner's rows are known, after all of those from `since`
+    /// to `up_to` were merged or rejected. Has no effect if there is a gap before `since`.
     pub fn advance(&mut self, owner: &Owner, since: u64, up_to: u64) {
         if *owner == self.me {
             return;
--- a/crates/peers/src/rows/read.rs
+++ b/crates/peers/src/rows/read.rs
@@ -1,11 +1,11 @@
-//! Reading the stored rows.
+//! Read access to the stored rows.
 
 use std::ops::Bound;
 use std::sync::Arc;
 
 use super::{Key, Owner, RejectedRows, Row, Rows, Sizes};
 
-/// The first possible key of a table.
+/// The lowest possible key of a table.
 fn first_key(table: u8) -> Key {
     Key {
         table,
@@ -15,8 +15,8 @@
 }
 
 impl Rows {
-    /// Reads the rows of one table: by owner (name, then incarnation), then window, then subject, whatever
-    /// the order in which they came. Own rows and those of dead owners are among them.
+    /// Calls `each` for the rows of one table, including own rows and those of dead owners. The
+    /// order depends only on the contents: owner (name, then incarnation), window, subject.
     pub fn fold(&self, table: u8, mut each: impl FnMut(&Owner, u32, &[u8], &[u32])) {
         let first = first_key(table);
         for (owner, stored) in &self.owners {
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The owners that are alive as far as is known, this process included, by name and incarnation.
+    /// The owners known to be alive, including this process, sorted by name and incarnation.
     #[must_use]
     pub fn alive_owners(&self) -> Vec<Owner> {
         self.owners
@@ -40,19 +40,20 @@
             .collect()
     }
 
-    /// A number that grows whenever [`Rows::fold`] or [`Rows::alive_owners`] may read something else.
+    /// A number that increases whenever [`Rows::fold`] or [`Rows::alive_owners`] may return
+    /// something else.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// How many rows were rejected, and why.
+    /// The number of rejected rows by reason.
     #[must_use]
     pub fn rejected(&self) -> RejectedRows {
         self.rejected
     }
 
-    /// How much is stored.
+    /// The number of stored rows and owners, and their bytes.
     #[must_use]
     pub fn sizes(&self) -> Sizes {
         Sizes {
@@ -62,21 +63,21 @@
         }
     }
 
-    /// Each owner with the version up to which all of its rows are stored or have expired.
+    /// Each owner, and the version up to which all of its rows are stored or have expired.
     pub fn known(&self) -> impl Iterator<Item = (&Owner, u64)> {
         self.owners
             .iter()
             .map(|(owner, stored)| (owner, stored.known_version))
     }
 
-    /// Each owner as [`Rows::known`] has it, and whether it is alive.
+    /// Each owner and version as returned by [`Rows::known`], and whether the owner is alive.
     pub fn states(&self) -> impl Iterator<Item = (&Owner, u64, bool)> {
         self.owners
             .iter()
             .map(|(owner, stored)| (owner, stored.known_version, stored.alive))
     }
 
-    /// An owner's rows that are newer than a version, oldest version first.
+    /// The rows of an owner that are newer than a version, in ascending order of their versions.
     pub fn newer_than(&self, owner: &Owner, version: u64) -> impl Iterator<Item = Row> + '_ {
         let first = (version.saturating_add(1), first_key(0));
         self.owners.get(owner).into_iter().flat_map(move |stored| {
--- a/crates/peers/src/rows/types.rs
+++ b/crates/peers/src/rows/types.rs
@@ -1,4 +1,4 @@
-//! The types of rows: owners, keys, bounds, and why a row is rejected.
+//! Owners, keys and rows, the limits on them, and the errors of rejected rows.
 
 use std::sync::Arc;
 
@@ -7,24 +7,25 @@
 
 use crate::Micros;
 
-/// The longest subject of a row, in bytes.
+/// The maximum length of a row's subject, in bytes.
 pub const MAX_SUBJECT_LENGTH: usize = 64;
-/// The most counts in a row.
+/// The maximum number of counts in a row.
 pub const MAX_COUNTS: usize = 64;
-/// The longest name of a member, in bytes.
+/// The maximum length of a member's name, in bytes.
 pub const MAX_NAME_LENGTH: usize = 32;
 
 /// The owner of rows: one incarnation of a member. A restarted process is a new incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Owner {
-    /// The member's name, as the settings have it.
+    /// The member's name as configured.
     pub name: Arc<str>,
-    /// When this incarnation started, in milliseconds of Unix time: a later one has a larger number.
+    /// When this incarnation started, in milliseconds of Unix time. Later incarnations have higher
+    /// numbers.
     pub incarnation: u64,
 }
 
 impl Owner {
-    /// An owner of this name and incarnation.
+    /// Creates an owner from its name and incarnation.
     #[must_use]
     pub fn new(name: &str, incarnation: u64) -> Owner {
         Owner {
@@ -34,51 +35,53 @@
     }
 }
 
-/// A row's key. Rows are read in the order of table, window and subject.
+/// The key of a row. Keys are ordered by table, window and subject.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key {
-    /// Which part of the program the row belongs to (`prewarm`, `quarantine`, ..).
+    /// The subsystem that the row belongs to, such as `prewarm` or `quarantine`.
     pub table: u8,
-    /// The number of the time window: Unix time divided by [`Limits::window`].
+    /// The number of the time window: Unix time divided by [`Limits::window_length`].
     pub window: u32,
-    /// What was counted, at most [`MAX_SUBJECT_LENGTH`] bytes, in the table's own encoding.
+    /// What is counted, in an encoding defined by the table, of at most [`MAX_SUBJECT_LENGTH`]
+    /// bytes.
     pub subject: Arc<[u8]>,
 }
 
-/// A row as members exchange it.
+/// A row in the form that members exchange.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// The owner's version: it grows with each raise of any of its rows.
+    /// The owner's version of its rows, which increases with each increment of any of them.
     pub version: u64,
-    /// The key.
+    /// The row's key.
     pub key: Key,
-    /// The counts; zeros at the end are omitted.
+    /// The counts, omitting trailing zeros.
     pub counts: Vec<u32>,
 }
 
-/// The bounds of [`Rows`](super::Rows).
+/// The limits of [`Rows`](super::Rows).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// The length of a window, in microseconds.
     pub window_length: Micros,
-    /// How many windows are retained, the current one included; rows of older ones expire.
+    /// The number of retained windows, including the current one. Rows of older windows expire.
     pub retained_windows: u32,
-    /// How many windows ahead of the own clock a row may be, as clocks differ.
+    /// How many windows a row may be ahead of the local clock, because clocks differ.
     pub windows_ahead: u32,
-    /// How far ahead of the own clock an incarnation may have started, in microseconds.
+    /// How far the start of an incarnation may be ahead of the local clock, in microseconds.
     pub skew: Micros,
-    /// The most owners, earlier incarnations included: these are retained as long as their rows, so some for
-    /// each member.
+    /// The maximum number of owners. Earlier incarnations are retained as long as their rows, so
+    /// this must be several times the number of members.
     pub max_owners: usize,
-    /// The most rows of one owner.
+    /// The maximum number of rows of one owner.
     pub max_rows_per_owner: usize,
-    /// The most rows in all.
+    /// The maximum number of rows of all owners.
     pub max_rows: usize,
-    /// The most bytes in all, as [`Sizes::bytes`] counts them.
+    /// The maximum number of bytes of all rows, as counted by [`Sizes::bytes`].
     pub max_bytes: usize,
-    /// The most that one count can reach within a window: more is implausible.
+    /// The highest plausible count within a window.
     pub max_count: u32,
-    /// The most raises of one owner in a second since its start: a larger version is implausible.
+    /// The highest plausible number of increments of one owner per second since its start. It
+    /// bounds the versions that are accepted.
     pub max_increments_per_second: u64,
 }
 
@@ -99,38 +102,39 @@
     }
 }
 
-/// How much is stored.
+/// The number of stored rows and owners, and their bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Sizes {
-    /// The rows.
+    /// The number of rows.
     pub rows: usize,
-    /// The owners.
+    /// The number of owners.
     pub owners: usize,
-    /// The bytes of all rows.
+    /// The accounted bytes of all rows.
     pub bytes: usize,
 }
 
-/// Why a row, or a raise, was rejected.
+/// Why a row or an increment was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum RowError {
-    /// The subject, the counts or the name are too long, or an index is too high.
-    #[error("the subject, the counts or the owner's name are too long")]
+    /// The subject, the counts or the owner's name is too long, or the index of a count is too
+    /// high.
+    #[error("the subject, the counts or the owner's name is too long")]
     TooLong,
-    /// Its window has expired, or lies too far ahead.
-    #[error("the window has expired, or lies too far ahead")]
+    /// The window has expired, or is too far in the future.
+    #[error("the window has expired, or is too far in the future")]
     Window,
-    /// An implausible count, version or incarnation.
+    /// The count, the version or the incarnation is implausible.
     #[error("the count, the version or the incarnation is implausible")]
     Implausible,
-    /// A row of this process's own incarnation that it never raised.
-    #[error("the row is of this process, which never raised it")]
+    /// The row claims this incarnation of this process as its owner, which never produced it.
+    #[error("the row claims this process as its owner, which never produced it")]
     OwnerConflict,
-    /// A limit is reached.
-    #[error("a limit of rows, owners or bytes is reached")]
+    /// A limit on rows, owners or bytes is reached.
+    #[error("a limit on rows, owners or bytes is reached")]
     Full,
 }
 
-/// How many rows were rejected, and why.
+/// The number of rejected rows by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RejectedRows {
     /// See [`RowError::TooLong`].
--- a/crates/peers/src/snapshot.rs
+++ b/crates/peers/src/snapshot.rs
@@ -1,6 +1,8 @@
-//! A snapshot of the shared state as bytes for a file: rows of all owners, and where members were.
+//! A snapshot of the shared state in the form of a file: the rows of all owners, and the addresses
+//! of members.
 //!
-//! A damaged snapshot, or one from the future, is rejected as a whole: the caller starts without it.
+//! A snapshot that is damaged, or whose time lies in the future, is rejected as a whole. The caller
+//! then starts without it.
 
 use std::net::SocketAddr;
 
@@ -12,38 +14,39 @@
 
 const MAGIC: [u8; 8] = *b"oakpeer\x01";
 
-/// The shared state at one time.
+/// The shared state at a point in time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// When it was taken, in microseconds of Unix time.
+    /// When the snapshot was taken, in microseconds of Unix time.
     pub at: Micros,
-    /// The installation.
+    /// The name of the installation.
     pub installation: String,
-    /// Where living members listened.
+    /// The addresses of the members that were alive.
     pub members: Vec<SocketAddr>,
-    /// Each owner, the version up to which all of its rows are stored or have expired, and its rows.
+    /// Each owner, the version up to which all of its rows are included or have expired, and its
+    /// rows.
     pub owners: Vec<(Owner, u64, Vec<Row>)>,
 }
 
 /// Why a snapshot cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum SnapshotError {
-    /// It is no snapshot, or of another version of the program.
-    #[error("no snapshot, or of another version")]
+    /// It is not a snapshot, or has another format version.
+    #[error("not a snapshot, or another format version")]
     Version,
-    /// Its checksum is wrong, or it is truncated.
-    #[error("damaged: the checksum is wrong")]
+    /// The checksum does not match, or the snapshot is truncated.
+    #[error("damaged snapshot: the checksum does not match")]
     Damaged,
-    /// It was made later than now, by so many microseconds.
-    #[error("from the future, by {} ms", .0 / 1_000)]
+    /// It was taken in the future, by this many microseconds more than clocks may differ.
+    #[error("snapshot is from the future, by {} ms", .0 / 1_000)]
     Future(Micros),
-    /// It is of another installation.
-    #[error("of another installation: {0:?}")]
+    /// It belongs to another installation.
+    #[error("snapshot of another installation: {0:?}")]
     Installation(String),
 }
 
 impl Snapshot {
-    /// A snapshot of the stored rows.
+    /// Takes a snapshot of the stored rows.
     #[must_use]
     pub fn of(rows: &Rows, at: Micros, installation: &str, members: Vec<SocketAddr>) -> Snapshot {
         let owner = |(owner, known): (&Owner, u64)| {
@@ -58,18 +61,20 @@
         }
     }
 
-    /// Encodes the snapshot: magic and version, CRC-32 of the rest, the rest.
+    /// Encodes the snapshot: magic and version, the CRC-32 of the remaining bytes, and the snapshot
+    /// in postcard.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let rest = postcard::to_allocvec(self).unwrap_or_default();
         [&MAGIC[..], &crc32fast::hash(&rest).to_le_bytes(), &rest].concat()
     }
 
-    /// Decodes what [`Snapshot::encode`] wrote. `skew`: how far clocks may differ, in microseconds.
+    /// Decodes the output of [`Snapshot::encode`]. `skew` is the maximum difference between clocks,
+    /// in microseconds.
     ///
     /// # Errors
-    /// Returns why the snapshot cannot be used: its version, its installation, damage, or a time of
-    /// creation in the future.
+    /// Returns an error if the snapshot is damaged, has another format version or installation, or
+    /// was taken in the future.
     pub fn decode(
         bytes: &[u8],
         installation: &str,
@@ -98,7 +103,7 @@
         }
     }
 
-    /// Merges the rows into others; those that have expired since are left out.
+    /// Merges the rows into `rows`, which rejects those that have expired since.
     pub fn restore(self, rows: &mut Rows) {
         for (owner, known, all) in self.owners {
             for row in all {
