--- a/crates/peers/src/membership/admission.rs
+++ b/crates/peers/src/membership/admission.rs
@@ -1,4 +1,5 @@
-//! The admission of members: forged names and more members than the bound are rejected before foca stores any.
+//! Admission control for members: packets with implausible identities, or with more members than
+//! the limit permits, are rejected before foca stores any of them.
 
 use foca::{Header, Member};
 
@@ -8,7 +9,7 @@
 use crate::rows::{Owner, MAX_NAME_LENGTH};
 
 impl Membership {
-    /// Checks a packet of foca's, and returns its header.
+    /// Checks a foca packet, and returns its header.
     pub(super) fn check_packet(
         &self,
         from: &Owner,
@@ -32,7 +33,7 @@
         Ok(header)
     }
 
-    /// Checks that all of these members may be admitted.
+    /// Checks that all of these members are plausible, and that they fit within the limit.
     pub(super) fn check_admission(&self, mut named: Vec<Identity>) -> Result<(), DatagramError> {
         if !named.iter().all(is_plausible) {
             return Err(DatagramError::Implausible);
@@ -57,7 +58,7 @@
     }
 }
 
-/// Whether a member has a valid name and an address that can be reached.
+/// Whether a member has a valid name and a usable address.
 fn is_plausible(id: &Identity) -> bool {
     let name = &id.owner.name;
     let has_name = !name.is_empty() && name.len() <= MAX_NAME_LENGTH;
--- a/crates/peers/src/membership/joining.rs
+++ b/crates/peers/src/membership/joining.rs
@@ -1,4 +1,5 @@
-//! Joining the fleet, and rejoining after a partition: which addresses are called, and when.
+//! Joining the fleet, and rejoining after a partition: when announcements are sent, and to which
+//! addresses.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,17 +11,17 @@
 use crate::rows::Owner;
 use crate::Micros;
 
-/// Between two calls for more members at first: 0.25 s.
+/// The interval between the first requests for members: 0.25 s.
 pub(super) const JOIN_INTERVAL: Micros = 250_000;
-/// How many calls are made at that pace.
+/// The number of requests sent at that interval.
 const FAST_JOIN_REQUESTS: u32 = 8;
-/// Between two calls later, in case that a member was missed: 10 s.
+/// The interval between later requests, which discover members that were missed: 10 s.
 const SLOW_JOIN_INTERVAL: Micros = 10_000_000;
-/// Of so many calls one goes to a join address, and the others to members.
+/// One in this many requests goes to a join address, and the others go to members.
 const REQUESTS_PER_SEED: u32 = 8;
 
 impl Membership {
-    /// Calls a member, or a join address, for the members that it knows.
+    /// Asks a random member or join address for the members that it knows.
     pub(super) fn request_members(&mut self, now: Micros) {
         self.join_requests += 1;
         let live_members = self.live_members();
@@ -41,8 +42,8 @@
         self.announce(picked);
     }
 
-    /// After a partition somebody has to call first: a dead member, or a join address that no living member
-    /// has.
+    /// Announces this process to a random dead member, or to a join address at which no member is
+    /// known. After a partition heals, the two sides meet again only through such announcements.
     pub(super) fn announce_to_dead(&mut self) {
         let mut candidates: Vec<Identity> = self
             .foca
@@ -51,7 +52,7 @@
             .map(|member| member.id().clone())
             .collect();
         candidates.sort();
-        // The join addresses may be as many as there are members: no search through all of these for each.
+        // There may be as many join addresses as members, so each lookup must not scan all members.
         let mut known: BTreeSet<SocketAddr> = candidates.iter().map(|id| id.address).collect();
         known.extend(self.foca.iter_members().map(|member| member.id().address));
         let unknown = self.join.iter().filter(|at| !known.contains(at));
@@ -62,13 +63,14 @@
 
     fn announce(&mut self, to: Option<Identity>) {
         if let Some(to) = to {
-            // An announcement that cannot be made is repeated like one that is lost.
+            // A failed announcement is repeated later, like one that is lost.
             let _ = self.foca.announce(to, &mut self.runtime);
         }
     }
 }
 
-/// Any member at an address: who listens there answers whatever the name is.
+/// An identity for an address whose member is unknown. The process at that address answers an
+/// announcement regardless of the name in it.
 fn placeholder_identity(address: SocketAddr) -> Identity {
     Identity {
         owner: Owner::new("?", 0),
--- a/crates/peers/src/membership/mod.rs
+++ b/crates/peers/src/membership/mod.rs
@@ -1,10 +1,15 @@
-//! Membership: SWIM by the library foca, with time and randomness passed in.
+//! Failure detection and membership: the SWIM protocol as implemented by foca, with time and
+//! randomness passed in.
 //!
-//! This module adds a bound on members, and two parts of Lifeguard (Dadgar et al., 'Lifeguard: Local Health
-//! Awareness for More Accurate Failure Detection', DSN-W 2018). A process that was stalled suspects itself
-//! first: its timers are postponed by the stall, so that what waits in its socket counts before anybody is
-//! suspected. And a suspect is notified by the member that suspects it, again and again (section IV-C, buddy
-//! system). Whether a member is dead is decided by foca alone.
+//! This module adds a limit on members, and two parts of Lifeguard (Dadgar et al., 'Lifeguard:
+//! Local Health Awareness for More Accurate Failure Detection', DSN-W 2018):
+//!
+//! - A process that was stalled suspects itself first. Its timers are postponed by the length of
+//!   the stall, so that datagrams waiting in its socket are handled before it suspects any member.
+//! - A member that suspects another one notifies it repeatedly, so that it can refute the suspicion
+//!   (section IV-C, buddy system).
+//!
+//! foca alone decides whether a member is dead.
 
 mod admission;
 mod joining;
@@ -27,16 +32,16 @@
 use crate::rows::Owner;
 use crate::Micros;
 
-/// The longest packet of foca's within a datagram, in bytes.
+/// The maximum length of a foca packet within a datagram, in bytes.
 const MAX_PACKET_LENGTH: usize = 300;
-/// How often each member passes an update on; who misses it learns of it by anti-entropy.
+/// How often each member sends an update. Members that miss it are updated by anti-entropy.
 const UPDATE_TRANSMISSIONS: u8 = 4;
-/// How many members probe on behalf of another one.
+/// How many members are asked to probe a member that did not answer.
 const INDIRECT_PROBES: usize = 3;
-/// How many others a new member is sent at first.
+/// How many other members a new member is sent at first.
 const INITIAL_MEMBERS: usize = 4;
 
-/// The membership of one process.
+/// The membership as one process knows it.
 pub struct Membership {
     foca: Foca<Identity, PostcardCodec, FocaRng, NoCustomBroadcast>,
     runtime: Runtime,
@@ -44,12 +49,12 @@
     timing: MembershipTiming,
     join: Vec<SocketAddr>,
     max_members: usize,
-    /// When to call a member or a join address next.
+    /// When to ask a member or a join address for members next.
     next_join: Micros,
     join_requests: u32,
-    /// When to call a dead member next.
+    /// When to announce this process to a dead member or a join address next.
     next_rejoin: Micros,
-    /// How often this process was found stalled.
+    /// The number of stalls of this process that were detected.
     pub stalls: u64,
 }
 
@@ -79,7 +84,8 @@
 }
 
 impl Membership {
-    /// A process that knows no member yet; `join` are addresses that are called for the others.
+    /// Creates the membership of a process that knows no other members yet. It announces itself at
+    /// the `join` addresses.
     #[must_use]
     pub fn new(
         me: Identity,
@@ -92,7 +98,7 @@
         let mut rng = fastrand::Rng::with_seed(seed);
         let foca_rng = FocaRng(rng.fork());
         let join = join.into_iter().filter(|at| *at != me.address).collect();
-        // All of a fleet that starts at once would call in the same moment.
+        // Spreads the first announcements of a fleet whose members start at the same time.
         let next_join = now + rng.u64(0..JOIN_INTERVAL);
         let next_rejoin = now + timing.rejoin_interval + rng.u64(0..timing.rejoin_interval.max(1));
         Membership {
@@ -109,13 +115,13 @@
         }
     }
 
-    /// This process as the others know it.
+    /// The identity of this process.
     #[must_use]
     pub fn me(&self) -> &Identity {
         self.foca.identity()
     }
 
-    /// The living, without this process, by name and incarnation.
+    /// The members that are alive, excluding this process, sorted by name and incarnation.
     #[must_use]
     pub fn live_members(&self) -> Vec<Identity> {
         let members = self.foca.iter_members();
@@ -124,16 +130,16 @@
         live_members
     }
 
-    /// How many members are known, the retained dead ones among them.
+    /// The number of known members, including retained dead ones.
     #[must_use]
     pub fn known(&self) -> usize {
         self.foca.iter_membership_state().len()
     }
 
-    /// Handles a packet of foca's from a peer.
+    /// Handles a foca packet from a peer.
     ///
     /// # Errors
-    /// Returns why the packet is rejected: malformed, or naming members that may not be admitted.
+    /// Returns an error if the packet is malformed, or names members that may not be admitted.
     pub fn handle(&mut self, now: Micros, from: &Owner, bytes: &[u8]) -> Result<(), DatagramError> {
         self.advance_clock(now);
         let header = self.check_packet(from, bytes)?;
@@ -153,7 +159,8 @@
         {
             runtime.suspects.remove(&sender);
         }
-        // Meant for an earlier incarnation or generation: foca ignores it.
+        // The packet is addressed to an earlier incarnation or generation of this process, so foca
+        // ignores it.
         if header.dst != *self.me() && header.message != Message::Announce {
             self.runtime.actions.push_back(Action::SendSelf(sender));
         }
@@ -162,23 +169,24 @@
             .map_err(|_| DatagramError::Malformed)
     }
 
-    /// Members that a peer does not know, as this one knows them.
+    /// The members among `owners` that are alive, as this process knows them.
     #[must_use]
-    pub fn alive_among(&self, unknown: &[Owner]) -> Vec<KnownMember> {
-        // By order, not one by one: to a new member in a large fleet nearly all are unknown.
-        let unknown: BTreeSet<&Owner> = unknown.iter().collect();
+    pub fn alive_among(&self, owners: &[Owner]) -> Vec<KnownMember> {
+        // A set keeps the lookups fast: to a new member of a large fleet, nearly all members are
+        // unknown.
+        let owners: BTreeSet<&Owner> = owners.iter().collect();
         let mut members: Vec<KnownMember> = self
             .foca
             .iter_members()
             .filter(|member| member.state() == State::Alive)
-            .filter(|member| unknown.contains(&member.id().owner))
+            .filter(|member| owners.contains(&member.id().owner))
             .map(known_member)
             .collect();
         members.sort();
         members
     }
 
-    /// This process and some others, for a new member at an address.
+    /// This process and a few random other members, for a new member at an address.
     pub fn initial_members(&mut self, to: SocketAddr) -> Vec<KnownMember> {
         let others: Vec<KnownMember> = self
             .foca
@@ -191,7 +199,7 @@
         members
     }
 
-    /// This process, for others.
+    /// This process as an entry for others.
     #[must_use]
     pub fn self_entry(&self) -> KnownMember {
         KnownMember {
@@ -200,7 +208,7 @@
         }
     }
 
-    /// Of the members at these addresses, those that foca declared dead, as it knows them.
+    /// The members at these addresses that foca declared dead, as this process knows them.
     #[must_use]
     pub fn declared_dead(&self, addresses: &[SocketAddr]) -> Vec<KnownMember> {
         let mut dead: Vec<KnownMember> = self
@@ -214,10 +222,12 @@
         dead
     }
 
-    /// Applies what a peer knows of members that are unknown here, or not known to be dead.
+    /// Applies the entries that a peer sent of members that are unknown here, or whose death is
+    /// unknown here.
     ///
     /// # Errors
-    /// Returns why the members are rejected: malformed, or naming members that may not be admitted.
+    /// Returns an error if foca rejects the entries, or if they name members that may not be
+    /// admitted.
     pub fn apply(
         &mut self,
         now: Micros,
@@ -231,13 +241,14 @@
         let members = members
             .into_iter()
             .map(|member| Member::new(member.identity, member.swim_incarnation, state));
-        // The peer passes it on to others as well: no need to do it once more.
+        // The peer sends these updates to others itself, so they are not gossiped again.
         self.foca
             .apply_many(members, false, &mut self.runtime)
             .map_err(|_| DatagramError::Malformed)
     }
 
-    /// Sets the time; after a stall all timers are postponed by its length.
+    /// Advances the clock. If a timer is late by more than the stall threshold, all timers are
+    /// postponed by as much.
     fn advance_clock(&mut self, now: Micros) {
         self.runtime.now = self.runtime.now.max(now);
         let Some(((due, _), _)) = self.runtime.timers.first_key_value() else {
@@ -250,7 +261,7 @@
         }
     }
 
-    /// Does what is due.
+    /// Handles all timers that are due.
     pub fn tick(&mut self, now: Micros) {
         self.advance_clock(now);
         while let Some(entry) = self.runtime.timers.first_entry() {
@@ -261,7 +272,8 @@
             if self.is_refuted(&timer) {
                 continue;
             }
-            // An error here is a probe that another identity began: foca goes on by itself.
+            // foca returns an error here if the probe was started under another identity of this
+            // process, and recovers by itself.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
         }
         self.retry_probe(now);
@@ -275,9 +287,9 @@
         }
     }
 
-    /// Whether a timer would declare a member dead that has refuted the suspicion. foca 1.0 notifies such a
-    /// member that it is dead all the same; it would come back as another generation, and who has not learned
-    /// of that would suspect it again.
+    /// Whether a timer would declare a member dead that has refuted the suspicion. foca 1.0
+    /// nevertheless notifies such a member that it is dead. The member would return with a new
+    /// generation, and would be suspected again by members that have not learned of it.
     fn is_refuted(&self, timer: &Timer<Identity>) -> bool {
         let Timer::ChangeSuspectToDown {
             member_id,
@@ -293,7 +305,7 @@
         !self.foca.iter_membership_state().any(is_suspect)
     }
 
-    /// When [`Membership::tick`] is to be called next.
+    /// When [`Membership::tick`] is due next.
     #[must_use]
     pub fn next_wake(&self) -> Micros {
         self.runtime
@@ -302,7 +314,7 @@
             .min(self.next_rejoin)
     }
 
-    /// The next action, in order.
+    /// Returns the next queued action.
     pub fn poll_action(&mut self) -> Option<Action> {
         self.runtime.actions.pop_front()
     }
--- a/crates/peers/src/membership/runtime.rs
+++ b/crates/peers/src/membership/runtime.rs
@@ -1,4 +1,4 @@
-//! The runtime that foca asks for: its notifications, datagrams and timers, queued as values.
+//! The runtime that foca requires: its notifications, packets and timers are queued as values.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -11,7 +11,7 @@
 use crate::budget::TrafficClass;
 use crate::Micros;
 
-/// How often a probe is repeated.
+/// How often an unanswered probe is repeated.
 const PROBE_RETRIES: u8 = 3;
 
 pub(super) struct FocaRng(pub fastrand::Rng);
@@ -38,8 +38,8 @@
     pub deadline: Micros,
 }
 
-/// A probe that was not answered at once. It is repeated while others probe: one lost datagram must not cause
-/// a suspicion.
+/// A probe that was not answered in time. It is repeated while other members probe indirectly,
+/// because one lost datagram must not cause a suspicion.
 pub(super) struct ProbeRetry {
     pub to: Identity,
     pub probe_number: u8,
@@ -47,10 +47,10 @@
     pub remaining: u8,
 }
 
-/// What foca asks of its runtime.
+/// The queues and timers behind [`foca::Runtime`].
 pub(super) struct Runtime {
     pub now: Micros,
-    /// Tells timers of the same time apart.
+    /// The number of timers set so far, which distinguishes timers that expire at the same time.
     pub timer_count: u64,
     pub timers: BTreeMap<(Micros, u64), Timer<Identity>>,
     pub actions: VecDeque<Action>,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Postpones all timers after a stall.
+    /// Postpones all timers and suspicion deadlines after a stall.
     pub(super) fn postpone(&mut self, by: Micros) {
         let timers = std::mem::take(&mut self.timers);
         for ((at, count), timer) in timers {
@@ -81,7 +81,7 @@
         }
     }
 
-    /// When anything here is due.
+    /// When the next timer, ping or repeated probe is due.
     pub(super) fn next_wake(&self) -> Micros {
         let timer = self.timers.first_key_value().map(|((at, _), _)| *at);
         let ping = self
@@ -106,7 +106,7 @@
                 self.suspects.remove(&id.address);
                 self.actions.push_back(Action::Died(id.owner.clone()));
             }
-            // A new incarnation at the same address: the old one has ended, whatever became of it.
+            // A new incarnation runs at the same address, so the previous one has ended.
             Notification::Rename(old, new) if old.owner != new.owner => {
                 self.suspects.remove(&old.address);
                 self.actions.push_back(Action::Died(old.owner.clone()));
--- a/crates/peers/src/membership/suspicion.rs
+++ b/crates/peers/src/membership/suspicion.rs
@@ -1,4 +1,5 @@
-//! Second chances before a member is declared dead: repeated probes, and pings that notify a suspect.
+//! Countermeasures against false suspicions: unanswered probes are repeated, and suspects are
+//! notified by pings.
 
 use foca::{Header, Member, Message, State};
 
@@ -8,11 +9,11 @@
 use crate::budget::TrafficClass;
 use crate::Micros;
 
-/// Between two repetitions of a probe: 80 ms.
+/// The interval between repetitions of a probe: 80 ms.
 const PROBE_RETRY_INTERVAL: Micros = 80_000;
 
 impl Membership {
-    /// Repeats the probe that was not answered, if that is due.
+    /// Repeats the unanswered probe if that is due.
     pub(super) fn retry_probe(&mut self, now: Micros) {
         let me = self.foca.identity().clone();
         let Some(retry) = &mut self.runtime.probe_retry else {
@@ -36,7 +37,8 @@
         }
     }
 
-    /// Notifies the suspects of this process, in pings that foca answers: the answer brings the refutation.
+    /// Pings the members that this process suspects. foca on their side answers the ping, and the
+    /// answer carries the refutation.
     pub(super) fn ping_suspects(&mut self, now: Micros) {
         let me = self.foca.identity().clone();
         let suspects = &mut self.runtime.suspects;
@@ -66,7 +68,7 @@
     }
 }
 
-/// A ping with one update: that its receiver is suspected.
+/// A ping that carries one update: its receiver is suspected.
 fn suspect_ping(me: Identity, suspect: &Suspect) -> postcard::Result<Vec<u8>> {
     let identity = suspect.identity.clone();
     let mut bytes = postcard::to_allocvec(&ping(me, identity.clone(), 0))?;
--- a/crates/peers/src/membership/types.rs
+++ b/crates/peers/src/membership/types.rs
@@ -1,4 +1,4 @@
-//! The types of membership: identities, its pace, and the actions for the caller.
+//! Identities of members, timing parameters, and the actions for the caller.
 
 use std::net::SocketAddr;
 
@@ -8,15 +8,15 @@
 use crate::rows::Owner;
 use crate::Micros;
 
-/// One incarnation of a member at an address. A member that was declared dead by mistake comes back as the
-/// next generation of the same incarnation.
+/// One incarnation of a member at an address. A member that was declared dead by mistake returns
+/// with the same incarnation and the next generation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// Name and incarnation.
+    /// The member's name and incarnation.
     pub owner: Owner,
-    /// Grows each time that it was declared dead by mistake.
+    /// Increases each time the member is declared dead by mistake.
     pub generation: u16,
-    /// Where it listens.
+    /// The address on which the member listens.
     pub address: SocketAddr,
 }
 
@@ -40,33 +40,33 @@
     }
 }
 
-/// A member as another one knows it.
+/// An entry for a member, as members exchange it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KnownMember {
-    /// Its identity.
+    /// The member's identity.
     pub identity: Identity,
-    /// SWIM's incarnation number: it grows with each suspicion that the member refutes.
+    /// SWIM's incarnation number, which increases with each suspicion that the member refutes.
     pub swim_incarnation: u16,
 }
 
-/// The pace of membership, in microseconds.
+/// The timing parameters of membership, in microseconds.
 #[derive(Clone, Debug)]
 pub struct MembershipTiming {
-    /// Between two probes.
+    /// The interval between probes.
     pub probe_interval: Micros,
-    /// How long an answer may take before others are asked to probe.
+    /// How long to wait for an answer before other members are asked to probe.
     pub probe_timeout: Micros,
-    /// How long a suspect has to refute the suspicion.
+    /// How long a suspect has to refute the suspicion before it is declared dead.
     pub suspicion_timeout: Micros,
-    /// Between two notifications of a suspect by the member that suspects it.
+    /// The interval between pings that notify a suspect of the suspicion.
     pub suspect_ping_interval: Micros,
-    /// Between two rounds of gossip.
+    /// The interval between rounds of gossip.
     pub gossip_interval: Micros,
     /// How long a dead member is retained.
     pub dead_retention: Micros,
-    /// Between two announcements to a dead member or a join address.
+    /// The interval between announcements to a dead member or a join address.
     pub rejoin_interval: Micros,
-    /// Timers that come later than this mean that this process was stalled.
+    /// A timer that is handled later than this indicates that the process was stalled.
     pub stall_threshold: Micros,
 }
 
@@ -85,26 +85,28 @@
     }
 }
 
-/// An action for the caller.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a packet of foca's.
+    /// Send a foca packet.
     Send {
-        /// The address.
+        /// The destination.
         to: SocketAddr,
         /// The packet.
         bytes: Vec<u8>,
-        /// How urgent it is.
+        /// The priority of the packet.
         class: TrafficClass,
     },
-    /// Notify an address who this process is now, as [`Membership::me`](super::Membership::me).
+    /// Send an address the current identity of this process,
+    /// [`Membership::me`](super::Membership::me).
     SendSelf(SocketAddr),
-    /// Send a new member a few others. The library's own answer is a packet full of them: hundreds that start
-    /// at once call the same few join addresses.
+    /// Send a new member a few of the other members. foca's own answer is a packet full of members,
+    /// which is too much when hundreds of processes start at once and ask the same few join
+    /// addresses.
     SendInitialMembers(SocketAddr),
     /// A member joined.
     Joined(Identity),
-    /// A member did not answer this process.
+    /// This process suspects a member that did not answer.
     Suspected(Owner),
     /// A member was declared dead.
     Died(Owner),
--- a/crates/peers/src/node/anti_entropy.rs
+++ b/crates/peers/src/node/anti_entropy.rs
@@ -1,4 +1,5 @@
-//! The exchange of rows: whom a member compares itself with, and its answers to digests.
+//! The anti-entropy protocol of a member: to which members it sends digests, and how it answers
+//! theirs.
 
 use std::net::SocketAddr;
 
@@ -10,23 +11,26 @@
 use crate::rows::Owner;
 use crate::Micros;
 
-/// Datagrams of rows in one answer.
+/// The maximum number of datagrams of rows in one answer.
 const ROW_DATAGRAMS: usize = 3;
-/// Datagrams of members in one answer.
+/// The maximum number of datagrams of members in one answer.
 const MEMBER_DATAGRAMS: usize = 2;
-/// Bytes of a datagram beside its body: what an answer needs of the budget.
+/// Bytes of a datagram excluding its body, which count against the budget as well.
 const DATAGRAM_OVERHEAD: usize = 90;
-/// How long a death is passed on in exchanges at least: 5 s.
+/// The minimum time for which exchanges notify peers of a death: 5 s.
 const DEATH_NOTICE_PERIOD: Micros = 5_000_000;
-/// And for how many rounds of digests at least: with many owners a round takes longer than that, and who has
-/// missed the update would never learn of it.
+/// The minimum number of digest cycles for which exchanges notify peers of a death. With many
+/// owners a cycle takes longer than [`DEATH_NOTICE_PERIOD`], and a member that missed the update
+/// would never learn of the death.
 const DEATH_NOTICE_ROUNDS: u64 = 3;
-/// At least one exchange in so many goes to a dead member, in case that it lives behind a partition; as many
-/// as there are dead among all, but no more than half.
+/// At least one in this many exchanges goes to a dead member, which may be alive behind a
+/// partition. The share increases with that of the dead members, to a half when as many are dead as
+/// alive.
 const DEAD_EXCHANGE_DIVISOR: usize = 4;
 
 impl Node {
-    /// Answers a digest with what its sender lacks, and requests what is lacking here.
+    /// Answers a digest with the rows that its sender lacks, and requests those that are missing
+    /// here.
     pub(super) fn on_digest(
         &mut self,
         now: Micros,
@@ -67,9 +71,9 @@
         }
     }
 
-    /// A peer takes members for alive that are dead here: it is notified of those that died recently. Not of
-    /// those that died long ago: behind a partition these are alive, and would be declared dead there too. But
-    /// it is notified if it is one of them itself, and comes back.
+    /// Notifies a peer of the recent deaths of members that it takes for alive. Earlier deaths are
+    /// not reported: such members may be alive behind a partition, and the peer would declare them
+    /// dead too. The peer is always notified if it is dead here itself, so that it can rejoin.
     fn notify_of_deaths(&mut self, now: Micros, to: SocketAddr, peer: &Owner, dead: &[Owner]) {
         let rounds = self.rows.sizes().owners.div_ceil(MAX_DIGEST_OWNERS) as u64;
         let rounds_time = DEATH_NOTICE_ROUNDS * rounds * self.exchange_interval;
@@ -88,7 +92,7 @@
         }
     }
 
-    /// Sends the next digest to a member, sometimes to a dead one.
+    /// Sends the next digest to a random member, which may be a dead one.
     pub(super) fn send_digest(&mut self, now: Micros) {
         let retention = self.dead_retention;
         self.dead
@@ -109,13 +113,11 @@
 
     fn picks_dead_member(&mut self) -> bool {
         let dead = self.dead.len();
-        let live_members = self.live_members.len();
+        let live = self.live_members.len();
         if dead == 0 {
             return false;
         }
-        let share = dead
-            .min(live_members)
-            .max((dead + live_members) / DEAD_EXCHANGE_DIVISOR);
-        self.rng.usize(..dead + live_members) < share
+        let share = dead.min(live).max((dead + live) / DEAD_EXCHANGE_DIVISOR);
+        self.rng.usize(..dead + live) < share
     }
 }
--- a/crates/peers/src/node/config.rs
+++ b/crates/peers/src/node/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of a member, and the effects that it returns.
+//! The configuration of a member, its effects and its statistics.
 
 use std::net::SocketAddr;
 
@@ -10,40 +10,41 @@
 /// The configuration of a member.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Name and incarnation.
+    /// The member's name and incarnation.
     pub me: Owner,
-    /// Where others reach it.
+    /// The address at which other members reach it.
     pub address: SocketAddr,
-    /// The installation's name.
+    /// The name of the installation.
     pub installation: String,
-    /// The key of the MAC; the installation's name where there is none.
+    /// The key of the MAC. Without one, the installation's name is used.
     pub key: Option<Vec<u8>>,
-    /// Addresses that are called for the other members.
+    /// The addresses at which the member announces itself to join the fleet.
     pub join: Vec<SocketAddr>,
-    /// The discovery service, as the settings name it.
+    /// The address of the discovery service as configured. If it is empty, members are not polled
+    /// for an endpoint list.
     pub discovery: String,
-    /// The most members.
+    /// The maximum number of members.
     pub max_members: usize,
-    /// The most workers.
+    /// The maximum number of workers.
     pub max_workers: usize,
-    /// How far clocks may differ, in microseconds.
+    /// The maximum difference between clocks, in microseconds.
     pub skew: Micros,
-    /// The most bytes sent in a second, over time.
+    /// The maximum number of bytes sent per second, on average.
     pub max_bytes_per_second: u64,
-    /// The most bytes sent at once.
+    /// The maximum number of bytes sent in a burst.
     pub max_burst_bytes: u64,
-    /// Between two exchanges of rows, in microseconds.
+    /// The interval between exchanges of rows, in microseconds.
     pub exchange_interval: Micros,
     /// The age beyond which a peer's endpoint list is ignored, in microseconds.
     pub max_list_age: Micros,
-    /// The bounds of the rows.
+    /// The limits of the rows.
     pub limits: Limits,
-    /// The pace of membership.
+    /// The timing parameters of membership.
     pub timing: MembershipTiming,
 }
 
 impl Config {
-    /// The defaults for all but identity and address.
+    /// Creates a configuration with defaults for the remaining fields.
     #[must_use]
     pub fn new(
         me: Owner,
@@ -76,33 +77,33 @@
 pub enum Effect {
     /// Send a datagram.
     Send {
-        /// The address.
+        /// The destination.
         to: SocketAddr,
         /// The datagram.
         bytes: Vec<u8>,
     },
     /// A member joined.
     Joined(Owner),
-    /// A member did not answer this process.
+    /// This process suspects a member that did not answer.
     Suspected(Owner),
     /// A member was declared dead.
     Died(Owner),
-    /// A member's endpoint list changes something.
+    /// A member's endpoint list leads to an update.
     List {
-        /// The member.
+        /// The member that sent the list.
         from: Owner,
-        /// The change.
+        /// The update.
         update: ListUpdate,
     },
 }
 
-/// What a member has sent.
+/// Statistics of what a member has sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SendStats {
     /// Bytes sent.
     pub bytes: u64,
-    /// Datagrams that were not sent, as they would have exceeded the budget.
+    /// Datagrams rejected because the budget was exhausted.
     pub over_budget: u64,
-    /// How often this process was found stalled.
+    /// The number of stalls of this process that were detected.
     pub stalls: u64,
 }
--- a/crates/peers/src/node/lists.rs
+++ b/crates/peers/src/node/lists.rs
@@ -1,4 +1,5 @@
-//! The exchange of endpoint lists between members: versions are compared, and chunks sent to who has less.
+//! The exchange of endpoint lists between members: they compare versions, and send chunks to
+//! members with an older list.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,30 +11,30 @@
 use crate::rows::Owner;
 use crate::Micros;
 
-/// How many members are notified at once of a newer list.
+/// The number of members that are notified of a new list.
 const NOTIFIED_MEMBERS: usize = 4;
-/// The shortest interval between two requests for a list, and between two answers to the same member: 0.2 s.
+/// The minimum interval between requests for a list, and between answers to the same member: 0.2 s.
 const MIN_LIST_INTERVAL: Micros = 200_000;
-/// Between two polls of members by a process without a list: 0.1 s.
+/// The interval at which a process without a list polls members: 0.1 s.
 pub(super) const POLL_INTERVAL: Micros = 100_000;
-/// After so many polls the interval is longer.
+/// The number of polls after which the interval is longer.
 const FAST_POLLS: u32 = 100;
-/// Between two polls after that: 1 s.
+/// The interval between polls after that: 1 s.
 const SLOW_POLL_INTERVAL: Micros = 10 * POLL_INTERVAL;
 
-/// How far the chunks of the list have been sent to a member.
+/// The progress of sending the list's chunks to a member.
 pub(super) struct SendProgress {
     at: Micros,
     /// The index of the next chunk.
     next: usize,
 }
 
-/// The state of the exchange.
+/// The state of the exchange with all members.
 pub(super) struct ListExchange {
     progress: BTreeMap<SocketAddr, SendProgress>,
-    /// When a list was requested last.
+    /// When this member last requested a list.
     last_request: Micros,
-    /// When the next member is polled, as long as there is no list.
+    /// When the next member is polled. Never, once there is a list.
     pub(super) next_poll: Micros,
     poll_count: u32,
 }
@@ -50,14 +51,14 @@
 }
 
 impl Node {
-    /// The own discovery service sent a snapshot of the endpoint list.
+    /// Handles an endpoint list sent by this member's discovery service.
     pub fn on_discovery_list(&mut self, now: Micros, number: u64, list: &[Worker]) {
         if self.endpoint_list.on_discovery_list(now, number, list) {
             self.announce_list_version(now);
         }
     }
 
-    /// A chunk of a member's list came.
+    /// Handles a chunk of a member's list.
     pub(super) fn on_list_chunk(&mut self, now: Micros, from: &Owner, chunk: ListChunk) {
         let updates = self.endpoint_list.apply_chunk(now, chunk);
         let is_complete = updates
@@ -72,7 +73,8 @@
         }
     }
 
-    /// The member with the newer list sends what changed, the one with the older list requests it.
+    /// Compares list versions with a member. The one with the newer list sends the changes, the one
+    /// with the older list requests them.
     pub(super) fn compare_lists(&mut self, now: Micros, from: SocketAddr, theirs: ListVersion) {
         let ours = self.endpoint_list.version();
         if theirs.discovery != ours.discovery || theirs.number == ours.number {
@@ -87,9 +89,9 @@
         }
     }
 
-    /// Sends the chunks that a member lacks, as far as the budget allows, and on from there when it requests
-    /// them again. Guards against a long list of which the chunks beyond one burst never come: each answer
-    /// would begin with the same ones.
+    /// Sends the chunks that a member lacks, as far as the budget allows, and resumes from there at
+    /// the member's next request. If each answer started with the same chunk, the last chunks of a
+    /// list longer than one burst would never be sent.
     fn send_list(&mut self, now: Micros, to: SocketAddr, theirs: ListVersion) {
         let is_recent = |progress: &SendProgress| now < progress.at + MIN_LIST_INTERVAL;
         if self.lists.progress.get(&to).is_some_and(is_recent) {
@@ -121,7 +123,7 @@
         self.lists.progress.insert(to, progress);
     }
 
-    /// Notifies some members of the version of a newer list, which they request then.
+    /// Notifies a few random members of the version of a new list, which they can then request.
     fn announce_list_version(&mut self, now: Micros) {
         self.lists.progress.clear();
         let live_members: Vec<SocketAddr> = self.live_members.values().copied().collect();
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Polls a member for its list, as long as there is none here.
+    /// Polls a random member for its list while there is none here.
     pub(super) fn poll_for_list(&mut self, now: Micros) {
         if now >= self.lists.next_poll {
             self.lists.poll_count += 1;
--- a/crates/peers/src/node/mod.rs
+++ b/crates/peers/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! One member: membership, rows and endpoint list as one state machine.
+//! A member of the fleet: membership, rows and endpoint list, combined into one state machine.
 //!
-//! What comes is checked, then passed to its part; what is sent has to fit the budget. No state is stored for
-//! senders that have not passed the checks.
+//! Incoming datagrams are authenticated and then handled by the module in charge; outgoing ones are
+//! subject to the budget. No state is kept for senders that fail authentication.
 
 mod anti_entropy;
 mod config;
@@ -23,9 +23,10 @@
 use crate::Micros;
 use lists::{ListExchange, POLL_INTERVAL};
 
-/// Senders whose sequence numbers are tracked, for each member.
+/// The number of tracked senders, as a multiple of the maximum number of members.
 const SENDERS_PER_MEMBER: usize = 2;
-/// After an update of members the next exchange follows in this part of the usual interval.
+/// After a membership update or a healed partition, the next exchange follows within the usual
+/// interval divided by this.
 const URGENT_EXCHANGE_DIVISOR: u64 = 5;
 
 /// A member that was declared dead.
@@ -34,7 +35,7 @@
     declared_at: Micros,
 }
 
-/// One member.
+/// A member of the fleet.
 pub struct Node {
     codec: DatagramCodec,
     membership: Membership,
@@ -57,7 +58,7 @@
 }
 
 impl Node {
-    /// A member that knows no other yet.
+    /// Creates a member that knows no others yet.
     #[must_use]
     pub fn new(config: Config, now: Micros, seed: u64) -> Node {
         let mut rng = fastrand::Rng::with_seed(seed);
@@ -102,13 +103,13 @@
         }
     }
 
-    /// The shared rows, to read.
+    /// The shared rows.
     #[must_use]
     pub fn rows(&self) -> &Rows {
         &self.rows
     }
 
-    /// The shared rows, to raise own ones.
+    /// The shared rows, for incrementing own counts.
     pub fn rows_mut(&mut self) -> &mut Rows {
         &mut self.rows
     }
@@ -119,7 +120,7 @@
         &self.endpoint_list
     }
 
-    /// The living as far as known, without this process, by name and incarnation.
+    /// The members known to be alive, excluding this process, sorted by name and incarnation.
     pub fn live_members(&self) -> impl Iterator<Item = (&Owner, SocketAddr)> {
         self.live_members.iter().map(|(owner, at)| (owner, *at))
     }
@@ -130,13 +131,13 @@
         self.dead.values().any(|dead| dead.address == at)
     }
 
-    /// The datagrams that were dropped.
+    /// The number of dropped datagrams by reason.
     #[must_use]
     pub fn dropped(&self) -> DropCounts {
         self.dropped
     }
 
-    /// What was sent.
+    /// Statistics of what was sent.
     #[must_use]
     pub fn send_stats(&self) -> SendStats {
         SendStats {
@@ -146,30 +147,30 @@
         }
     }
 
-    /// Bytes sent, by the kinds of [`Body::KINDS`].
+    /// Bytes sent by variant, in the order of [`Body::KINDS`].
     #[must_use]
     pub fn sent_bytes_by_kind(&self) -> [u64; Body::KINDS.len()] {
         self.sent_bytes_by_kind
     }
 
-    /// A snapshot of the shared state, for a file.
+    /// A snapshot of the shared state.
     #[must_use]
     pub fn snapshot(&self, now: Micros) -> Snapshot {
         let members = self.live_members.values().copied().collect();
         Snapshot::of(&self.rows, now, &self.installation, members)
     }
 
-    /// Restores a snapshot of an earlier incarnation, at a start.
+    /// Restores the snapshot of an earlier incarnation at start-up.
     pub fn restore(&mut self, snapshot: Snapshot) {
         snapshot.restore(&mut self.rows);
     }
 
-    /// Sets the wall clock; to be called before datagrams are handled or requested.
+    /// Sets the wall clock. To be called before datagrams are handled or created.
     pub fn observe_wall_clock(&mut self, now: Micros, wall: Micros) {
         self.codec.observe_wall_clock(now, wall);
     }
 
-    /// Handles a datagram that came.
+    /// Handles a received datagram.
     pub fn handle(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
         self.rows.expire(now);
         if let Err(error) = self.handle_datagram(now, from, bytes) {
@@ -186,7 +187,7 @@
     ) -> Result<(), DatagramError> {
         let (owner, body) = self.codec.decode(now, bytes)?;
         if self.dead.contains_key(&owner) {
-            // A partition has healed: what both sides have is compared at once.
+            // A partition has healed, so the rows of both sides are compared soon.
             self.schedule_early_exchange(now);
         }
         match postcard::from_bytes(body).map_err(|_| DatagramError::Malformed)? {
@@ -194,7 +195,7 @@
             Body::Digest(digest) => self.on_digest(now, from, &owner, &digest)?,
             Body::Members(members) => {
                 self.membership.apply(now, members, true)?;
-                // Who had updates of members has more of them.
+                // A peer that sent these entries may have further ones.
                 self.schedule_early_exchange(now);
             }
             Body::DeadMembers(members) => self.membership.apply(now, members, false)?,
@@ -214,12 +215,16 @@
         self.next_exchange = self.next_exchange.min(soon);
     }
 
-    /// Sends a datagram, if the budget allows it; returns whether it did.
+    /// Sends a datagram if the budget allows it. Returns whether it was sent.
     fn send(&mut self, now: Micros, to: SocketAddr, class: TrafficClass, body: &Body) -> bool {
         let kind = body.kind();
         let body = postcard::to_allocvec(body).unwrap_or_default();
         let Some(bytes) = self.codec.encode(now, &body) else {
-            debug_assert!(false, "a body of {} bytes", body.len());
+            debug_assert!(
+                false,
+                "a body of {} bytes exceeds the maximum length",
+                body.len()
+            );
             return false;
         };
         if !self.budget.try_consume(now, class, bytes.len()) {
@@ -230,7 +235,8 @@
         true
     }
 
-    /// Does what is due. To be called at [`Node::next_wake`] at the latest; later means a stall.
+    /// Handles everything that is due. To be called at [`Node::next_wake`] at the latest: a call
+    /// that is late by more than the stall threshold counts as a stall of this process.
     pub fn tick(&mut self, now: Micros) {
         self.rows.expire(now);
         self.membership.tick(now);
@@ -242,7 +248,7 @@
         }
     }
 
-    /// Carries out the actions of membership.
+    /// Carries out the actions that membership has queued.
     fn apply_membership_actions(&mut self, now: Micros) {
         while let Some(action) = self.membership.poll_action() {
             match action {
@@ -268,7 +274,7 @@
         self.dead
             .retain(|owner, dead| *owner != id.owner && dead.address != id.address);
         self.rows.set_alive(&id.owner, true);
-        // A new generation of a member that is known already is nothing new.
+        // A new generation of a member that is already known is not reported.
         if self
             .live_members
             .insert(id.owner.clone(), id.address)
@@ -290,7 +296,7 @@
         }
     }
 
-    /// When [`Node::tick`] is to be called next, at the latest.
+    /// The time by which [`Node::tick`] has to be called.
     #[must_use]
     pub fn next_wake(&self) -> Micros {
         self.membership
@@ -299,7 +305,7 @@
             .min(self.lists.next_poll)
     }
 
-    /// The next effect, in order.
+    /// Returns the next queued effect.
     pub fn poll_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
