--- a/crates/peers/tests/bad_peers.rs
+++ b/crates/peers/tests/bad_peers.rs
@@ -1,4 +1,4 @@
-//! Invalid datagrams: a member drops them, counts them, and stores nothing for their senders.
+//! Invalid datagrams are dropped and counted, and no state is kept for their senders.
 
 use std::net::SocketAddr;
 
@@ -39,7 +39,7 @@
     })]
 
     #[test]
-    fn any_bytes_are_dropped_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..1_300)) {
+    fn arbitrary_bytes_are_dropped_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..1_300)) {
         let mut node = node(Some(b"key"));
         node.handle(NOW, address(1), &bytes);
         prop_assert_eq!(node.dropped().total(), 1);
@@ -47,60 +47,60 @@
     }
 
     #[test]
-    fn any_body_with_a_right_mac_is_taken_or_dropped_without_a_panic(
+    fn arbitrary_bodies_with_a_valid_mac_never_panic(
         body in prop::collection::vec(any::<u8>(), 0..300), kind in 0u8..8,
     ) {
         let mut node = node(Some(b"key"));
         let mut peer = codec("here", Some(b"key"), 1);
-        let bytes = peer.encode(NOW, &[&[kind], &body[..]].concat()).expect("it fits");
+        let bytes = peer.encode(NOW, &[&[kind], &body[..]].concat()).expect("the body fits");
         node.handle(NOW, address(1), &bytes);
         node.tick(NOW + 1_000_000);
         prop_assert!(node.dropped().total() <= 1);
     }
 
     #[test]
-    fn a_changed_byte_is_never_accepted(
+    fn modified_and_truncated_datagrams_are_rejected(
         body in prop::collection::vec(any::<u8>(), 0..300), at in any::<prop::sample::Index>(), by in 1u8..,
         cut in any::<prop::sample::Index>(),
     ) {
         let mut peer = codec("here", Some(b"key"), 1);
-        let mut mine = codec("here", Some(b"key"), 0);
-        let right = peer.encode(NOW, &body).expect("it fits");
-        let mut changed = right.clone();
-        changed[at.index(right.len())] ^= by;
-        prop_assert!(mine.decode(NOW, &changed).is_err());
-        prop_assert!(mine.decode(NOW, &right[..cut.index(right.len())]).is_err());
-        let (from, got) = mine.decode(NOW, &right).expect("unchanged");
-        prop_assert_eq!((from, got), (owner(1), &body[..]));
-        prop_assert_eq!(mine.decode(NOW, &right), Err(DatagramError::Replayed));
+        let mut receiver = codec("here", Some(b"key"), 0);
+        let valid = peer.encode(NOW, &body).expect("the body fits");
+        let mut changed = valid.clone();
+        changed[at.index(valid.len())] ^= by;
+        prop_assert!(receiver.decode(NOW, &changed).is_err());
+        prop_assert!(receiver.decode(NOW, &valid[..cut.index(valid.len())]).is_err());
+        let (from, received) = receiver.decode(NOW, &valid).expect("the unmodified datagram is accepted");
+        prop_assert_eq!((from, received), (owner(1), &body[..]));
+        prop_assert_eq!(receiver.decode(NOW, &valid), Err(DatagramError::Replayed));
     }
 }
 
-/// A datagram of a member to this node.
+/// An encoded datagram from a peer.
 fn datagram(installation: &str, key: Option<&[u8]>, n: u32, at: u64, body: &[u8]) -> Vec<u8> {
     codec(installation, key, n)
         .encode(at, body)
-        .expect("it fits")
+        .expect("the body fits")
 }
 
-/// A datagram for each reason to drop one.
-fn invalid_datagrams(good: &[u8], body: &[u8]) -> Vec<(Vec<u8>, DatagramError)> {
+/// Invalid datagrams, and the reasons for which they are dropped.
+fn invalid_datagrams(valid: &[u8], body: &[u8]) -> Vec<(Vec<u8>, DatagramError)> {
     let key = Some(&b"key"[..]);
-    let mut version = good.to_vec();
+    let mut version = valid.to_vec();
     version[1] += 1;
     let late = datagram("here", key, 2, NOW - 61_000_000, body);
     let future = Owner::new("n3", NOW / 1_000 + 61_000);
     let from_the_future = DatagramCodec::new("here", key, future, 0, 1)
         .encode(NOW, body)
-        .expect("it fits");
+        .expect("the body fits");
     let other_installation = datagram("there", key, 1, NOW, body);
     let other_key = datagram("here", Some(b"other"), 1, NOW, body);
     let no_key = datagram("here", None, 1, NOW, body);
     let malformed = datagram("here", key, 4, NOW, &[99]);
     vec![
         (version, DatagramError::Version),
-        (good[..10].to_vec(), DatagramError::Length),
-        (good[..good.len() - 1].to_vec(), DatagramError::Mac),
+        (valid[..10].to_vec(), DatagramError::Length),
+        (valid[..valid.len() - 1].to_vec(), DatagramError::Mac),
         (other_installation, DatagramError::Installation),
         (other_key, DatagramError::Mac),
         (no_key, DatagramError::Mac),
@@ -111,29 +111,30 @@
 }
 
 #[test]
-fn each_kind_of_invalid_datagram_has_its_count() {
-    let body = postcard(&Body::ListVersion(Default::default()));
+fn invalid_datagrams_are_counted_by_reason() {
+    let body = encoded(&Body::ListVersion(Default::default()));
     let mut node = node(Some(b"key"));
-    let good = datagram("here", Some(b"key"), 1, NOW, &body);
-    for (bytes, cause) in invalid_datagrams(&good, &body) {
+    let valid = datagram("here", Some(b"key"), 1, NOW, &body);
+    for (bytes, cause) in invalid_datagrams(&valid, &body) {
         let before = node.dropped().of(cause);
         node.handle(NOW, address(1), &bytes);
         let dropped = node.dropped();
         assert_eq!(dropped.of(cause), before + 1, "{cause:?}: {dropped:?}");
     }
-    node.handle(NOW, address(1), &good);
-    assert_eq!(node.dropped().total(), 9, "the good one is accepted");
-    node.handle(NOW, address(1), &good);
+    node.handle(NOW, address(1), &valid);
+    assert_eq!(node.dropped().total(), 9, "the valid datagram is accepted");
+    node.handle(NOW, address(1), &valid);
     assert_eq!(node.dropped().of(DatagramError::Replayed), 2);
 }
 
-fn postcard(body: &Body) -> Vec<u8> {
-    postcard::to_allocvec(body).expect("a body")
+fn encoded(body: &Body) -> Vec<u8> {
+    postcard::to_allocvec(body).expect("the body can be encoded")
 }
 
 #[test]
 fn ten_thousand_forged_members_are_rejected_and_counted() {
-    // Without a key whoever knows the installation's name can forge: the bound holds all the same.
+    // Without a key, anyone who knows the installation's name can forge members, but the limit
+    // still holds.
     let mut node = node(None);
     for n in 1..=10_000_u32 {
         let identity = Identity {
@@ -147,8 +148,8 @@
         };
         let mut peer = codec("here", None, n);
         let bytes = peer
-            .encode(NOW, &postcard(&Body::Members(vec![member])))
-            .expect("it fits");
+            .encode(NOW, &encoded(&Body::Members(vec![member])))
+            .expect("the body fits");
         node.handle(NOW, address(n), &bytes);
     }
     assert!(
@@ -157,7 +158,7 @@
         node.live_members().count()
     );
     assert_eq!(node.dropped().of(DatagramError::Implausible), 10_000 - 64);
-    // Nor does it answer more than its budget allows.
+    // The answers stay within the bandwidth budget.
     let sent: usize = std::iter::from_fn(|| node.poll_effect())
         .map(|effect| {
             if let Effect::Send { bytes, .. } = effect {
--- a/crates/peers/tests/rows.rs
+++ b/crates/peers/tests/rows.rs
@@ -1,4 +1,5 @@
-//! The properties of the shared rows: any order and repetition reads the same; bounds hold.
+//! Properties of the shared rows: merging is commutative and idempotent, limits hold, and
+//! implausible rows are rejected.
 
 use oakshed_peers::rows::{
     Key, Limits, Owner, Row, RowError, Rows, Sizes, MAX_COUNTS, MAX_SUBJECT_LENGTH,
@@ -19,7 +20,7 @@
     Rows::new(Owner::new(name, START / 1_000), limits(), START)
 }
 
-fn reading(rows: &Rows) -> Vec<String> {
+fn contents(rows: &Rows) -> Vec<String> {
     let mut all = Vec::new();
     for table in 0..4 {
         rows.fold(table, |o, w, s, c| {
@@ -77,26 +78,26 @@
     })]
 
     #[test]
-    fn any_order_and_any_repetition_read_the_same(
-        all in prop::collection::vec(any_row(), 0..60), seed in any::<u64>(), twice in 0usize..60,
+    fn merging_is_commutative_and_idempotent(
+        all in prop::collection::vec(any_row(), 0..60), seed in any::<u64>(), repeated in 0usize..60,
     ) {
-        let take = |some: &[(u8, Row)]| {
+        let merged = |some: &[(u8, Row)]| {
             let mut stored = rows("me");
             for (owner, row) in some {
                 let _ = stored.merge(&Owner::new(&format!("s{owner}"), 7), row.clone());
             }
             stored
         };
-        let straight = take(&all);
-        let mut mixed = all.clone();
-        mixed.extend(all.iter().take(twice).cloned());
-        fastrand::Rng::with_seed(seed).shuffle(&mut mixed);
-        prop_assert_eq!(reading(&straight), reading(&take(&mixed)));
-        prop_assert_eq!(straight.sizes(), take(&mixed).sizes());
+        let in_order = merged(&all);
+        let mut shuffled = all.clone();
+        shuffled.extend(all.iter().take(repeated).cloned());
+        fastrand::Rng::with_seed(seed).shuffle(&mut shuffled);
+        prop_assert_eq!(contents(&in_order), contents(&merged(&shuffled)));
+        prop_assert_eq!(in_order.sizes(), merged(&shuffled).sizes());
     }
 
     #[test]
-    fn memory_stays_within_its_bounds(all in prop::collection::vec(any_row(), 0..200)) {
+    fn memory_stays_within_the_limits(all in prop::collection::vec(any_row(), 0..200)) {
         let tight = Limits { max_owners: 3, max_rows_per_owner: 5, max_rows: 9, max_bytes: 1_300, retained_windows: 6, ..Limits::default() };
         let mut stored = Rows::new(Owner::new("me", START / 1_000), tight.clone(), START);
         for (owner, row) in all {
@@ -112,36 +113,41 @@
 }
 
 #[test]
-fn only_its_owner_raises_a_row_and_others_read_it() {
+fn rows_are_incremented_by_their_owner_and_read_by_others() {
     let (mut a, mut b) = (rows("a"), rows("b"));
     let at = a.window(START);
-    a.raise(at, 1, b"w7", &[(0, 2), (3, 1)]).expect("capacity");
-    a.raise(at, 1, b"w7", &[(0, 5)]).expect("capacity");
-    let sent: Vec<Row> = a.newer_than(a.me(), 0).collect();
-    assert_eq!(sent, [row(2, at, b"w7", vec![7, 0, 0, 1])]);
-    b.merge(a.me(), sent[0].clone()).expect("a row of a's");
+    a.raise(at, 1, b"w7", &[(0, 2), (3, 1)])
+        .expect("the row is within the limits");
+    a.raise(at, 1, b"w7", &[(0, 5)])
+        .expect("the row is within the limits");
+    let forwarded: Vec<Row> = a.newer_than(a.me(), 0).collect();
+    assert_eq!(forwarded, [row(2, at, b"w7", vec![7, 0, 0, 1])]);
+    b.merge(a.me(), forwarded[0].clone())
+        .expect("a row of the other member is accepted");
     b.advance(a.me(), 0, 2);
-    assert_eq!(reading(&a), reading(&b));
+    assert_eq!(contents(&a), contents(&b));
     assert!(b
         .known()
         .any(|(owner, version)| owner == a.me() && version == 2));
-    // What comes back is known; a row of one's own life that one never raised is somebody else's.
-    a.merge(&a.me().clone(), sent[0].clone()).expect("an echo");
-    for foreign in [
+    // Own rows that others forward are accepted. Rows that claim this incarnation as their owner,
+    // but were never produced by it, are rejected.
+    a.merge(&a.me().clone(), forwarded[0].clone())
+        .expect("an own row is accepted");
+    for unknown in [
         row(3, at, b"w7", vec![7]),
         row(2, at, b"w7", vec![8]),
         row(1, at, b"w8", vec![1]),
     ] {
         assert_eq!(
-            a.merge(&a.me().clone(), foreign),
+            a.merge(&a.me().clone(), unknown),
             Err(RowError::OwnerConflict)
         );
     }
-    assert_eq!(reading(&a), reading(&b));
+    assert_eq!(contents(&a), contents(&b));
     assert_eq!(a.rejected().owner_conflict, 3);
 }
 
-/// Merges rows of an owner, each of which is rejected for this cause.
+/// Asserts that each of these rows of an owner is rejected for this reason.
 fn assert_rejected(stored: &mut Rows, owner: &Owner, rows: &[Row], cause: RowError) {
     for row in rows {
         let outcome = stored.merge(owner, row.clone());
@@ -173,7 +179,7 @@
     assert_rejected(&mut stored, &other, &too_long, RowError::TooLong);
     let long_name = Owner::new(&"n".repeat(33), 5);
     assert_rejected(&mut stored, &long_name, &valid, RowError::TooLong);
-    assert!(reading(&stored).is_empty());
+    assert!(contents(&stored).is_empty());
     let rejected = stored.rejected();
     assert_eq!(
         (rejected.implausible, rejected.window, rejected.too_long),
@@ -182,7 +188,7 @@
 }
 
 #[test]
-fn rows_of_a_dead_owner_stay_until_they_expire() {
+fn rows_of_a_dead_owner_are_retained_until_they_expire() {
     let mut stored = rows("me");
     let (other, at) = (
         Owner::new("s1", START / 1_000 - 5_000),
@@ -192,18 +198,18 @@
     assert_eq!(stored.alive_owners().len(), 2);
     stored
         .merge(&other, row(1, at, b"w", vec![4]))
-        .expect("a row");
+        .expect("the row is accepted");
     stored.set_alive(&other, false);
     assert_eq!(stored.alive_owners(), [stored.me().clone()]);
-    // A new life of the same name has rows of its own, beside the old ones.
-    let again = Owner::new("s1", START / 1_000);
+    // A new incarnation with the same name has its own rows, in addition to the old ones.
+    let restarted = Owner::new("s1", START / 1_000);
     stored
-        .merge(&again, row(1, at + 1, b"w", vec![2]))
-        .expect("a row of the new life");
+        .merge(&restarted, row(1, at + 1, b"w", vec![2]))
+        .expect("a row of the new incarnation is accepted");
     stored.expire(START + 5 * WINDOW);
-    assert_eq!(reading(&stored).len(), 2);
+    assert_eq!(contents(&stored).len(), 2);
     stored.expire(START + 6 * WINDOW);
-    assert_eq!(reading(&stored).len(), 1);
+    assert_eq!(contents(&stored).len(), 1);
     stored.expire(START + 7 * WINDOW);
     let sizes = Sizes {
         rows: 0,
@@ -214,7 +220,7 @@
 }
 
 #[test]
-fn a_gap_is_not_skipped() {
+fn the_known_version_does_not_advance_past_a_gap() {
     let mut stored = rows("me");
     let (other, at) = (
         Owner::new("s1", START / 1_000 - 5_000),
@@ -222,7 +228,7 @@
     );
     stored
         .merge(&other, row(9, at, b"w", vec![4]))
-        .expect("a row");
+        .expect("the row is accepted");
     let known = |stored: &Rows| stored.known().find(|(o, _)| **o == other).map(|(_, v)| v);
     stored.advance(&other, 5, 9);
     assert_eq!(known(&stored), Some(0));
--- a/crates/peers/tests/wire_form.rs
+++ b/crates/peers/tests/wire_form.rs
@@ -1,4 +1,5 @@
-//! The wire form: datagrams and the snapshot file of an older build are read, and written, byte for byte.
+//! Compatibility of the wire format and the snapshot file: bytes written by an earlier build are
+//! decoded, and the current build writes the same bytes.
 
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -12,7 +13,7 @@
 
 const NOW: u64 = 1_700_000_000_000_000;
 const SKEW: u64 = 60_000_000;
-/// One line for each kind of datagram and the snapshot: its name, and its bytes in hexadecimal.
+/// One line per kind of datagram, and one for the snapshot: the name, and the bytes in hexadecimal.
 const FIXTURE: &str = include_str!("fixtures/wire-v1.txt");
 
 fn owner(n: u64) -> Owner {
@@ -20,7 +21,7 @@
 }
 
 fn member(n: u64) -> KnownMember {
-    let address: SocketAddr = "127.0.0.1:7000".parse().expect("an address");
+    let address: SocketAddr = "127.0.0.1:7000".parse().expect("the address is valid");
     let identity = Identity {
         owner: owner(n),
         generation: 2,
@@ -56,7 +57,7 @@
     }
 }
 
-/// A body of each kind.
+/// A body of each variant.
 fn bodies() -> Vec<(&'static str, Body)> {
     let digest = |complete| Digest {
         complete,
@@ -105,7 +106,7 @@
     let mut rows = Rows::new(owner(0), Limits::default(), NOW);
     let window = rows.window(NOW);
     rows.raise(window, 1, b"w7", &[(0, 2), (3, 1)])
-        .expect("capacity for a row");
+        .expect("the row is within the limits");
     let row = Row {
         version: 6,
         key: Key {
@@ -115,19 +116,19 @@
         },
         counts: vec![1],
     };
-    rows.merge(&owner(5), row).expect("a row");
+    rows.merge(&owner(5), row).expect("the row is accepted");
     rows
 }
 
 fn snapshot() -> Snapshot {
-    let members = vec!["127.0.0.1:7000".parse().expect("an address")];
+    let members = vec!["127.0.0.1:7000".parse().expect("the address is valid")];
     Snapshot::of(&rows(), NOW, "here", members)
 }
 
 fn hex(bytes: &[u8]) -> String {
     let mut text = String::new();
     for byte in bytes {
-        write!(text, "{byte:02x}").expect("writing to memory");
+        write!(text, "{byte:02x}").expect("writing to a string succeeds");
     }
     text
 }
@@ -135,7 +136,7 @@
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<u8> = hex
         .chars()
-        .map(|digit| digit.to_digit(16).expect("a digit") as u8)
+        .map(|digit| digit.to_digit(16).expect("the digit is hexadecimal") as u8)
         .collect();
     digits
         .chunks(2)
@@ -144,27 +145,28 @@
 }
 
 #[test]
-fn datagrams_and_the_snapshot_are_as_an_older_build_wrote_them() {
+fn the_encoding_matches_an_earlier_build() {
     let mut sender = DatagramCodec::new("here", Some(b"key"), owner(0), SKEW, 64);
-    let mut now = String::new();
+    let mut encoded = String::new();
     for (name, body) in bodies() {
-        let body = postcard::to_allocvec(&body).expect("a body");
-        let datagram = sender.encode(NOW, &body).expect("it fits");
-        writeln!(now, "{name} {}", hex(&datagram)).expect("writing to memory");
+        let body = postcard::to_allocvec(&body).expect("the body can be encoded");
+        let datagram = sender.encode(NOW, &body).expect("the body fits");
+        writeln!(encoded, "{name} {}", hex(&datagram)).expect("writing to a string succeeds");
     }
-    writeln!(now, "snapshot {}", hex(&snapshot().encode())).expect("writing to memory");
-    assert_eq!(now, FIXTURE);
+    writeln!(encoded, "snapshot {}", hex(&snapshot().encode()))
+        .expect("writing to a string succeeds");
+    assert_eq!(encoded, FIXTURE);
 }
 
 #[test]
-fn datagrams_and_the_snapshot_of_an_older_build_are_read() {
+fn the_encoding_of_an_earlier_build_is_decoded() {
     let mut receiver = DatagramCodec::new("here", Some(b"key"), owner(9), SKEW, 64);
-    let kept: Vec<(&str, Vec<u8>)> = FIXTURE
+    let lines: Vec<(&str, Vec<u8>)> = FIXTURE
         .lines()
         .filter_map(|line| line.split_once(' '))
         .map(|(name, hex)| (name, bytes(hex)))
         .collect();
-    let (snapshot_line, datagrams) = kept.split_last().expect("a snapshot");
+    let (snapshot_line, datagrams) = lines.split_last().expect("the fixture has a snapshot line");
     assert_eq!(datagrams.len(), bodies().len());
     for ((name, datagram), (_, expected)) in datagrams.iter().zip(bodies()) {
         let (from, body) = receiver.decode(NOW, datagram).expect(name);
