--- a/crates/peers/tests/fleet/large.rs
+++ b/crates/peers/tests/fleet/large.rs
@@ -1,4 +1,4 @@
-//! Lists of a thousand: of schedulers, and of workers with the longest names.
+//! Scaling tests with a thousand schedulers, or a thousand workers with long names.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,20 +10,23 @@
 use crate::list_helpers::worker;
 use crate::world::{address, World, MS, S, START};
 
-const MANY: usize = 1_024;
+const SIZE: usize = 1_024;
 
 fn list(workers: impl Iterator<Item = usize>) -> Vec<Worker> {
     workers.map(|i| worker(format!("worker-{i:05}"))).collect()
 }
 
-/// Eight members of which one gets a list of a thousand from discovery, and all have it.
+/// A fleet of eight members with a list of a thousand workers, which one member received from
+/// discovery and the others from their peers.
 fn world_with_large_list() -> World {
     let mut world = World::new(8, 1, |config| config.discovery = "d1".into());
     world.run_until(30 * S, "membership converges", World::membership_converged);
-    world.send_list(3, 40, &list(0..MANY));
-    let took = world.run_until(60 * S, "all hold the list", |world| world.all_have_list(40));
+    world.send_list(3, 40, &list(0..SIZE));
+    let took = world.run_until(60 * S, "all members have the list", |world| {
+        world.all_have_list(40)
+    });
     println!(
-        "{MANY} workers reach seven who have none in {} ms",
+        "{SIZE} workers reach seven members without a list in {} ms",
         took / MS
     );
     for (_, node) in world.alive() {
@@ -33,29 +36,34 @@
                 .expect("a list")
                 .workers
                 .len(),
-            MANY
+            SIZE
         );
     }
     world
 }
 
-/// Guards against a list of which each answer brings the same first chunks, and nobody ever the last.
+/// Guards against answers that always start with the same chunks, so that the last chunks of a long
+/// list never arrive.
 #[test]
 fn a_list_of_a_thousand_workers_reaches_members_without_one() {
     world_with_large_list();
 }
 
-/// Guards against a bound on removed workers by which a peer takes a list for complete that lacks most of them.
+/// Guards against a limit on retained removed workers that leaves most removals out of the delta,
+/// which the peer would then take for complete.
 #[test]
-fn the_loss_of_a_zone_of_hundreds_is_notified_for_every_worker() {
+fn removals_of_hundreds_of_workers_reach_all_members() {
     let mut world = world_with_large_list();
     world.run(10 * S);
     let since = world.now;
-    world.send_list(5, 41, &list(0..MANY - 600));
-    let took = world.run_until(60 * S, "all hold the new list", |world| {
+    world.send_list(5, 41, &list(0..SIZE - 600));
+    let took = world.run_until(60 * S, "all members have the new list", |world| {
         world.all_have_list(41)
     });
-    println!("600 that left are known to all after {} ms", took / MS);
+    println!(
+        "600 removals are known to all members after {} ms",
+        took / MS
+    );
     for i in (0..8).filter(|i| *i != 5) {
         let removed: BTreeSet<&str> = world
             .withdrawn(i, since)
@@ -67,40 +75,40 @@
     }
 }
 
-/// Guards against the same where more were removed than are retained: who has an older list gets a snapshot.
+/// The same with more removals than are retained: a peer with an older list has to get a snapshot.
 #[test]
-fn a_member_with_an_old_list_is_notified_of_purged_workers() {
-    let (most, now) = (100, START);
-    let (mut here, mut there) = (
-        EndpointListCache::new("d1", most, 600 * S),
-        EndpointListCache::new("d1", most, 600 * S),
+fn a_member_with_an_old_list_learns_of_purged_removals() {
+    let (max_workers, now) = (100, START);
+    let (mut local, mut peer) = (
+        EndpointListCache::new("d1", max_workers, 600 * S),
+        EndpointListCache::new("d1", max_workers, 600 * S),
     );
-    here.on_discovery_list(now, 1, &list(0..most));
-    there.on_discovery_list(now, 1, &list(0..most));
+    local.on_discovery_list(now, 1, &list(0..max_workers));
+    peer.on_discovery_list(now, 1, &list(0..max_workers));
     for number in 2..5_usize {
-        here.on_discovery_list(
+        local.on_discovery_list(
             now,
             number as u64,
-            &list(number * most..(number + 1) * most),
+            &list(number * max_workers..(number + 1) * max_workers),
         );
     }
-    let chunks = here.chunks(now, there.version());
+    let chunks = local.chunks(now, peer.version());
     let updates: Vec<ListUpdate> = chunks
         .into_iter()
-        .flat_map(|chunk| there.apply_chunk(now, chunk))
+        .flat_map(|chunk| peer.apply_chunk(now, chunk))
         .collect();
-    let removed = updates.iter().filter(|n| {
+    let removed = updates.iter().filter(|update| {
         matches!(
-            n,
+            update,
             ListUpdate::Withdrawn {
                 state: WorkerState::Removed,
                 ..
             }
         )
     });
-    assert_eq!((removed.count(), there.version().number), (most, 4));
+    assert_eq!((removed.count(), peer.version().number), (max_workers, 4));
     let workers = |cache: &EndpointListCache| cache.list(now).expect("a list").workers;
-    assert_eq!(workers(&there), workers(&here));
+    assert_eq!(workers(&peer), workers(&local));
 }
 
 fn member(i: usize) -> KnownMember {
@@ -116,8 +124,8 @@
     }
 }
 
-/// Guards against a fleet at its bound that admits no member at a new address, for as long as the dead are
-/// retained.
+/// Guards against a fleet at its member limit that admits no members at new addresses for as long
+/// as dead ones are retained.
 #[test]
 fn a_thousand_members_are_admitted_beside_as_many_dead() {
     let config =
@@ -136,9 +144,9 @@
         1,
     );
     for (all, alive) in [
-        (0..MANY, true),
-        (MANY..2 * MANY, false),
-        (2 * MANY..3 * MANY, true),
+        (0..SIZE, true),
+        (SIZE..2 * SIZE, false),
+        (2 * SIZE..3 * SIZE, true),
     ] {
         for i in all {
             assert_eq!(
@@ -148,16 +156,17 @@
             );
         }
     }
-    assert_eq!(membership.live_members().len(), 2 * MANY);
+    assert_eq!(membership.live_members().len(), 2 * SIZE);
 }
 
-/// Guards against rows of living members that are rejected beside those of earlier incarnations.
+/// Guards against rejecting rows of live members because rows of earlier incarnations take up the
+/// limit.
 #[test]
 fn rows_of_a_thousand_members_fit_beside_those_of_earlier_incarnations() {
     let incarnation = START / 1_000 - 100_000;
     let mut rows = Rows::new(Owner::new("me", incarnation), Limits::default(), START);
     let window = rows.window(START);
-    for (incarnation, i) in (0..3).flat_map(|n| (0..MANY).map(move |i| (incarnation + n, i))) {
+    for (incarnation, i) in (0..3).flat_map(|n| (0..SIZE).map(move |i| (incarnation + n, i))) {
         let key = Key {
             table: 1,
             window,
@@ -171,33 +180,39 @@
         assert_eq!(
             rows.merge(&Owner::new(&format!("n{i}"), incarnation), row),
             Ok(()),
-            "n{i}, life {incarnation}"
+            "n{i}, incarnation {incarnation}"
         );
     }
-    assert_eq!(rows.sizes().owners, 3 * MANY + 1);
+    assert_eq!(rows.sizes().owners, 3 * SIZE + 1);
 }
 
-/// Guards against an update that some miss for good, as their exchanges go through all owners in more time than a
-/// death is passed on: so it is among a thousand, and sooner where exchanges are rarer.
+/// Guards against a death that some members never learn of: with many owners, a cycle of exchanges
+/// takes longer than the period for which a death is reported. That happens with a thousand
+/// members, or with fewer if exchanges are less frequent, as here.
 #[test]
-fn a_death_reaches_all_though_a_round_of_exchanges_outlasts_its_notice() {
+fn a_death_reaches_all_when_exchange_cycles_outlast_the_notice_period() {
     let mut world = World::new(250, 1, |config| config.exchange_interval = 2_500 * MS);
     let took = run_until_converged(&mut world, 60 * S);
     world.run(2 * S);
     world.kill(17);
-    let missed = run_until_converged(&mut world, 40 * S);
+    let detected = run_until_converged(&mut world, 40 * S);
     println!(
-        "250 know all after {} ms, a death after {} ms",
+        "250 members converge after {} ms, and after a death within {} ms",
         took / MS,
-        missed / MS
+        detected / MS
     );
 }
 
-/// Checked seldom, as a check is long among hundreds.
-fn run_until_converged(world: &mut World, most: u64) -> u64 {
+/// Runs until membership has converged, and returns how long that took. Checks only every 500 ms,
+/// because a check is slow with hundreds of members.
+fn run_until_converged(world: &mut World, timeout: u64) -> u64 {
     let start = world.now;
     while !world.membership_converged() {
-        assert!(world.now - start < most, "not within {} ms", most / MS);
+        assert!(
+            world.now - start < timeout,
+            "no convergence within {} ms",
+            timeout / MS
+        );
         world.run(500 * MS);
     }
     world.now - start
--- a/crates/peers/tests/fleet/list_helpers.rs
+++ b/crates/peers/tests/fleet/list_helpers.rs
@@ -1,4 +1,5 @@
-//! Helpers for tests of nodes: their owners, sending endpoint lists from discovery, and what a node was notified of.
+//! Helpers for tests of endpoint lists: sending lists from discovery, and inspecting the lists and
+//! updates of nodes.
 
 use oakshed_peers::endpoint_list::{ListUpdate, Worker, WorkerState};
 use oakshed_peers::rows::Owner;
@@ -16,32 +17,32 @@
 }
 
 impl World {
-    /// The owner that a running node is.
+    /// The owner name and incarnation of a running node.
     pub fn owner(&self, i: usize) -> Owner {
-        let node = self.slots[i].node.as_ref().expect("alive");
+        let node = self.slots[i].node.as_ref().expect("the node is running");
         node.rows().me().clone()
     }
 
-    /// Discovery sends a node its list.
+    /// Delivers a list from discovery to a node.
     pub fn send_list(&mut self, i: usize, number: u64, list: &[Worker]) {
         let now = self.now;
-        let node = self.slots[i].node.as_mut().expect("alive");
+        let node = self.slots[i].node.as_mut().expect("the node is running");
         node.on_discovery_list(now, number, list);
         self.apply_effects(i);
     }
 
-    /// The number of the list that a node has cached.
+    /// The number of a node's cached list.
     pub fn list_number(&self, i: usize) -> u64 {
         let node = self.slots[i].node.as_ref();
         node.map_or(0, |node| node.endpoint_list().version().number)
     }
 
-    /// Whether all living nodes have cached the list of this number.
+    /// Whether all live nodes have cached the list with this number.
     pub fn all_have_list(&self, number: u64) -> bool {
         self.alive().all(|(i, _)| self.list_number(i) == number)
     }
 
-    /// The workers of whose withdrawal a node was notified since a time.
+    /// The withdrawals of workers reported by a node since a time.
     pub fn withdrawn(&self, i: usize, since: Micros) -> Vec<(&str, WorkerState)> {
         self.log
             .iter()
--- a/crates/peers/tests/fleet/lists.rs
+++ b/crates/peers/tests/fleet/lists.rs
@@ -1,4 +1,4 @@
-//! How members pass on discovery's endpoint list.
+//! The replication of discovery's endpoint list between members.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -10,7 +10,7 @@
 use crate::list_helpers::worker;
 use crate::world::{address, seed_count, World, MS, S, START};
 
-/// How long discovery takes for an answer.
+/// The time that discovery takes to answer a call.
 const DISCOVERY_RESPONSE_TIME: Micros = 20 * MS;
 
 fn list(workers: usize) -> Vec<Worker> {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_drain_reaches_all_members_and_an_older_list_overrides_nothing() {
+fn a_drain_reaches_all_members_and_is_not_reverted_by_an_older_list() {
     let mut world = World::new(100, 1, |config| config.discovery = "d1".into());
     world.run_until(30 * S, "membership converges", World::membership_converged);
     let mut workers = list(60);
@@ -29,8 +29,10 @@
     workers[7].state = WorkerState::Draining;
     workers.remove(9);
     world.send_list(3, 41, &workers);
-    let took = world.run_until(3 * S, "all have 41", |world| world.all_have_list(41));
-    println!("a drain reaches 100 in {} ms", took / MS);
+    let took = world.run_until(3 * S, "all members have list 41", |world| {
+        world.all_have_list(41)
+    });
+    println!("a drain reaches 100 members in {} ms", took / MS);
     for i in (0..100).filter(|i| *i != 3) {
         assert_eq!(
             world.withdrawn(i, START),
@@ -38,23 +40,23 @@
             "n{i}"
         );
     }
-    // A member that comes with the old list reverts nothing.
+    // A member that receives the old list again reverts nothing.
     world.send_list(5, 40, &list(60));
     world.run(3 * S);
     assert!(world.all_have_list(41));
 }
 
-/// A fleet that starts without a list. Discovery answers one call after the other.
+/// A fleet that starts without a list. Discovery answers calls one at a time.
 struct ColdStart {
     world: World,
     join_addresses: Vec<SocketAddr>,
     polled: BTreeSet<usize>,
-    /// How many of the first pollers are still to be killed.
+    /// How many of the first polling members are still to be killed.
     to_kill: usize,
-    /// When discovery has answered all calls so far.
-    free: Micros,
-    /// The answers on their way: when each comes, and to whom.
-    answers: Vec<(Micros, usize)>,
+    /// When discovery has answered all calls made so far.
+    idle_at: Micros,
+    /// Pending answers: when each arrives, and at which member.
+    pending: Vec<(Micros, usize)>,
     first_answer: Option<Micros>,
 }
 
@@ -65,14 +67,14 @@
             join_addresses: (0..seed_count(n)).map(address).collect(),
             polled: BTreeSet::new(),
             to_kill,
-            free: START,
-            answers: Vec::new(),
+            idle_at: START,
+            pending: Vec::new(),
             first_answer: None,
         }
     }
 
-    /// Runs until all living members have the list. Returns the calls to discovery, and how long it took from
-    /// the first answer on.
+    /// Runs until all live members have the list. Returns the number of calls to discovery, and the
+    /// time since its first answer.
     fn run(mut self) -> (usize, Micros) {
         while self
             .world
@@ -82,18 +84,18 @@
             assert!(self.world.now < START + 10 * S, "no list within 10 s");
             self.world.run(20 * MS);
             for i in 0..self.world.slots.len() {
-                if self.polls(i) {
+                if self.is_due(i) {
                     self.poll(i);
                 }
             }
-            self.answer();
+            self.deliver_answers();
         }
-        let first = self.first_answer.expect("an answer");
+        let first = self.first_answer.expect("discovery answered");
         (self.polled.len(), self.world.now - first)
     }
 
-    /// Whether a member polls discovery now.
-    fn polls(&self, i: usize) -> bool {
+    /// Whether a member is due to poll discovery.
+    fn is_due(&self, i: usize) -> bool {
         let Some(node) = &self.world.slots[i].node else {
             return false;
         };
@@ -120,18 +122,18 @@
             self.world.kill(i);
             return;
         }
-        self.free = self.free.max(self.world.now) + DISCOVERY_RESPONSE_TIME;
-        self.answers.push((self.free, i));
+        self.idle_at = self.idle_at.max(self.world.now) + DISCOVERY_RESPONSE_TIME;
+        self.pending.push((self.idle_at, i));
     }
 
-    /// Discovery's answers come that are due.
-    fn answer(&mut self) {
+    /// Delivers the answers that are due.
+    fn deliver_answers(&mut self) {
         let now = self.world.now;
         let workers = list(60);
-        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.answers)
+        let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.pending)
             .into_iter()
             .partition(|(at, _)| *at <= now);
-        self.answers = later;
+        self.pending = later;
         for (_, i) in due {
             self.world.send_list(i, 1, &workers);
             self.first_answer.get_or_insert(now);
@@ -140,12 +142,13 @@
 }
 
 #[test]
-fn a_cold_start_of_two_hundred_makes_few_discovery_calls() {
+fn a_cold_start_of_two_hundred_members_makes_few_discovery_calls() {
     for seed in [1, 2, 3] {
         for kill in [0, 2] {
             let (calls, took) = ColdStart::new(200, seed, kill).run();
             println!(
-                "seed {seed}, {kill} pollers killed: {calls} calls, all have it {} ms after",
+                "seed {seed}, {kill} polling members killed: {calls} calls, all have the list {} ms \
+                 after the first answer",
                 took / MS
             );
             assert!(calls <= 12 + 2 * 8, "{calls} calls");
--- a/crates/peers/tests/fleet/main.rs
+++ b/crates/peers/tests/fleet/main.rs
@@ -1,4 +1,5 @@
-//! Many members in virtual time: the acceptance scenarios of the protocol. A seed determines a run.
+//! Acceptance scenarios of the protocol: fleets of many members in virtual time. A run is
+//! determined by its seed.
 
 mod large;
 mod list_helpers;
--- a/crates/peers/tests/fleet/membership.rs
+++ b/crates/peers/tests/fleet/membership.rs
@@ -2,7 +2,7 @@
 
 use crate::world::{NodeEvent, World, MS, S, START};
 
-/// A fleet in which everybody knows everybody, and how long that took.
+/// A fleet whose membership has converged, and how long that took.
 pub fn converged_fleet(n: usize, seed: u64) -> (World, u64) {
     let mut world = World::new(n, seed, |_| ());
     let took = world.run_until(30 * S, "membership converges", World::membership_converged);
@@ -11,15 +11,19 @@
 }
 
 #[test]
-fn a_kill_among_three_hundred_is_known_within_5_s() {
+fn a_death_among_three_hundred_members_is_known_within_5_s() {
     for seed in [1, 2, 3] {
         let (mut world, took) = converged_fleet(300, seed);
         let start = world.now;
         let dead = world.owner(17);
         world.kill(17);
-        let known = world.run_until(5 * S, "the others know", World::membership_converged);
+        let known = world.run_until(
+            5 * S,
+            "the others learn of the death",
+            World::membership_converged,
+        );
         println!(
-            "seed {seed}: 300 know all after {} ms; a kill after {} ms",
+            "seed {seed}: 300 members converge after {} ms, and after a death within {} ms",
             took / MS,
             known / MS
         );
@@ -31,7 +35,7 @@
 }
 
 #[test]
-fn a_fifth_of_the_datagrams_lost_causes_no_false_death() {
+fn datagram_loss_of_20_percent_causes_no_false_death() {
     for seed in [1, 2, 3] {
         let (mut world, _) = converged_fleet(60, seed);
         let start = world.now;
@@ -57,23 +61,23 @@
         let start = world.now;
         world.stall(9, 3 * S);
         world.run(3 * S);
-        let back = world.run_until(5 * S, "membership converges", World::membership_converged);
+        let rejoined = world.run_until(5 * S, "membership converges", World::membership_converged);
         world.run(10 * S);
-        assert!(world.membership_converged(), "it stays");
+        assert!(world.membership_converged(), "membership remains stable");
         let name = &world.slots[9].name;
-        println!("seed {seed}: back after {} ms", back / MS);
+        println!("seed {seed}: rejoined after {} ms", rejoined / MS);
         assert!(
             world
                 .deaths(start)
                 .iter()
                 .all(|(_, _, owner)| *owner.name == **name),
-            "others were declared dead"
+            "other members were declared dead"
         );
     }
 }
 
 #[test]
-fn a_pair_cut_one_way_or_both_is_not_declared_dead() {
+fn a_broken_path_between_two_members_causes_no_death() {
     for seed in [1, 2, 3] {
         let (mut world, _) = converged_fleet(30, seed);
         let start = world.now;
@@ -86,15 +90,22 @@
 }
 
 #[test]
-fn a_third_killed_at_once_is_detected() {
+fn the_simultaneous_death_of_a_third_is_detected() {
     for seed in [1, 2, 3] {
         let (mut world, _) = converged_fleet(99, seed);
         let start = world.now;
         for i in (0..99).step_by(3) {
             world.kill(i);
         }
-        let known = world.run_until(15 * S, "the rest know", World::membership_converged);
-        println!("seed {seed}: the rest know after {} ms", known / MS);
+        let known = world.run_until(
+            15 * S,
+            "the others learn of the deaths",
+            World::membership_converged,
+        );
+        println!(
+            "seed {seed}: the others have converged after {} ms",
+            known / MS
+        );
         let alive: Vec<_> = world
             .alive()
             .map(|(_, node)| node.rows().me().clone())
@@ -110,12 +121,16 @@
 fn a_restarted_member_is_known_by_its_new_incarnation() {
     for seed in [1, 2, 3] {
         let (mut world, _) = converged_fleet(30, seed);
-        // At once, so that nobody has missed it yet; and after it was declared dead.
+        // Restarted at once, before its death is detected, and after it was declared dead.
         for pause in [100 * MS, 10 * S] {
             world.kill(5);
             world.run(pause);
             world.start(5);
-            let took = world.run_until(5 * S, "all know the new life", World::membership_converged);
+            let took = world.run_until(
+                5 * S,
+                "all learn of the new incarnation",
+                World::membership_converged,
+            );
             println!("seed {seed}: known again after {} ms", took / MS);
             world.run(5 * S);
             assert!(world.membership_converged());
@@ -126,6 +141,6 @@
 #[test]
 fn five_hundred_members_discover_each_other() {
     let (world, took) = converged_fleet(500, 1);
-    println!("500 know all after {} ms", took / MS);
+    println!("500 members converge after {} ms", took / MS);
     assert_eq!(world.deaths(START), []);
 }
--- a/crates/peers/tests/fleet/rows.rs
+++ b/crates/peers/tests/fleet/rows.rs
@@ -1,4 +1,4 @@
-//! The shared rows, under partial failure.
+//! Replication of the shared rows under partial failure.
 
 use std::collections::BTreeMap;
 
@@ -7,11 +7,11 @@
 use crate::membership::converged_fleet;
 use crate::world::{World, MS, S};
 
-type Reading = BTreeMap<(Owner, u32, Vec<u8>), Vec<u32>>;
+type StoredRows = BTreeMap<(Owner, u32, Vec<u8>), Vec<u32>>;
 
-/// The join of what all nodes have stored.
-fn union(world: &World) -> Reading {
-    let mut all = Reading::new();
+/// The merged rows of all nodes.
+fn union(world: &World) -> StoredRows {
+    let mut all = StoredRows::new();
     for (key, counts) in world.alive().flat_map(|(_, node)| World::stored_rows(node)) {
         let joined = all.entry(key).or_default();
         joined.resize(joined.len().max(counts.len()), 0);
@@ -22,19 +22,19 @@
     all
 }
 
-fn contains(reading: &Reading, wanted: &Reading) -> bool {
+fn contains(stored: &StoredRows, wanted: &StoredRows) -> bool {
     wanted.iter().all(|(key, counts)| {
-        reading.get(key).is_some_and(|stored| {
+        stored.get(key).is_some_and(|own| {
             counts
                 .iter()
                 .enumerate()
-                .all(|(i, n)| stored.get(i).copied().unwrap_or(0) >= *n)
+                .all(|(i, n)| own.get(i).copied().unwrap_or(0) >= *n)
         })
     })
 }
 
 #[test]
-fn halves_partitioned_for_10_s_agree_within_5_s() {
+fn two_halves_converge_within_5_s_of_a_partition_of_10_s() {
     for seed in [1, 2, 3] {
         let (mut world, _) = converged_fleet(100, seed);
         world.load = 1;
@@ -43,15 +43,16 @@
         world.run(10 * S);
         let wanted = union(&world);
         world.heal();
-        // Rows are raised on; what is wanted is all that there was when the partition healed.
-        let took = world.run_until(5 * S, "both sides agree", |world| {
+        // Increments continue. The rows that have to converge are those that existed when the
+        // partition healed.
+        let took = world.run_until(5 * S, "rows converge on both sides", |world| {
             world
                 .alive()
                 .all(|(_, node)| contains(&World::stored_rows(node), &wanted))
         });
         let members = world.run_until(30 * S, "membership converges", World::membership_converged);
         println!(
-            "seed {seed}: rows agree {} ms after the heal, members {} ms later",
+            "seed {seed}: rows converge {} ms after the partition, membership {} ms later",
             took / MS,
             members / MS
         );
@@ -59,14 +60,14 @@
 }
 
 #[test]
-fn rows_survive_datagram_loss_and_their_owner() {
+fn rows_survive_datagram_loss_and_the_death_of_their_owner() {
     let (mut world, _) = converged_fleet(30, 5);
     world.loss = 200;
     world.load = 2;
     world.run(5 * S);
     world.load = 0;
-    let took = world.run_until(10 * S, "all agree", World::rows_converged);
-    println!("30 agree {} ms after the last raise", took / MS);
+    let took = world.run_until(10 * S, "rows converge", World::rows_converged);
+    println!("30 members agree {} ms after the last increment", took / MS);
     let before = union(&world);
     let dead = world.owner(7);
     world.kill(7);
@@ -74,7 +75,7 @@
     world.start(7);
     world.run_until(
         20 * S,
-        "the new life has the rows of the old one",
+        "the new incarnation has the rows of the previous one",
         |world| {
             let node = world.slots[7].node.as_ref();
             node.is_some_and(|node| contains(&World::stored_rows(node), &before))
@@ -87,7 +88,7 @@
 }
 
 #[test]
-fn nothing_is_dropped_or_rejected_among_correct_members() {
+fn correct_members_drop_no_datagrams_and_reject_no_rows() {
     let (mut world, _) = converged_fleet(30, 6);
     world.load = 3;
     world.run(20 * S);
--- a/crates/peers/tests/fleet/timelines.rs
+++ b/crates/peers/tests/fleet/timelines.rs
@@ -1,10 +1,10 @@
-//! Small fleets drawn as timelines, to be read as pictures of the protocol.
+//! Snapshots of the timelines of small fleets.
 
 use oakshed_timeline::{Style, Timeline};
 
 use crate::world::{World, MS, S, START};
 
-/// One column a member, time running down.
+/// Draws one column per member, with time running downwards.
 fn draw(world: &World, from: u64) -> String {
     let mut timeline = Timeline::new(world.slots.iter().map(|slot| slot.name.clone()));
     for entry in world.log.iter().filter(|entry| entry.at >= from) {
