--- a/crates/core/tests/model/main.rs
+++ b/crates/core/tests/model/main.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::task::Waker;
 
-use oakshed_core::facade::{Accounts, Ending, Facade, Micros, Report, Seen};
+use oakshed_core::facade::{Ending, Facade, InFlightCounts, Micros, Observation, Report};
 use oakshed_core::figures::RequestOutcome;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
@@ -37,12 +37,12 @@
         world.wait_until(world.now + 20_000 * MS);
         check_counts(&world);
         check_request_counts(&world);
-        let accounts = world.facade.accounts();
+        let counts = world.facade.in_flight_counts();
         assert_eq!(
-            accounts,
-            Accounts {
+            counts,
+            InFlightCounts {
                 workers: 4,
-                ..Accounts::default()
+                ..InFlightCounts::default()
             },
             "something was not given back"
         );
@@ -63,7 +63,13 @@
         tally.ended.iter().sum::<u64>(),
         "an attempt without an end, or with two"
     );
-    assert_eq!((world.facade.owed(), tally.invariant_violations), (0, 0));
+    assert_eq!(
+        (
+            world.facade.unanswered_requests(),
+            tally.invariant_violations
+        ),
+        (0, 0)
+    );
 }
 
 /// The request counts agree with the facade.
@@ -143,7 +149,7 @@
     let name: Rc<str> = "s-0".into();
     world.facade.report(
         world.now,
-        Seen::Probed(&name, true, Some(Report::default())),
+        Observation::Probed(&name, true, Some(Report::default())),
     );
     world.step(Step::Take(0, 5_000));
     world.step(Step::End(0, 0));
--- a/crates/jobs/tests/world/faults.rs
+++ b/crates/jobs/tests/world/faults.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use oakshed_core::facade::{Condition, Entry, ListKind, Seen as SchedulerEvent};
+use oakshed_core::facade::{Condition, Entry, ListKind, Observation as SchedulerEvent};
 use oakshed_jobs::fault::{Operation, Outage};
 
 use super::scheduler::entry;
@@ -57,7 +57,7 @@
             let facade = &mut scheduler.facade;
             facade.report(now, SchedulerEvent::List(ListKind::Cached, &entries));
             let starts = names.iter().map(|name| (name, start_ms));
-            scheduler.jobs.on_list(now, starts, false, facade);
+            scheduler.jobs.on_endpoint_list(now, starts, false, facade);
         });
     }
 
--- a/crates/server/src/net/durable/mod.rs
+++ b/crates/server/src/net/durable/mod.rs
@@ -38,7 +38,7 @@
 use super::workers::{self, Attempt, AttemptDeadlines};
 use super::Net;
 use crate::config::Config;
-use crate::operator::Jobs as JobSettings;
+use crate::operator::JobsConfig;
 use fence::fence;
 use observer::JobAttempt;
 
@@ -111,7 +111,7 @@
     };
     let start = Instant::now();
     let (log, recovered) = open_log(settings)?;
-    let next = log.next();
+    let next = log.next_record();
     let records = recovered.records.len();
     let names = Names {
         classes: config.names.classes.clone(),
@@ -150,7 +150,7 @@
 
 /// Opens the log in the configured directory. Transient faults are retried for up to [`OPEN_LIMIT`]; the first one is
 /// logged.
-fn open_log(settings: &JobSettings) -> Result<(Log<Disk>, Recovered), StoreError> {
+fn open_log(settings: &JobsConfig) -> Result<(Log<Disk>, Recovered), StoreError> {
     let mut faults = 0;
     let note_fault = |fault: &LogError| {
         faults += 1;
@@ -181,7 +181,7 @@
 }
 
 /// Returns the limits of the state machine by the operators' settings.
-fn limits(config: &Config, settings: &JobSettings) -> Limits {
+fn limits(config: &Config, settings: &JobsConfig) -> Limits {
     // Answers are retained at least for the longest deduplication window, while a keyed job could still be sent again.
     let windows = config.settings.classes.iter().map(|class| class.window);
     let window = windows.max().unwrap_or_default().as_micros();
@@ -283,7 +283,9 @@
                 worker,
                 confirmed,
             } => self.start_fence(net, id, token, worker, confirmed),
-            Effect::Safe { id, token, worker } => self.record_safe_result(id, token, worker),
+            Effect::NotifyResultStored { id, token, worker } => {
+                self.record_safe_result(id, token, worker);
+            }
         }
     }
 
@@ -307,7 +309,7 @@
                 .set(durable.fences_in_progress.get() - calls);
             let facade = &mut net.facade.borrow_mut();
             let mut jobs = durable.jobs.borrow_mut();
-            jobs.on_fenced(net.clock.now(), id, token, reply, confirmed, facade);
+            jobs.on_fence_reply(net.clock.now(), id, token, reply, confirmed, facade);
             durable.changed.notify_one();
         });
     }
--- a/crates/server/src/net/durable/observer.rs
+++ b/crates/server/src/net/durable/observer.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use oakshed_core::facade::{Ending, Entry, ListKind, Report};
-use oakshed_jobs::machine::End;
+use oakshed_jobs::machine::AttemptEnd;
 use oakshed_jobs::record::JobId;
 
 use super::super::workers::AttemptObserver;
@@ -21,10 +21,13 @@
         let JobAttempt(id, token) = self;
         let Some(durable) = &net.durable else { return };
         let now = net.clock.now();
-        durable
-            .jobs
-            .borrow_mut()
-            .on_alive(now, id, token, started, &mut net.facade.borrow_mut());
+        durable.jobs.borrow_mut().on_heartbeat(
+            now,
+            id,
+            token,
+            started,
+            &mut net.facade.borrow_mut(),
+        );
         durable.changed.notify_one();
     }
 
@@ -33,7 +36,9 @@
         let Some(durable) = &net.durable else { return };
         // Removed without being stopped: its task still reads the rest of the response from the connection.
         durable.attempts.borrow_mut().remove(&(id, token));
-        let end = result.map_or(End::Other(ending), |result| End::Result(result.to_vec()));
+        let end = result.map_or(AttemptEnd::NoResult(ending), |result| {
+            AttemptEnd::Result(result.to_vec())
+        });
         let now = net.clock.now();
         durable
             .jobs
@@ -49,9 +54,11 @@
     let confirmed = matches!(kind, ListKind::Snapshot | ListKind::Delta);
     let starts = entries.iter().map(|e| (&e.worker, e.online_since / 1_000));
     let now = net.clock.now();
-    durable
-        .jobs
-        .borrow_mut()
-        .on_list(now, starts, confirmed, &mut net.facade.borrow_mut());
+    durable.jobs.borrow_mut().on_endpoint_list(
+        now,
+        starts,
+        confirmed,
+        &mut net.facade.borrow_mut(),
+    );
     durable.process_output(net);
 }
--- a/crates/server/src/net/front/mod.rs
+++ b/crates/server/src/net/front/mod.rs
@@ -24,7 +24,7 @@
 use tokio::time::Instant;
 
 use super::error::ListenError;
-use super::reader::Intake;
+use super::reader::ConnectionState;
 use super::transient::retry_at_start;
 use super::Net;
 use accept::AcceptBackoff;
@@ -80,7 +80,7 @@
             // The successor accepts from the same queue, so the queue is not drained here.
             _ = &mut handed_over => {
                 drop(listener);
-                net.hot_restart.stop_donating();
+                net.hot_restart.drop_listener();
                 return clients.all_closed().await;
             }
         };
@@ -94,7 +94,7 @@
     }
     accept_queued(net, &clients, &listener, backoff).await;
     drop(listener);
-    net.hot_restart.stop_donating();
+    net.hot_restart.drop_listener();
     clients.all_closed().await;
 }
 
@@ -109,7 +109,7 @@
 ) {
     while net
         .shutdown
-        .last_answer()
+        .last_answer_at()
         .is_none_or(|last| Instant::now() < last)
     {
         match tokio::time::timeout(Duration::ZERO, listener.accept()).await {
@@ -136,7 +136,7 @@
         close_requested: Cell::new(false),
         lingering_since: Cell::new(None),
         close: Notify::new(),
-        intake: Rc::new(Intake::new()),
+        state: Rc::new(ConnectionState::new()),
     });
     clients.open.borrow_mut().push(client.clone());
     let net = net.clone();
