--- a/crates/peers/src/exchange/deltas.rs
+++ b/crates/peers/src/exchange/deltas.rs
@@ -129,7 +129,7 @@
 fn delta(rows: &Rows, missing: &MissingRows, packed: Packed) -> Delta {
     let owner = &missing.owner;
     let known = rows
-        .known()
+        .known_versions()
         .find(|(candidate, _)| *candidate == owner)
         .map_or(packed.last, |(_, known)| known);
     let up_to = if packed.is_cut {
--- a/crates/peers/src/rows/read.rs
+++ b/crates/peers/src/rows/read.rs
@@ -17,7 +17,7 @@
 impl Rows {
     /// Calls `each` for the rows of one table, including own rows and those of dead owners. The
     /// order depends only on the contents: owner (name, then incarnation), window, subject.
-    pub fn fold(&self, table: u8, mut each: impl FnMut(&Owner, u32, &[u8], &[u32])) {
+    pub fn for_each_row(&self, table: u8, mut each: impl FnMut(&Owner, u32, &[u8], &[u32])) {
         let first = first_key(table);
         for (owner, stored) in &self.owners {
             let from_first = (Bound::Included(&first), Bound::Unbounded);
@@ -40,7 +40,7 @@
             .collect()
     }
 
-    /// A number that increases whenever [`Rows::fold`] or [`Rows::alive_owners`] may return
+    /// A number that increases whenever [`Rows::for_each_row`] or [`Rows::alive_owners`] may return
     /// something else.
     #[must_use]
     pub fn revision(&self) -> u64 {
@@ -64,13 +64,13 @@
     }
 
     /// Each owner, and the version up to which all of its rows are stored or have expired.
-    pub fn known(&self) -> impl Iterator<Item = (&Owner, u64)> {
+    pub fn known_versions(&self) -> impl Iterator<Item = (&Owner, u64)> {
         self.owners
             .iter()
             .map(|(owner, stored)| (owner, stored.known_version))
     }
 
-    /// Each owner and version as returned by [`Rows::known`], and whether the owner is alive.
+    /// Each owner and version as returned by [`Rows::known_versions`], and whether the owner is alive.
     pub fn states(&self) -> impl Iterator<Item = (&Owner, u64, bool)> {
         self.owners
             .iter()
--- a/crates/peers/src/snapshot.rs
+++ b/crates/peers/src/snapshot.rs
@@ -52,7 +52,7 @@
         let owner = |(owner, known): (&Owner, u64)| {
             (owner.clone(), known, rows.newer_than(owner, 0).collect())
         };
-        let owners = rows.known().map(owner).collect();
+        let owners = rows.known_versions().map(owner).collect();
         Snapshot {
             at,
             installation: installation.to_owned(),
--- a/crates/peers/tests/fleet/world.rs
+++ b/crates/peers/tests/fleet/world.rs
@@ -336,9 +336,10 @@
     /// The rows stored by a node.
     pub fn stored_rows(node: &Node) -> BTreeMap<(Owner, u32, Vec<u8>), Vec<u32>> {
         let mut all = BTreeMap::new();
-        node.rows().fold(1, |owner, window, subject, counts| {
-            all.insert((owner.clone(), window, subject.to_vec()), counts.to_vec());
-        });
+        node.rows()
+            .for_each_row(1, |owner, window, subject, counts| {
+                all.insert((owner.clone(), window, subject.to_vec()), counts.to_vec());
+            });
         all
     }
 
--- a/crates/peers/tests/rows.rs
+++ b/crates/peers/tests/rows.rs
@@ -23,7 +23,7 @@
 fn contents(rows: &Rows) -> Vec<String> {
     let mut all = Vec::new();
     for table in 0..4 {
-        rows.fold(table, |o, w, s, c| {
+        rows.for_each_row(table, |o, w, s, c| {
             all.push(format!(
                 "{}/{} {table} {w} {s:?} {c:?}",
                 o.name, o.incarnation
@@ -127,7 +127,7 @@
     b.advance(a.me(), 0, 2);
     assert_eq!(contents(&a), contents(&b));
     assert!(b
-        .known()
+        .known_versions()
         .any(|(owner, version)| owner == a.me() && version == 2));
     // Own rows that others forward are accepted. Rows that claim this incarnation as their owner,
     // but were never produced by it, are rejected.
@@ -229,7 +229,12 @@
     stored
         .merge(&other, row(9, at, b"w", vec![4]))
         .expect("the row is accepted");
-    let known = |stored: &Rows| stored.known().find(|(o, _)| **o == other).map(|(_, v)| v);
+    let known = |stored: &Rows| {
+        stored
+            .known_versions()
+            .find(|(o, _)| **o == other)
+            .map(|(_, v)| v)
+    };
     stored.advance(&other, 5, 9);
     assert_eq!(known(&stored), Some(0));
     stored.advance(&other, 0, 6);
--- a/crates/peers/tests/snapshot.rs
+++ b/crates/peers/tests/snapshot.rs
@@ -33,7 +33,7 @@
     assert_eq!(snapshot.members.len(), 1);
     snapshot.restore(&mut new);
     let mut read = Vec::new();
-    new.fold(1, |owner, _, subject, counts| {
+    new.for_each_row(1, |owner, _, subject, counts| {
         read.push((owner.clone(), subject[0], counts[0]));
     });
     assert_eq!(
@@ -42,7 +42,7 @@
     );
     // The version up to which rows are known is restored too, so peers need not send them again.
     assert!(new
-        .known()
+        .known_versions()
         .any(|(owner, version)| owner == old.me() && version == 9));
 }
 
--- a/crates/prewarm/tests/takeover.rs
+++ b/crates/prewarm/tests/takeover.rs
@@ -40,12 +40,13 @@
         self.read = self.rows.revision();
         let me = self.rows.me().clone();
         let prewarm = &mut self.prewarm;
-        self.rows.fold(TABLE, |owner, window, subject, counts| {
-            if *owner != me {
-                let owner = format!("{}/{}", owner.name, owner.incarnation);
-                prewarm.merge(now, &owner, window, subject, counts);
-            }
-        });
+        self.rows
+            .for_each_row(TABLE, |owner, window, subject, counts| {
+                if *owner != me {
+                    let owner = format!("{}/{}", owner.name, owner.incarnation);
+                    prewarm.merge(now, &owner, window, subject, counts);
+                }
+            });
     }
 }
 
--- a/crates/quarantine/tests/common/mod.rs
+++ b/crates/quarantine/tests/common/mod.rs
@@ -211,11 +211,11 @@
                     let from = &self.members[from].rows;
                     let have: std::collections::BTreeMap<Owner, u64> = self.members[to]
                         .rows
-                        .known()
+                        .known_versions()
                         .map(|(o, v)| (o.clone(), v))
                         .collect();
                     let owners: Vec<(Owner, u64)> =
-                        from.known().map(|(o, v)| (o.clone(), v)).collect();
+                        from.known_versions().map(|(o, v)| (o.clone(), v)).collect();
                     owners
                         .into_iter()
                         .flat_map(|(o, _)| {
@@ -241,9 +241,10 @@
             m.machine.members(m.rows.alive_owners());
             if m.read != m.rows.revision() {
                 m.read = m.rows.revision();
-                m.rows.fold(TABLE, |owner, window, subject, counts| {
-                    m.machine.merge(owner, window, subject, counts);
-                });
+                m.rows
+                    .for_each_row(TABLE, |owner, window, subject, counts| {
+                        m.machine.merge(owner, window, subject, counts);
+                    });
             }
             m.machine.tick(at);
             while let Some(effect) = m.machine.poll_effect() {
