--- a/crates/peers/src/datagram.rs
+++ b/crates/peers/src/datagram.rs
@@ -60,25 +60,25 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DropCounts {
     /// The counts, indexed in the order of [`DatagramError`].
-    pub by: [u64; 7],
+    pub by_reason: [u64; 7],
 }
 
 impl DropCounts {
     /// Counts one dropped datagram.
     pub fn count(&mut self, cause: DatagramError) {
-        self.by[cause as usize] += 1;
+        self.by_reason[cause as usize] += 1;
     }
 
     /// The number of datagrams dropped for one reason.
     #[must_use]
     pub fn of(&self, cause: DatagramError) -> u64 {
-        self.by[cause as usize]
+        self.by_reason[cause as usize]
     }
 
     /// The number of dropped datagrams.
     #[must_use]
     pub fn total(&self) -> u64 {
-        self.by.iter().sum()
+        self.by_reason.iter().sum()
     }
 }
 
--- a/crates/server/src/net/peers/mod.rs
+++ b/crates/server/src/net/peers/mod.rs
@@ -244,7 +244,7 @@
         if dropped.total() == self.logged_total || now < self.logged_at + DROP_LOG_PERIOD {
             return;
         }
-        let [cut, version, installation, mac, replayed, malformed, impossible] = dropped.by;
+        let [cut, version, installation, mac, replayed, malformed, impossible] = dropped.by_reason;
         warn!(
             event = "bad peers",
             cut,
