--- a/crates/peers/src/datagram.rs
+++ b/crates/peers/src/datagram.rs
@@ -127,7 +127,7 @@
     installation: [u8; 4],
     me: Owner,
     sequence: u64,
-    skew: Micros,
+    max_clock_skew: Micros,
     /// The difference between the wall clock and the clock of this process.
     wall_offset: i64,
     max_senders: usize,
@@ -137,13 +137,13 @@
 impl DatagramCodec {
     /// Creates a codec. Without a key, the installation's name serves as the key. That detects
     /// accidental corruption and datagrams of other installations, but anyone who knows the name
-    /// can forge datagrams. `skew` is the maximum difference between clocks, in microseconds.
+    /// can forge datagrams. `max_clock_skew` is the maximum difference between clocks, in microseconds.
     #[must_use]
     pub fn new(
         installation: &str,
         key: Option<&[u8]>,
         me: Owner,
-        skew: Micros,
+        max_clock_skew: Micros,
         max_senders: usize,
     ) -> DatagramCodec {
         let hash = Sha256::digest(installation.as_bytes());
@@ -152,7 +152,7 @@
             installation: [hash[0], hash[1], hash[2], hash[3]],
             me,
             sequence: 0,
-            skew,
+            max_clock_skew,
             wall_offset: 0,
             max_senders,
             replay_windows: BTreeMap::new(),
@@ -251,10 +251,10 @@
         if from.name.is_empty() || from.name.len() > MAX_NAME_LENGTH {
             return Err(DatagramError::Implausible);
         }
-        if from.incarnation.saturating_mul(1_000) > wall.saturating_add(self.skew) {
+        if from.incarnation.saturating_mul(1_000) > wall.saturating_add(self.max_clock_skew) {
             return Err(DatagramError::Implausible);
         }
-        let is_stale = wall.abs_diff(sent_at.saturating_mul(1_000)) > self.skew;
+        let is_stale = wall.abs_diff(sent_at.saturating_mul(1_000)) > self.max_clock_skew;
         if is_stale || *from == self.me {
             return Err(DatagramError::Replayed);
         }
--- a/crates/peers/src/node/config.rs
+++ b/crates/peers/src/node/config.rs
@@ -28,7 +28,7 @@
     /// The maximum number of workers.
     pub max_workers: usize,
     /// The maximum difference between clocks, in microseconds.
-    pub skew: Micros,
+    pub max_clock_skew: Micros,
     /// The maximum number of bytes sent per second, on average.
     pub max_bytes_per_second: u64,
     /// The maximum number of bytes sent in a burst.
@@ -61,7 +61,7 @@
             discovery: String::new(),
             max_members: 4_096,
             max_workers: 4_096,
-            skew: 60_000_000,
+            max_clock_skew: 60_000_000,
             max_bytes_per_second: 4_096,
             max_burst_bytes: 12_288,
             exchange_interval: 500_000,
--- a/crates/peers/src/node/mod.rs
+++ b/crates/peers/src/node/mod.rs
@@ -71,14 +71,20 @@
             now + rng.u64(0..POLL_INTERVAL)
         };
         let limits = Limits {
-            skew: config.skew,
+            max_clock_skew: config.max_clock_skew,
             ..config.limits
         };
         let max_senders = SENDERS_PER_MEMBER * config.max_members;
         let key = config.key.as_deref();
         let me = config.me.clone();
         Node {
-            codec: DatagramCodec::new(&config.installation, key, me, config.skew, max_senders),
+            codec: DatagramCodec::new(
+                &config.installation,
+                key,
+                me,
+                config.max_clock_skew,
+                max_senders,
+            ),
             membership,
             rows: Rows::new(config.me, limits, now),
             endpoint_list: EndpointListCache::new(
--- a/crates/peers/src/rows/mod.rs
+++ b/crates/peers/src/rows/mod.rs
@@ -192,7 +192,7 @@
             return Err(RowError::TooLong);
         }
         let started = owner.incarnation.saturating_mul(1_000);
-        let latest = self.now.saturating_add(self.limits.skew);
+        let latest = self.now.saturating_add(self.limits.max_clock_skew);
         let age = latest.checked_sub(started).ok_or(RowError::Implausible)?;
         let max_version =
             (age / 1_000_000 + 1).saturating_mul(self.limits.max_increments_per_second);
--- a/crates/peers/src/rows/types.rs
+++ b/crates/peers/src/rows/types.rs
@@ -68,7 +68,7 @@
     /// How many windows a row may be ahead of the local clock, because clocks differ.
     pub windows_ahead: u32,
     /// How far the start of an incarnation may be ahead of the local clock, in microseconds.
-    pub skew: Micros,
+    pub max_clock_skew: Micros,
     /// The maximum number of owners. Earlier incarnations are retained as long as their rows, so
     /// this must be several times the number of members.
     pub max_owners: usize,
@@ -91,7 +91,7 @@
             window_length: 10_000_000,
             retained_windows: 60,
             windows_ahead: 2,
-            skew: 60_000_000,
+            max_clock_skew: 60_000_000,
             max_owners: 4 * 4_096,
             max_rows_per_owner: 4_096,
             max_rows: 200_000,
--- a/crates/peers/src/snapshot.rs
+++ b/crates/peers/src/snapshot.rs
@@ -69,7 +69,7 @@
         [&MAGIC[..], &crc32fast::hash(&rest).to_le_bytes(), &rest].concat()
     }
 
-    /// Decodes the output of [`Snapshot::encode`]. `skew` is the maximum difference between clocks,
+    /// Decodes the output of [`Snapshot::encode`]. `max_clock_skew` is the maximum difference between clocks,
     /// in microseconds.
     ///
     /// # Errors
@@ -79,7 +79,7 @@
         bytes: &[u8],
         installation: &str,
         now: Micros,
-        skew: Micros,
+        max_clock_skew: Micros,
     ) -> Result<Snapshot, SnapshotError> {
         let (magic, rest) = bytes
             .split_first_chunk::<8>()
@@ -97,7 +97,7 @@
         if snapshot.installation != installation {
             return Err(SnapshotError::Installation(snapshot.installation));
         }
-        match snapshot.at.checked_sub(now.saturating_add(skew)) {
+        match snapshot.at.checked_sub(now.saturating_add(max_clock_skew)) {
             Some(by) if by > 0 => Err(SnapshotError::Future(by)),
             _ => Ok(snapshot),
         }
--- a/crates/server/src/net/peers/mod.rs
+++ b/crates/server/src/net/peers/mod.rs
@@ -88,7 +88,7 @@
     let snapshot = settings
         .dir
         .as_deref()
-        .and_then(|dir| snapshot_file::read(dir, settings, now, node_config.skew));
+        .and_then(|dir| snapshot_file::read(dir, settings, now, node_config.max_clock_skew));
     // The members of the snapshot serve as further join addresses.
     if let Some(snapshot) = &snapshot {
         node_config
