--- a/crates/peers/src/snapshot.rs
+++ b/crates/peers/src/snapshot.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// When the snapshot was taken, in microseconds of Unix time.
-    pub at: Micros,
+    pub taken_at: Micros,
     /// The name of the installation.
     pub installation: String,
     /// The addresses of the members that were alive.
@@ -48,13 +48,18 @@
 impl Snapshot {
     /// Takes a snapshot of the stored rows.
     #[must_use]
-    pub fn of(rows: &Rows, at: Micros, installation: &str, members: Vec<SocketAddr>) -> Snapshot {
+    pub fn of(
+        rows: &Rows,
+        taken_at: Micros,
+        installation: &str,
+        members: Vec<SocketAddr>,
+    ) -> Snapshot {
         let owner = |(owner, known): (&Owner, u64)| {
             (owner.clone(), known, rows.newer_than(owner, 0).collect())
         };
         let owners = rows.known_versions().map(owner).collect();
         Snapshot {
-            at,
+            taken_at,
             installation: installation.to_owned(),
             members,
             owners,
@@ -97,7 +102,10 @@
         if snapshot.installation != installation {
             return Err(SnapshotError::Installation(snapshot.installation));
         }
-        match snapshot.at.checked_sub(now.saturating_add(max_clock_skew)) {
+        match snapshot
+            .taken_at
+            .checked_sub(now.saturating_add(max_clock_skew))
+        {
             Some(by) if by > 0 => Err(SnapshotError::Future(by)),
             _ => Ok(snapshot),
         }
--- a/crates/server/src/net/peers/snapshot_file.rs
+++ b/crates/server/src/net/peers/snapshot_file.rs
@@ -67,7 +67,7 @@
     match Snapshot::decode(&bytes, &settings.installation, now, skew) {
         Ok(snapshot) => {
             let owners = snapshot.owners.len();
-            let age_ms = now.saturating_sub(snapshot.at) / 1_000;
+            let age_ms = now.saturating_sub(snapshot.taken_at) / 1_000;
             info!(
                 event = "kept",
                 owners, age_ms, "peers: snapshot of {owners} owners, {age_ms} ms old"
