--- a/crates/peers/src/datagram.rs
+++ b/crates/peers/src/datagram.rs
@@ -137,7 +137,8 @@
 impl DatagramCodec {
     /// Creates a codec. Without a key, the installation's name serves as the key. That detects
     /// accidental corruption and datagrams of other installations, but anyone who knows the name
-    /// can forge datagrams. `max_clock_skew` is the maximum difference between clocks, in microseconds.
+    /// can forge datagrams. `max_clock_skew` is the maximum difference between clocks, in
+    /// microseconds.
     #[must_use]
     pub fn new(
         installation: &str,
--- a/crates/peers/src/node/config.rs
+++ b/crates/peers/src/node/config.rs
@@ -19,7 +19,7 @@
     /// The key of the MAC. Without one, the installation's name is used.
     pub key: Option<Vec<u8>>,
     /// The addresses at which the member announces itself to join the fleet.
-    pub join: Vec<SocketAddr>,
+    pub join_addresses: Vec<SocketAddr>,
     /// The address of the discovery service as configured. If it is empty, members are not polled
     /// for an endpoint list.
     pub discovery: String,
@@ -50,14 +50,14 @@
         me: Owner,
         address: SocketAddr,
         installation: &str,
-        join: Vec<SocketAddr>,
+        join_addresses: Vec<SocketAddr>,
     ) -> Config {
         Config {
             me,
             address,
             installation: installation.to_owned(),
             key: None,
-            join,
+            join_addresses,
             discovery: String::new(),
             max_members: 4_096,
             max_workers: 4_096,
--- a/crates/peers/src/node/mod.rs
+++ b/crates/peers/src/node/mod.rs
@@ -323,10 +323,10 @@
         generation: 0,
         address: config.address,
     };
-    let join = config.join.clone();
+    let join_addresses = config.join_addresses.clone();
     Membership::new(
         me,
-        join,
+        join_addresses,
         config.max_members,
         config.timing.clone(),
         now,
--- a/crates/peers/src/snapshot.rs
+++ b/crates/peers/src/snapshot.rs
@@ -74,8 +74,8 @@
         [&MAGIC[..], &crc32fast::hash(&rest).to_le_bytes(), &rest].concat()
     }
 
-    /// Decodes the output of [`Snapshot::encode`]. `max_clock_skew` is the maximum difference between clocks,
-    /// in microseconds.
+    /// Decodes the output of [`Snapshot::encode`]. `max_clock_skew` is the maximum difference
+    /// between clocks, in microseconds.
     ///
     /// # Errors
     /// Returns an error if the snapshot is damaged, has another format version or installation, or
--- a/crates/server/src/net/peers/mod.rs
+++ b/crates/server/src/net/peers/mod.rs
@@ -92,7 +92,7 @@
     // The members of the snapshot serve as further join addresses.
     if let Some(snapshot) = &snapshot {
         node_config
-            .join
+            .join_addresses
             .extend(snapshot.members.iter().copied().take(settings.members));
     }
     node_config.key = key;
