--- a/crates/peers/src/budget.rs
+++ b/crates/peers/src/budget.rs
@@ -1,82 +1,89 @@
-//! The bandwidth budget: a token bucket over all datagrams of a member.
+//! The bandwidth budget of a member: a token bucket that covers all of its datagrams.
 //!
-//! Datagrams that can wait (rows, lists) leave enough for probes and their answers, which alone may go into a
-//! small debt.
+//! Rows, membership updates and endpoint lists leave enough tokens for probes and their answers.
+//! Only probes and answers may overdraw the bucket, by at most [`MAX_DEBT_BYTES`].
 
 use crate::Micros;
 
-/// How urgent a datagram is.
+/// The class of a datagram, which determines how much of the budget it may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Class {
-    /// Probes and their answers: may go into debt.
+pub enum TrafficClass {
+    /// Probes and their answers, which may overdraw the bucket.
     Probe,
-    /// Endpoint lists, and the greeting of a new member: who has no list cannot serve.
+    /// Endpoint lists, and the first members sent to a new member: a member without a list cannot
+    /// serve requests.
     List,
-    /// Other updates of membership.
+    /// Other membership updates.
     Update,
     /// Rows and digests.
     Rows,
 }
 
-/// A token bucket, in bytes.
+/// A token bucket that counts bytes.
 #[derive(Clone, Debug)]
 pub struct Budget {
     rate: u64,
     burst: u64,
-    /// Bytes times a million, shifted by the debt so that it is never negative.
+    /// Available bytes times 1,000,000. Offset by [`MAX_DEBT_BYTES`], so that it never becomes
+    /// negative.
     tokens: u64,
-    at: Micros,
+    refilled_at: Micros,
     /// Bytes sent.
     pub sent: u64,
-    /// Datagrams that were not sent.
+    /// Datagrams rejected because the budget was exhausted.
     pub over_budget: u64,
 }
 
-/// How far probes may go into debt, in bytes.
-pub const DEBT: u64 = 2_048;
-/// What rows and updates leave for lists, in bytes.
-const RESERVE: u64 = 4_096;
-const MILLION: u64 = 1_000_000;
+/// How many bytes probes may overdraw the bucket by.
+pub const MAX_DEBT_BYTES: u64 = 2_048;
+/// Bytes that rows and updates leave for endpoint lists.
+const LIST_RESERVE_BYTES: u64 = 4_096;
+const MICROS_PER_SECOND: u64 = 1_000_000;
 
 impl Budget {
-    /// At most `rate` bytes a second over time, at most `burst` at once.
+    /// A full bucket that permits `rate` bytes per second on average, and bursts of up to `burst`
+    /// bytes.
     #[must_use]
     pub fn new(rate: u64, burst: u64, now: Micros) -> Budget {
         Budget {
             rate,
             burst,
-            tokens: (burst + DEBT) * MILLION,
-            at: now,
+            tokens: (burst + MAX_DEBT_BYTES) * MICROS_PER_SECOND,
+            refilled_at: now,
             sent: 0,
             over_budget: 0,
         }
     }
 
-    fn fill(&mut self, now: Micros) {
-        let passed = now.saturating_sub(self.at).min(3_600 * MILLION);
-        self.at = self.at.max(now);
-        self.tokens = (self.tokens + passed * self.rate).min((self.burst + DEBT) * MILLION);
+    fn refill(&mut self, now: Micros) {
+        let elapsed = now
+            .saturating_sub(self.refilled_at)
+            .min(3_600 * MICROS_PER_SECOND);
+        self.refilled_at = self.refilled_at.max(now);
+        self.tokens = (self.tokens + elapsed * self.rate)
+            .min((self.burst + MAX_DEBT_BYTES) * MICROS_PER_SECOND);
     }
 
-    fn floor(class: Class) -> u64 {
+    fn reserved(class: TrafficClass) -> u64 {
         match class {
-            Class::Probe => 0,
-            Class::List => DEBT,
-            Class::Update | Class::Rows => DEBT + RESERVE,
+            TrafficClass::Probe => 0,
+            TrafficClass::List => MAX_DEBT_BYTES,
+            TrafficClass::Update | TrafficClass::Rows => MAX_DEBT_BYTES + LIST_RESERVE_BYTES,
         }
     }
 
-    /// How many bytes of a class may be sent now.
-    pub fn free(&mut self, now: Micros, class: Class) -> usize {
-        self.fill(now);
-        (self.tokens / MILLION).saturating_sub(Budget::floor(class)) as usize
+    /// The number of bytes of a class that may be sent now.
+    pub fn available(&mut self, now: Micros, class: TrafficClass) -> usize {
+        self.refill(now);
+        (self.tokens / MICROS_PER_SECOND).saturating_sub(Budget::reserved(class)) as usize
     }
 
-    /// Takes the bytes of one datagram; returns whether it may be sent.
-    pub fn take(&mut self, now: Micros, class: Class, bytes: usize) -> bool {
-        let allowed = self.free(now, class) >= bytes;
+    /// Deducts the bytes of one datagram. Returns false, and deducts nothing, if the budget does
+    /// not allow it.
+    pub fn try_consume(&mut self, now: Micros, class: TrafficClass, bytes: usize) -> bool {
+        let allowed = self.available(now, class) >= bytes;
         if allowed {
-            self.tokens -= bytes as u64 * MILLION;
+            self.tokens -= bytes as u64 * MICROS_PER_SECOND;
             self.sent += bytes as u64;
         } else {
             self.over_budget += 1;
--- a/crates/peers/src/datagram.rs
+++ b/crates/peers/src/datagram.rs
@@ -1,11 +1,14 @@
-//! The framing of datagrams: version, installation, sender, sequence number, and the MAC over all of it.
+//! The framing and authentication of datagrams.
 //!
-//! [`Frames`] rejects datagrams of other versions and installations, and those that are changed, truncated or
-//! replayed. No byte that the MAC does not cover is returned, and strangers' datagrams take no memory.
+//! [`DatagramCodec`] rejects datagrams of other protocol versions and installations, and those that
+//! were modified, truncated or replayed. Decoding returns only bytes that the MAC covers, and state
+//! is kept only for senders that passed authentication.
 //!
-//! Form: magic, version, installation (4 bytes of its SHA-256), header and body (postcard), MAC. The
-//! MAC is HMAC with SHA-256 (RFC 2104), truncated to its first 16 bytes (section 5 of the RFC). The guard
-//! against replays is the sliding window of RFC 4303, section 3.4.3, beside a bound on the age.
+//! A datagram consists of a magic byte, the version, the first 4 bytes of the SHA-256 of the
+//! installation's name, the header and the body (both postcard), and the MAC. The MAC is
+//! HMAC-SHA-256 (RFC 2104), truncated to its first 16 bytes (section 5 of the RFC). Replays are
+//! detected by the sliding window of RFC 4303, section 3.4.3, combined with a bound on the age of a
+//! datagram.
 
 use std::collections::BTreeMap;
 
@@ -17,63 +20,65 @@
 use crate::rows::{Owner, MAX_NAME_LENGTH};
 use crate::Micros;
 
-/// The most bytes of a datagram.
+/// The maximum length of a datagram, in bytes.
 pub const MAX_DATAGRAM_LENGTH: usize = 1_200;
 const MAGIC: u8 = 0xa5;
 const VERSION: u8 = 1;
-/// Magic, version, installation.
-const PREFIX: usize = 6;
-const MAC: usize = 16;
+/// Bytes of the prefix: magic, version and installation.
+const PREFIX_LENGTH: usize = 6;
+const MAC_LENGTH: usize = 16;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Error)]
 pub enum DatagramError {
-    /// Shorter than any, or longer.
-    #[error("shorter than any datagram, or longer")]
-    Truncated,
-    /// Another version of the protocol, or not this protocol at all.
-    #[error("another version of the protocol")]
+    /// The length is out of range: truncated, or longer than [`MAX_DATAGRAM_LENGTH`].
+    #[error("datagram length is out of range")]
+    Length,
+    /// Another protocol version, or not a datagram of this protocol.
+    #[error("datagram of another protocol version")]
     Version,
-    /// Of another installation.
-    #[error("of another installation")]
+    /// The datagram belongs to another installation.
+    #[error("datagram of another installation")]
     Installation,
-    /// The MAC is wrong: the datagram was changed on its way, or another key was used.
-    #[error("the MAC is wrong")]
+    /// The MAC does not match: the datagram was modified in transit, or the sender uses another
+    /// key.
+    #[error("the MAC of the datagram does not match")]
     Mac,
-    /// Received before, or too old.
-    #[error("received before, or too old")]
+    /// A duplicate, a datagram of this process itself, or a timestamp too far from the local clock.
+    #[error("datagram was received before, or its timestamp is out of range")]
     Replayed,
-    /// The MAC is right, but the content cannot be decoded.
-    #[error("malformed")]
+    /// The MAC matches, but the content cannot be decoded.
+    #[error("malformed datagram")]
     Malformed,
-    /// Implausible content: names that are too long, incarnations from the future, too many members.
-    #[error("implausible")]
-    Impossible,
+    /// The content is implausible: a name that is too long, an incarnation in the future, or too
+    /// many members.
+    #[error("implausible datagram content")]
+    Implausible,
 }
 
-/// How many datagrams were dropped, and why.
+/// The number of dropped datagrams by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Dropped {
-    /// The counts, in the order of [`DatagramError`].
-    pub by: [u64; 7],
+pub struct DropCounts {
+    /// The counts, indexed in the order of [`DatagramError`].
+    pub by_reason: [u64; 7],
 }
 
-impl Dropped {
-    /// Counts one.
-    pub fn count(&mut self, why: DatagramError) {
-        self.by[why as usize] += 1;
+impl DropCounts {
+    /// Counts one dropped datagram.
+    pub fn count(&mut self, cause: DatagramError) {
+        self.by_reason[cause as usize] += 1;
     }
 
-    /// The count of one kind.
+    /// The number of datagrams dropped for one reason.
     #[must_use]
-    pub fn of(&self, why: DatagramError) -> u64 {
-        self.by[why as usize]
+    pub fn of(&self, cause: DatagramError) -> u64 {
+        self.by_reason[cause as usize]
     }
 
-    /// The sum of all kinds.
+    /// The number of dropped datagrams.
     #[must_use]
     pub fn total(&self) -> u64 {
-        self.by.iter().sum()
+        self.by_reason.iter().sum()
     }
 }
 
@@ -81,76 +86,83 @@
 struct Header {
     from: Owner,
     sequence: u64,
-    /// The sender's clock, in milliseconds of Unix time.
-    at: u64,
+    /// When the datagram was sent by the sender's clock, in milliseconds of Unix time.
+    sent_at: u64,
 }
 
-/// The sequence numbers received from one sender: RFC 4303's window.
+/// The sequence numbers received from one sender: the sliding window of RFC 4303.
 struct ReplayWindow {
     highest: u64,
-    /// Bit n: `highest - n` was received.
-    bits: u64,
-    at: Micros,
+    /// Bit n is set if `highest - n` was received.
+    received: u64,
+    last_received: Micros,
 }
 
 impl ReplayWindow {
-    /// Marks a sequence number as received; fails where it was before, or is too old.
-    fn receive(&mut self, sequence: u64) -> Result<(), DatagramError> {
+    /// Records a sequence number. Fails if it was received before, or is older than the window.
+    fn record(&mut self, sequence: u64) -> Result<(), DatagramError> {
         if sequence > self.highest {
             let ahead = sequence - self.highest;
-            let shifted = if ahead < 64 { self.bits << ahead } else { 0 };
-            self.bits = shifted | 1;
+            let shifted = if ahead < 64 {
+                self.received << ahead
+            } else {
+                0
+            };
+            self.received = shifted | 1;
             self.highest = sequence;
             return Ok(());
         }
         let back = self.highest - sequence;
-        if back >= 64 || self.bits >> back & 1 == 1 {
+        if back >= 64 || self.received >> back & 1 == 1 {
             return Err(DatagramError::Replayed);
         }
-        self.bits |= 1 << back;
+        self.received |= 1 << back;
         Ok(())
     }
 }
 
-/// Frames the datagrams that are sent, and checks those that come.
-pub struct Frames {
+/// Encodes outgoing datagrams, and authenticates and decodes incoming ones.
+pub struct DatagramCodec {
     key: Vec<u8>,
     installation: [u8; 4],
     me: Owner,
     sequence: u64,
-    skew: Micros,
-    /// The wall clock less the clock of this process.
+    max_clock_skew: Micros,
+    /// The difference between the wall clock and the clock of this process.
     wall_offset: i64,
     max_senders: usize,
-    windows: BTreeMap<Owner, ReplayWindow>,
+    replay_windows: BTreeMap<Owner, ReplayWindow>,
 }
 
-impl Frames {
-    /// Without a key the installation's name is the key: accidental changes and other installations are
-    /// detected, but who knows the name can forge. `skew`: how far clocks may differ, in microseconds.
+impl DatagramCodec {
+    /// Creates a codec. Without a key, the installation's name serves as the key. That detects
+    /// accidental corruption and datagrams of other installations, but anyone who knows the name
+    /// can forge datagrams. `max_clock_skew` is the maximum difference between clocks, in
+    /// microseconds.
     #[must_use]
     pub fn new(
         installation: &str,
         key: Option<&[u8]>,
         me: Owner,
-        skew: Micros,
+        max_clock_skew: Micros,
         max_senders: usize,
-    ) -> Frames {
+    ) -> DatagramCodec {
         let hash = Sha256::digest(installation.as_bytes());
-        Frames {
+        DatagramCodec {
             key: key.unwrap_or(installation.as_bytes()).to_vec(),
             installation: [hash[0], hash[1], hash[2], hash[3]],
             me,
             sequence: 0,
-            skew,
+            max_clock_skew,
             wall_offset: 0,
             max_senders,
-            windows: BTreeMap::new(),
+            replay_windows: BTreeMap::new(),
         }
     }
 
-    /// Sets the wall clock, by which datagrams are stamped and their age is checked. Guards against processes
-    /// that started while the wall clock was wrong, and would reject all others from then on.
+    /// Sets the wall clock, which stamps outgoing datagrams and determines the age of incoming
+    /// ones. Without this, a process started while the wall clock was wrong would reject all others
+    /// from then on.
     pub fn observe_wall_clock(&mut self, now: Micros, wall: Micros) {
         self.wall_offset = wall.wrapping_sub(now) as i64;
     }
@@ -165,14 +177,14 @@
         Some(mac)
     }
 
-    /// How many bytes a body may have at most.
+    /// The maximum length of a body, in bytes.
     #[must_use]
     pub fn max_body_length(&self) -> usize {
-        MAX_DATAGRAM_LENGTH - PREFIX - MAC - (1 + self.me.name.len() + 3 * 10)
+        MAX_DATAGRAM_LENGTH - PREFIX_LENGTH - MAC_LENGTH - (1 + self.me.name.len() + 3 * 10)
     }
 
-    /// Frames a body. None: it is longer than [`Frames::max_body_length`].
-    pub fn wrap(&mut self, now: Micros, body: &[u8]) -> Option<Vec<u8>> {
+    /// Encodes a body. Returns `None` if it is longer than [`DatagramCodec::max_body_length`].
+    pub fn encode(&mut self, now: Micros, body: &[u8]) -> Option<Vec<u8>> {
         if body.len() > self.max_body_length() {
             return None;
         }
@@ -180,29 +192,29 @@
         let header = Header {
             from: self.me.clone(),
             sequence: self.sequence,
-            at: self.wall_clock(now) / 1_000,
+            sent_at: self.wall_clock(now) / 1_000,
         };
         let mut bytes = vec![MAGIC, VERSION];
         bytes.extend_from_slice(&self.installation);
         let mut bytes = postcard::to_extend(&header, bytes).ok()?;
         bytes.extend_from_slice(body);
         let mac = self.mac(&bytes)?.finalize().into_bytes();
-        bytes.extend_from_slice(&mac[..MAC]);
+        bytes.extend_from_slice(&mac[..MAC_LENGTH]);
         debug_assert!(bytes.len() <= MAX_DATAGRAM_LENGTH);
         Some(bytes)
     }
 
-    /// Checks a datagram, and returns its sender and its body.
+    /// Authenticates a datagram, and returns its sender and its body.
     ///
     /// # Errors
-    /// Returns why the datagram is rejected: version, length, installation, authentication or replay.
-    pub fn unwrap<'a>(
+    /// Returns an error if the datagram is malformed, fails authentication or is a replay.
+    pub fn decode<'a>(
         &mut self,
         now: Micros,
         bytes: &'a [u8],
     ) -> Result<(Owner, &'a [u8]), DatagramError> {
         let covered = self.authenticate(bytes)?;
-        let (header, body) = postcard::take_from_bytes::<Header>(&covered[PREFIX..])
+        let (header, body) = postcard::take_from_bytes::<Header>(&covered[PREFIX_LENGTH..])
             .map_err(|_| DatagramError::Malformed)?;
         self.check_header(now, &header)?;
         let Header { from, sequence, .. } = header;
@@ -210,20 +222,20 @@
         Ok((from, body))
     }
 
-    /// Checks the prefix and the MAC; returns the bytes that it covers.
+    /// Checks the prefix and the MAC, and returns the bytes that the MAC covers.
     fn authenticate<'a>(&self, bytes: &'a [u8]) -> Result<&'a [u8], DatagramError> {
         let other_magic = bytes.first().is_some_and(|magic| *magic != MAGIC);
         let other_version = bytes.get(1).is_some_and(|version| *version != VERSION);
         if other_magic || other_version {
             return Err(DatagramError::Version);
         }
-        if bytes.len() < PREFIX + MAC || bytes.len() > MAX_DATAGRAM_LENGTH {
-            return Err(DatagramError::Truncated);
+        if bytes.len() < PREFIX_LENGTH + MAC_LENGTH || bytes.len() > MAX_DATAGRAM_LENGTH {
+            return Err(DatagramError::Length);
         }
-        if bytes[2..PREFIX] != self.installation {
+        if bytes[2..PREFIX_LENGTH] != self.installation {
             return Err(DatagramError::Installation);
         }
-        let (covered, mac) = bytes.split_at(bytes.len() - MAC);
+        let (covered, mac) = bytes.split_at(bytes.len() - MAC_LENGTH);
         let is_authentic = self
             .mac(covered)
             .is_some_and(|computed| computed.verify_truncated_left(mac).is_ok());
@@ -233,56 +245,57 @@
         Ok(covered)
     }
 
-    /// Checks the sender's name, incarnation and clock.
+    /// Checks the sender's name and incarnation, and the timestamp.
     fn check_header(&self, now: Micros, header: &Header) -> Result<(), DatagramError> {
-        let Header { from, at, .. } = header;
+        let Header { from, sent_at, .. } = header;
         let wall = self.wall_clock(now);
         if from.name.is_empty() || from.name.len() > MAX_NAME_LENGTH {
-            return Err(DatagramError::Impossible);
+            return Err(DatagramError::Implausible);
         }
-        if from.incarnation.saturating_mul(1_000) > wall.saturating_add(self.skew) {
-            return Err(DatagramError::Impossible);
+        if from.incarnation.saturating_mul(1_000) > wall.saturating_add(self.max_clock_skew) {
+            return Err(DatagramError::Implausible);
         }
-        let is_stale = wall.abs_diff(at.saturating_mul(1_000)) > self.skew;
+        let is_stale = wall.abs_diff(sent_at.saturating_mul(1_000)) > self.max_clock_skew;
         if is_stale || *from == self.me {
             return Err(DatagramError::Replayed);
         }
         Ok(())
     }
 
-    /// Checks that a sequence number comes for the first time.
+    /// Checks that a sequence number has not been received from this sender before.
     fn check_sequence(
         &mut self,
         now: Micros,
         from: &Owner,
         sequence: u64,
     ) -> Result<(), DatagramError> {
-        if let Some(window) = self.windows.get_mut(from) {
-            window.receive(sequence)?;
-            window.at = now;
+        if let Some(window) = self.replay_windows.get_mut(from) {
+            window.record(sequence)?;
+            window.last_received = now;
             return Ok(());
         }
-        if self.windows.len() >= self.max_senders.max(1) {
-            self.evict_idle_sender();
+        if self.replay_windows.len() >= self.max_senders.max(1) {
+            self.evict_least_recent_sender();
         }
         let window = ReplayWindow {
             highest: sequence,
-            bits: 1,
-            at: now,
+            received: 1,
+            last_received: now,
         };
-        self.windows.insert(from.clone(), window);
+        self.replay_windows.insert(from.clone(), window);
         Ok(())
     }
 
-    /// Evicts the sender that has been silent longest; its old datagrams are rejected by their age.
-    fn evict_idle_sender(&mut self) {
-        let idle = self
-            .windows
+    /// Evicts the sender with the least recent datagram. Old datagrams of that sender are still
+    /// rejected by their timestamps.
+    fn evict_least_recent_sender(&mut self) {
+        let least_recent = self
+            .replay_windows
             .iter()
-            .min_by_key(|(_, window)| window.at)
+            .min_by_key(|(_, window)| window.last_received)
             .map(|(owner, _)| owner.clone());
-        if let Some(owner) = idle {
-            self.windows.remove(&owner);
+        if let Some(owner) = least_recent {
+            self.replay_windows.remove(&owner);
         }
     }
 }
--- a/crates/peers/src/membership/admission.rs
+++ b/crates/peers/src/membership/admission.rs
@@ -1,4 +1,5 @@
-//! The admission of members: forged names and more members than the bound are rejected before foca stores any.
+//! Admission control for members: packets with implausible identities, or with more members than
+//! the limit permits, are rejected before foca stores any of them.
 
 use foca::{Header, Member};
 
@@ -8,7 +9,7 @@
 use crate::rows::{Owner, MAX_NAME_LENGTH};
 
 impl Membership {
-    /// Checks a packet of foca's, and returns its header.
+    /// Checks a foca packet, and returns its header.
     pub(super) fn check_packet(
         &self,
         from: &Owner,
@@ -17,7 +18,7 @@
         let (header, rest) = postcard::take_from_bytes::<Header<Identity>>(bytes)
             .map_err(|_| DatagramError::Malformed)?;
         if header.src.owner != *from {
-            return Err(DatagramError::Impossible);
+            return Err(DatagramError::Implausible);
         }
         let mut named = vec![header.src.clone()];
         if let Some((count, mut rest)) = rest.split_first_chunk::<2>() {
@@ -32,20 +33,20 @@
         Ok(header)
     }
 
-    /// Checks that all of these members may be admitted.
+    /// Checks that all of these members are plausible, and that they fit within the limit.
     pub(super) fn check_admission(&self, mut named: Vec<Identity>) -> Result<(), DatagramError> {
         if !named.iter().all(is_plausible) {
-            return Err(DatagramError::Impossible);
+            return Err(DatagramError::Implausible);
         }
         let known = self.known();
         if known + named.len() <= self.max_members {
             return Ok(());
         }
         named.sort();
-        named.dedup_by_key(|id| id.at);
+        named.dedup_by_key(|id| id.address);
         named.retain(|id| !self.is_known(id));
         if known + named.len() > self.max_members {
-            return Err(DatagramError::Impossible);
+            return Err(DatagramError::Implausible);
         }
         Ok(())
     }
@@ -53,13 +54,13 @@
     fn is_known(&self, id: &Identity) -> bool {
         self.foca
             .iter_membership_state()
-            .any(|member| member.id().at == id.at)
+            .any(|member| member.id().address == id.address)
     }
 }
 
-/// Whether a member has a valid name and an address that can be reached.
+/// Whether a member has a valid name and a usable address.
 fn is_plausible(id: &Identity) -> bool {
     let name = &id.owner.name;
     let has_name = !name.is_empty() && name.len() <= MAX_NAME_LENGTH;
-    has_name && !id.at.ip().is_unspecified() && id.at.port() != 0
+    has_name && !id.address.ip().is_unspecified() && id.address.port() != 0
 }
--- a/crates/peers/src/membership/types.rs
+++ b/crates/peers/src/membership/types.rs
@@ -1,23 +1,23 @@
-//! The types of membership: identities, its pace, and the actions for the caller.
+//! Identities of members, timing parameters, and the actions for the caller.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use crate::budget::Class;
+use crate::budget::TrafficClass;
 use crate::rows::Owner;
 use crate::Micros;
 
-/// One incarnation of a member at an address. A member that was declared dead by mistake comes back as the
-/// next generation of the same incarnation.
+/// One incarnation of a member at an address. A member that was declared dead by mistake returns
+/// with the same incarnation and the next generation.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
-    /// Name and incarnation.
+    /// The member's name and incarnation.
     pub owner: Owner,
-    /// Grows each time that it was declared dead by mistake.
+    /// Increases each time the member is declared dead by mistake.
     pub generation: u16,
-    /// Where it listens.
-    pub at: SocketAddr,
+    /// The address on which the member listens.
+    pub address: SocketAddr,
 }
 
 impl foca::Identity for Identity {
@@ -31,7 +31,7 @@
     }
 
     fn addr(&self) -> SocketAddr {
-        self.at
+        self.address
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
@@ -40,71 +40,73 @@
     }
 }
 
-/// A member as another one knows it.
+/// An entry for a member, as members exchange it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KnownMember {
-    /// Its identity.
+    /// The member's identity.
     pub identity: Identity,
-    /// SWIM's incarnation number: it grows with each suspicion that the member refutes.
+    /// SWIM's incarnation number, which increases with each suspicion that the member refutes.
     pub swim_incarnation: u16,
 }
 
-/// The pace of membership, in microseconds.
+/// The timing parameters of membership, in microseconds.
 #[derive(Clone, Debug)]
-pub struct Pace {
-    /// Between two probes.
-    pub probe: Micros,
-    /// How long an answer may take before others are asked to probe.
-    pub answer: Micros,
-    /// How long a suspect has to refute the suspicion.
-    pub suspicion: Micros,
-    /// Between two notifications of a suspect by the member that suspects it.
-    pub suspect_ping: Micros,
-    /// Between two rounds of gossip.
-    pub gossip: Micros,
+pub struct MembershipTiming {
+    /// The interval between probes.
+    pub probe_interval: Micros,
+    /// How long to wait for an answer before other members are asked to probe.
+    pub probe_timeout: Micros,
+    /// How long a suspect has to refute the suspicion before it is declared dead.
+    pub suspicion_timeout: Micros,
+    /// The interval between pings that notify a suspect of the suspicion.
+    pub suspect_ping_interval: Micros,
+    /// The interval between rounds of gossip.
+    pub gossip_interval: Micros,
     /// How long a dead member is retained.
     pub dead_retention: Micros,
-    /// Between two announcements to a dead member or a join address.
-    pub rejoin: Micros,
-    /// Timers that come later than this mean that this process was stalled.
-    pub stall: Micros,
+    /// The interval between announcements to a dead member or a join address.
+    pub rejoin_interval: Micros,
+    /// A timer that is handled later than this indicates that the process was stalled.
+    pub stall_threshold: Micros,
 }
 
-impl Default for Pace {
+impl Default for MembershipTiming {
     fn default() -> Self {
-        Pace {
-            probe: 500_000,
-            answer: 200_000,
-            suspicion: 1_200_000,
-            suspect_ping: 120_000,
-            gossip: 200_000,
+        MembershipTiming {
+            probe_interval: 500_000,
+            probe_timeout: 200_000,
+            suspicion_timeout: 1_200_000,
+            suspect_ping_interval: 120_000,
+            gossip_interval: 200_000,
             dead_retention: 120_000_000,
-            rejoin: 1_000_000,
-            stall: 400_000,
+            rejoin_interval: 1_000_000,
+            stall_threshold: 400_000,
         }
     }
 }
 
-/// An action for the caller.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a packet of foca's.
+    /// Send a foca packet.
     Send {
-        /// The address.
+        /// The destination.
         to: SocketAddr,
         /// The packet.
         bytes: Vec<u8>,
-        /// How urgent it is.
-        class: Class,
+        /// The priority of the packet.
+        class: TrafficClass,
     },
-    /// Notify an address who this process is now, as [`Membership::me`](super::Membership::me).
-    Introduce(SocketAddr),
-    /// Send a new member a few others. The library's own answer is a packet full of them: hundreds that start
-    /// at once call the same few join addresses.
-    Greet(SocketAddr),
+    /// Send an address the current identity of this process,
+    /// [`Membership::me`](super::Membership::me).
+    SendSelf(SocketAddr),
+    /// Send a new member a few of the other members. foca's own answer is a packet full of members,
+    /// which is too much when hundreds of processes start at once and ask the same few join
+    /// addresses.
+    SendInitialMembers(SocketAddr),
     /// A member joined.
     Joined(Identity),
-    /// A member did not answer this process.
+    /// This process suspects a member that did not answer.
     Suspected(Owner),
     /// A member was declared dead.
     Died(Owner),
--- a/crates/peers/src/node/config.rs
+++ b/crates/peers/src/node/config.rs
@@ -1,67 +1,73 @@
-//! The configuration of a member, and the effects that it returns.
+//! The configuration of a member, its effects and its statistics.
 
 use std::net::SocketAddr;
 
 use crate::endpoint_list::ListUpdate;
-use crate::membership::Pace;
+use crate::membership::MembershipTiming;
 use crate::rows::{Limits, Owner};
 use crate::Micros;
 
 /// The configuration of a member.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// Name and incarnation.
+    /// The member's name and incarnation.
     pub me: Owner,
-    /// Where others reach it.
-    pub at: SocketAddr,
-    /// The installation's name.
+    /// The address at which other members reach it.
+    pub address: SocketAddr,
+    /// The name of the installation.
     pub installation: String,
-    /// The key of the MAC; the installation's name where there is none.
+    /// The key of the MAC. Without one, the installation's name is used.
     pub key: Option<Vec<u8>>,
-    /// Addresses that are called for the other members.
-    pub join: Vec<SocketAddr>,
-    /// The discovery service, as the settings name it.
+    /// The addresses at which the member announces itself to join the fleet.
+    pub join_addresses: Vec<SocketAddr>,
+    /// The address of the discovery service as configured. If it is empty, members are not polled
+    /// for an endpoint list.
     pub discovery: String,
-    /// The most members.
+    /// The maximum number of members.
     pub max_members: usize,
-    /// The most workers.
+    /// The maximum number of workers.
     pub max_workers: usize,
-    /// How far clocks may differ, in microseconds.
-    pub skew: Micros,
-    /// The most bytes sent in a second, over time.
-    pub rate: u64,
-    /// The most bytes sent at once.
-    pub burst: u64,
-    /// Between two exchanges of rows, in microseconds.
+    /// The maximum difference between clocks, in microseconds.
+    pub max_clock_skew: Micros,
+    /// The maximum number of bytes sent per second, on average.
+    pub max_bytes_per_second: u64,
+    /// The maximum number of bytes sent in a burst.
+    pub max_burst_bytes: u64,
+    /// The interval between exchanges of rows, in microseconds.
     pub exchange_interval: Micros,
     /// The age beyond which a peer's endpoint list is ignored, in microseconds.
     pub max_list_age: Micros,
-    /// The bounds of the rows.
+    /// The limits of the rows.
     pub limits: Limits,
-    /// The pace of membership.
-    pub pace: Pace,
+    /// The timing parameters of membership.
+    pub timing: MembershipTiming,
 }
 
 impl Config {
-    /// The defaults for all but identity and address.
+    /// Creates a configuration with defaults for the remaining fields.
     #[must_use]
-    pub fn new(me: Owner, at: SocketAddr, installation: &str, join: Vec<SocketAddr>) -> Config {
+    pub fn new(
+        me: Owner,
+        address: SocketAddr,
+        installation: &str,
+        join_addresses: Vec<SocketAddr>,
+    ) -> Config {
         Config {
             me,
-            at,
+            address,
             installation: installation.to_owned(),
             key: None,
-            join,
+            join_addresses,
             discovery: String::new(),
             max_members: 4_096,
             max_workers: 4_096,
-            skew: 60_000_000,
-            rate: 4_096,
-            burst: 12_288,
+            max_clock_skew: 60_000_000,
+            max_bytes_per_second: 4_096,
+            max_burst_bytes: 12_288,
             exchange_interval: 500_000,
             max_list_age: 600_000_000,
             limits: Limits::default(),
-            pace: Pace::default(),
+            timing: MembershipTiming::default(),
         }
     }
 }
@@ -71,33 +77,33 @@
 pub enum Effect {
     /// Send a datagram.
     Send {
-        /// The address.
+        /// The destination.
         to: SocketAddr,
         /// The datagram.
         bytes: Vec<u8>,
     },
     /// A member joined.
     Joined(Owner),
-    /// A member did not answer this process.
+    /// This process suspects a member that did not answer.
     Suspected(Owner),
     /// A member was declared dead.
     Died(Owner),
-    /// A member's endpoint list changes something.
+    /// A member's endpoint list leads to an update.
     List {
-        /// The member.
+        /// The member that sent the list.
         from: Owner,
-        /// The change.
+        /// The update.
         update: ListUpdate,
     },
 }
 
-/// What a member has sent.
+/// Statistics of what a member has sent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Sent {
+pub struct SendStats {
     /// Bytes sent.
     pub bytes: u64,
-    /// Datagrams that were not sent, as they would have exceeded the budget.
+    /// Datagrams rejected because the budget was exhausted.
     pub over_budget: u64,
-    /// How often this process was found stalled.
+    /// The number of stalls of this process that were detected.
     pub stalls: u64,
 }
--- a/crates/peers/src/node/mod.rs
+++ b/crates/peers/src/node/mod.rs
@@ -1,7 +1,7 @@
-//! One member: membership, rows and endpoint list as one state machine.
+//! A member of the fleet: membership, rows and endpoint list, combined into one state machine.
 //!
-//! What comes is checked, then passed to its part; what is sent has to fit the budget. No state is stored for
-//! senders that have not passed the checks.
+//! Incoming datagrams are authenticated and then handled by the module in charge; outgoing ones are
+//! subject to the budget. No state is kept for senders that fail authentication.
 
 mod anti_entropy;
 mod config;
@@ -10,12 +10,12 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-pub use config::{Config, Effect, Sent};
+pub use config::{Config, Effect, SendStats};
 
-use crate::budget::{Budget, Class};
-use crate::datagram::{DatagramError, Dropped, Frames};
+use crate::budget::{Budget, TrafficClass};
+use crate::datagram::{DatagramCodec, DatagramError, DropCounts};
 use crate::endpoint_list::EndpointListCache;
-use crate::exchange::{self, Cursor};
+use crate::exchange::{self, DigestCursor};
 use crate::membership::{Action, Identity, Membership};
 use crate::message::Body;
 use crate::rows::{Limits, Owner, Rows};
@@ -23,46 +23,47 @@
 use crate::Micros;
 use lists::{ListExchange, POLL_INTERVAL};
 
-/// Senders whose sequence numbers are tracked, for each member.
+/// The number of tracked senders, as a multiple of the maximum number of members.
 const SENDERS_PER_MEMBER: usize = 2;
-/// After an update of members the next exchange follows in this part of the usual interval.
+/// After a membership update or a healed partition, the next exchange follows within the usual
+/// interval divided by this.
 const URGENT_EXCHANGE_DIVISOR: u64 = 5;
 
 /// A member that was declared dead.
-struct Death {
-    at: SocketAddr,
-    since: Micros,
+struct DeadMember {
+    address: SocketAddr,
+    declared_at: Micros,
 }
 
-/// One member.
+/// A member of the fleet.
 pub struct Node {
-    frames: Frames,
+    codec: DatagramCodec,
     membership: Membership,
     rows: Rows,
     endpoint_list: EndpointListCache,
     lists: ListExchange,
     budget: Budget,
-    cursor: Cursor,
+    cursor: DigestCursor,
     rng: fastrand::Rng,
     installation: String,
-    living: BTreeMap<Owner, SocketAddr>,
-    dead: BTreeMap<Owner, Death>,
+    live_members: BTreeMap<Owner, SocketAddr>,
+    dead: BTreeMap<Owner, DeadMember>,
     next_exchange: Micros,
     exchange_interval: Micros,
     dead_retention: Micros,
     max_members: usize,
     effects: VecDeque<Effect>,
-    dropped: Dropped,
-    sent_by: [u64; Body::KINDS.len()],
+    dropped: DropCounts,
+    sent_bytes_by_kind: [u64; Body::KINDS.len()],
 }
 
 impl Node {
-    /// A member that knows no other yet.
+    /// Creates a member that knows no others yet.
     #[must_use]
     pub fn new(config: Config, now: Micros, seed: u64) -> Node {
         let mut rng = fastrand::Rng::with_seed(seed);
         let membership = membership(&config, now, rng.u64(..));
-        let cursor = Cursor::new(rng.u32(..));
+        let cursor = DigestCursor::new(rng.u32(..));
         let next_exchange = now + rng.u64(0..config.exchange_interval.max(1));
         let next_poll = if config.discovery.is_empty() {
             Micros::MAX
@@ -70,14 +71,20 @@
             now + rng.u64(0..POLL_INTERVAL)
         };
         let limits = Limits {
-            skew: config.skew,
+            max_clock_skew: config.max_clock_skew,
             ..config.limits
         };
         let max_senders = SENDERS_PER_MEMBER * config.max_members;
         let key = config.key.as_deref();
         let me = config.me.clone();
         Node {
-            frames: Frames::new(&config.installation, key, me, config.skew, max_senders),
+            codec: DatagramCodec::new(
+                &config.installation,
+                key,
+                me,
+                config.max_clock_skew,
+                max_senders,
+            ),
             membership,
             rows: Rows::new(config.me, limits, now),
             endpoint_list: EndpointListCache::new(
@@ -86,29 +93,29 @@
                 config.max_list_age,
             ),
             lists: ListExchange::new(next_poll),
-            budget: Budget::new(config.rate, config.burst, now),
+            budget: Budget::new(config.max_bytes_per_second, config.max_burst_bytes, now),
             cursor,
             installation: config.installation,
-            living: BTreeMap::new(),
+            live_members: BTreeMap::new(),
             dead: BTreeMap::new(),
             next_exchange,
             exchange_interval: config.exchange_interval,
-            dead_retention: config.pace.dead_retention,
+            dead_retention: config.timing.dead_retention,
             max_members: config.max_members,
             effects: VecDeque::new(),
-            dropped: Dropped::default(),
-            sent_by: [0; Body::KINDS.len()],
+            dropped: DropCounts::default(),
+            sent_bytes_by_kind: [0; Body::KINDS.len()],
             rng,
         }
     }
 
-    /// The shared rows, to read.
+    /// The shared rows.
     #[must_use]
     pub fn rows(&self) -> &Rows {
         &self.rows
     }
 
-    /// The shared rows, to raise own ones.
+    /// The shared rows, for incrementing own counts.
     pub fn rows_mut(&mut self) -> &mut Rows {
         &mut self.rows
     }
@@ -119,57 +126,57 @@
         &self.endpoint_list
     }
 
-    /// The living as far as known, without this process, by name and incarnation.
-    pub fn living(&self) -> impl Iterator<Item = (&Owner, SocketAddr)> {
-        self.living.iter().map(|(owner, at)| (owner, *at))
+    /// The members known to be alive, excluding this process, sorted by name and incarnation.
+    pub fn live_members(&self) -> impl Iterator<Item = (&Owner, SocketAddr)> {
+        self.live_members.iter().map(|(owner, at)| (owner, *at))
     }
 
     /// Whether the member at an address is known to be dead.
     #[must_use]
     pub fn is_dead(&self, at: SocketAddr) -> bool {
-        self.dead.values().any(|death| death.at == at)
+        self.dead.values().any(|dead| dead.address == at)
     }
 
-    /// The datagrams that were dropped.
+    /// The number of dropped datagrams by reason.
     #[must_use]
-    pub fn dropped(&self) -> Dropped {
+    pub fn dropped(&self) -> DropCounts {
         self.dropped
     }
 
-    /// What was sent.
+    /// Statistics of what was sent.
     #[must_use]
-    pub fn sent(&self) -> Sent {
-        Sent {
+    pub fn send_stats(&self) -> SendStats {
+        SendStats {
             bytes: self.budget.sent,
             over_budget: self.budget.over_budget,
             stalls: self.membership.stalls,
         }
     }
 
-    /// Bytes sent, by the kinds of [`Body::KINDS`].
+    /// Bytes sent by variant, in the order of [`Body::KINDS`].
     #[must_use]
-    pub fn sent_by(&self) -> [u64; Body::KINDS.len()] {
-        self.sent_by
+    pub fn sent_bytes_by_kind(&self) -> [u64; Body::KINDS.len()] {
+        self.sent_bytes_by_kind
     }
 
-    /// A snapshot of the shared state, for a file.
+    /// A snapshot of the shared state.
     #[must_use]
     pub fn snapshot(&self, now: Micros) -> Snapshot {
-        let members = self.living.values().copied().collect();
+        let members = self.live_members.values().copied().collect();
         Snapshot::of(&self.rows, now, &self.installation, members)
     }
 
-    /// Restores a snapshot of an earlier incarnation, at a start.
+    /// Restores the snapshot of an earlier incarnation at start-up.
     pub fn restore(&mut self, snapshot: Snapshot) {
         snapshot.restore(&mut self.rows);
     }
 
-    /// Sets the wall clock; to be called before datagrams are handled or requested.
+    /// Sets the wall clock. To be called before datagrams are handled or created.
     pub fn observe_wall_clock(&mut self, now: Micros, wall: Micros) {
-        self.frames.observe_wall_clock(now, wall);
+        self.codec.observe_wall_clock(now, wall);
     }
 
-    /// Handles a datagram that came.
+    /// Handles a received datagram.
     pub fn handle(&mut self, now: Micros, from: SocketAddr, bytes: &[u8]) {
         self.rows.expire(now);
         if let Err(error) = self.handle_datagram(now, from, bytes) {
@@ -184,53 +191,58 @@
         from: SocketAddr,
         bytes: &[u8],
     ) -> Result<(), DatagramError> {
-        let (owner, body) = self.frames.unwrap(now, bytes)?;
+        let (owner, body) = self.codec.decode(now, bytes)?;
         if self.dead.contains_key(&owner) {
-            // A partition has healed: what both sides have is compared at once.
-            self.exchange_soon(now);
+            // A partition has healed, so the rows of both sides are compared soon.
+            self.schedule_early_exchange(now);
         }
         match postcard::from_bytes(body).map_err(|_| DatagramError::Malformed)? {
             Body::Membership(packet) => self.membership.handle(now, &owner, &packet)?,
             Body::Digest(digest) => self.on_digest(now, from, &owner, &digest)?,
             Body::Members(members) => {
                 self.membership.apply(now, members, true)?;
-                // Who had updates of members has more of them.
-                self.exchange_soon(now);
+                // A peer that sent these entries may have further ones.
+                self.schedule_early_exchange(now);
             }
-            Body::Dead(members) => self.membership.apply(now, members, false)?,
+            Body::DeadMembers(members) => self.membership.apply(now, members, false)?,
             Body::Rows(newest, deltas) => {
-                if !exchange::merge(&mut self.rows, newest, deltas) {
-                    return Err(DatagramError::Impossible);
+                if !exchange::merge_deltas(&mut self.rows, newest, deltas) {
+                    return Err(DatagramError::Implausible);
                 }
             }
-            Body::Number(theirs) => self.compare_lists(now, from, theirs),
-            Body::List(chunk) => self.on_list_chunk(now, &owner, chunk),
+            Body::ListVersion(theirs) => self.compare_lists(now, from, theirs),
+            Body::ListChunk(chunk) => self.on_list_chunk(now, &owner, chunk),
         }
         Ok(())
     }
 
-    fn exchange_soon(&mut self, now: Micros) {
+    fn schedule_early_exchange(&mut self, now: Micros) {
         let soon = now + self.exchange_interval / URGENT_EXCHANGE_DIVISOR;
         self.next_exchange = self.next_exchange.min(soon);
     }
 
-    /// Sends a datagram, if the budget allows it; returns whether it did.
-    fn send(&mut self, now: Micros, to: SocketAddr, class: Class, body: &Body) -> bool {
+    /// Sends a datagram if the budget allows it. Returns whether it was sent.
+    fn send(&mut self, now: Micros, to: SocketAddr, class: TrafficClass, body: &Body) -> bool {
         let kind = body.kind();
         let body = postcard::to_allocvec(body).unwrap_or_default();
-        let Some(bytes) = self.frames.wrap(now, &body) else {
-            debug_assert!(false, "a body of {} bytes", body.len());
+        let Some(bytes) = self.codec.encode(now, &body) else {
+            debug_assert!(
+                false,
+                "a body of {} bytes exceeds the maximum length",
+                body.len()
+            );
             return false;
         };
-        if !self.budget.take(now, class, bytes.len()) {
+        if !self.budget.try_consume(now, class, bytes.len()) {
             return false;
         }
-        self.sent_by[kind] += bytes.len() as u64;
+        self.sent_bytes_by_kind[kind] += bytes.len() as u64;
         self.effects.push_back(Effect::Send { to, bytes });
         true
     }
 
-    /// Does what is due. To be called at [`Node::next_wake`] at the latest; later means a stall.
+    /// Handles everything that is due. To be called at [`Node::next_wake`] at the latest: a call
+    /// that is late by more than the stall threshold counts as a stall of this process.
     pub fn tick(&mut self, now: Micros) {
         self.rows.expire(now);
         self.membership.tick(now);
@@ -238,24 +250,24 @@
         self.poll_for_list(now);
         if now >= self.next_exchange {
             self.next_exchange = now + self.exchange_interval;
-            self.exchange(now);
+            self.send_digest(now);
         }
     }
 
-    /// Carries out the actions of membership.
+    /// Carries out the actions that membership has queued.
     fn apply_membership_actions(&mut self, now: Micros) {
-        while let Some(action) = self.membership.poll() {
+        while let Some(action) = self.membership.poll_action() {
             match action {
                 Action::Send { to, bytes, class } => {
                     self.send(now, to, class, &Body::Membership(bytes));
                 }
-                Action::Introduce(to) => {
-                    let me = vec![self.membership.introduction()];
-                    self.send(now, to, Class::Update, &Body::Members(me));
+                Action::SendSelf(to) => {
+                    let me = vec![self.membership.self_entry()];
+                    self.send(now, to, TrafficClass::Update, &Body::Members(me));
                 }
-                Action::Greet(to) => {
-                    let members = self.membership.greeting(to);
-                    self.send(now, to, Class::List, &Body::Members(members));
+                Action::SendInitialMembers(to) => {
+                    let members = self.membership.initial_members(to);
+                    self.send(now, to, TrafficClass::List, &Body::Members(members));
                 }
                 Action::Joined(id) => self.on_joined(id),
                 Action::Suspected(owner) => self.effects.push_back(Effect::Suspected(owner)),
@@ -266,24 +278,31 @@
 
     fn on_joined(&mut self, id: Identity) {
         self.dead
-            .retain(|owner, death| *owner != id.owner && death.at != id.at);
+            .retain(|owner, dead| *owner != id.owner && dead.address != id.address);
         self.rows.set_alive(&id.owner, true);
-        // A new generation of a member that is known already is nothing new.
-        if self.living.insert(id.owner.clone(), id.at).is_none() {
+        // A new generation of a member that is already known is not reported.
+        if self
+            .live_members
+            .insert(id.owner.clone(), id.address)
+            .is_none()
+        {
             self.effects.push_back(Effect::Joined(id.owner));
         }
     }
 
     fn on_died(&mut self, now: Micros, owner: Owner) {
         self.rows.set_alive(&owner, false);
-        if let Some(at) = self.living.remove(&owner) {
-            let death = Death { at, since: now };
-            self.dead.insert(owner.clone(), death);
+        if let Some(address) = self.live_members.remove(&owner) {
+            let dead = DeadMember {
+                address,
+                declared_at: now,
+            };
+            self.dead.insert(owner.clone(), dead);
             self.effects.push_back(Effect::Died(owner));
         }
     }
 
-    /// When [`Node::tick`] is to be called next, at the latest.
+    /// The time by which [`Node::tick`] has to be called.
     #[must_use]
     pub fn next_wake(&self) -> Micros {
         self.membership
@@ -292,7 +311,7 @@
             .min(self.lists.next_poll)
     }
 
-    /// The next effect, in order.
+    /// Returns the next queued effect.
     pub fn poll_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
@@ -302,8 +321,15 @@
     let me = Identity {
         owner: config.me.clone(),
         generation: 0,
-        at: config.at,
+        address: config.address,
     };
-    let join = config.join.clone();
-    Membership::new(me, join, config.max_members, config.pace.clone(), now, seed)
+    let join_addresses = config.join_addresses.clone();
+    Membership::new(
+        me,
+        join_addresses,
+        config.max_members,
+        config.timing.clone(),
+        now,
+        seed,
+    )
 }
--- a/crates/peers/src/polling.rs
+++ b/crates/peers/src/polling.rs
@@ -1,9 +1,10 @@
-//! Which members may poll discovery for the endpoint list when hundreds start at once.
+//! The order in which members may poll discovery for the endpoint list, which limits the calls when
+//! hundreds start at once.
 //!
-//! The join addresses of the settings come first, in their order, as all members know these before they know
-//! each other; then the living by rendezvous hash (Thaler and Ravishankar, 'Using name-based mappings to
-//! increase hit rates', IEEE/ACM ToN 6(1), 1998). After a bounded time each member polls, whatever its peers
-//! say.
+//! Members at the configured join addresses come first, in the configured order, because all
+//! members know these before they know each other. The others follow in the order of their
+//! rendezvous hashes (Thaler and Ravishankar, 'Using name-based mappings to increase hit rates',
+//! IEEE/ACM ToN 6(1), 1998). After a maximum delay each member polls, regardless of its rank.
 
 use std::net::SocketAddr;
 
@@ -12,46 +13,49 @@
 use crate::rows::Owner;
 use crate::Micros;
 
-/// How many members poll in one turn.
+/// The number of members that poll in one turn.
 const POLLS_PER_TURN: u64 = 2;
 
-/// The times of polling, in microseconds.
+/// The delays before polling, in microseconds.
 #[derive(Clone, Debug)]
-pub struct PollTurns {
-    /// How long a member that is no join address waits at least, to discover the others.
-    pub discovery_wait: Micros,
-    /// How long the members of a turn may be silent before those of the next one poll.
-    pub turn: Micros,
-    /// After this each member polls; it is spread over as much again, by the hash of the name.
-    pub unconditional: Micros,
+pub struct PollSchedule {
+    /// The minimum delay of a member that is not at a join address, which gives it time to learn of
+    /// the others.
+    pub min_delay: Micros,
+    /// The interval between turns: if no list has arrived by then, the members of the next turn
+    /// poll.
+    pub turn_interval: Micros,
+    /// The delay after which each member polls in any case. A hash of its name and incarnation adds
+    /// up to the same time again, which spreads these polls.
+    pub fallback_delay: Micros,
 }
 
-impl Default for PollTurns {
+impl Default for PollSchedule {
     fn default() -> Self {
-        PollTurns {
-            discovery_wait: 1_000_000,
-            turn: 1_000_000,
-            unconditional: 8_000_000,
+        PollSchedule {
+            min_delay: 1_000_000,
+            turn_interval: 1_000_000,
+            fallback_delay: 8_000_000,
         }
     }
 }
 
-/// The fleet as one member knows it.
+/// The fleet as known to one member.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet<'a> {
     /// This member.
     pub me: &'a Owner,
-    /// Its address.
+    /// This member's address.
     pub address: SocketAddr,
-    /// The others that are alive as far as is known.
-    pub living: &'a [(Owner, SocketAddr)],
-    /// The join addresses of the settings.
-    pub join: &'a [SocketAddr],
-    /// How many members there are by the settings.
-    pub members: usize,
+    /// The other members that are known to be alive.
+    pub live_members: &'a [(Owner, SocketAddr)],
+    /// The configured join addresses.
+    pub join_addresses: &'a [SocketAddr],
+    /// The configured number of members.
+    pub configured_members: usize,
 }
 
-/// The weight of a member in the rendezvous hash.
+/// The weight of a member in the rendezvous hash. Higher weights come first.
 fn weight(owner: &Owner) -> u64 {
     let incarnation = owner.incarnation.to_le_bytes();
     let hash = Sha256::digest([owner.name.as_bytes(), b"/list", &incarnation].concat());
@@ -60,42 +64,42 @@
     ])
 }
 
-/// After how long since its start this process may poll, as long as no list has come. `is_dead`: whether a
-/// join address is known to be dead.
+/// The time after its start from which this process may poll if it has not received a list.
+/// `is_dead` tells whether the member at a join address is known to be dead.
 ///
-/// At first each member knows few of the others, and would take itself for one of the first: so it waits at
-/// least for the rank that its hash has among as many members as the settings name.
+/// At first each member knows few others, and would rank itself among the first. Its rank is
+/// therefore at least the one its hash is expected to have among the configured number of members.
 pub fn may_poll_after(
-    turns: &PollTurns,
+    schedule: &PollSchedule,
     fleet: &Fleet<'_>,
     is_dead: impl Fn(SocketAddr) -> bool,
 ) -> Micros {
     let seeds: Vec<SocketAddr> = fleet
-        .join
+        .join_addresses
         .iter()
         .copied()
         .filter(|at| *at == fleet.address || !is_dead(*at))
         .collect();
     let weight = weight(fleet.me);
-    let unconditional = turns.unconditional + weight % turns.unconditional.max(1);
+    let fallback = schedule.fallback_delay + weight % schedule.fallback_delay.max(1);
     let after = match seeds.iter().position(|at| *at == fleet.address) {
-        Some(rank) => rank as u64 / POLLS_PER_TURN * turns.turn,
+        Some(rank) => rank as u64 / POLLS_PER_TURN * schedule.turn_interval,
         None => {
             let rank = rank(fleet, &seeds, weight);
-            (rank / POLLS_PER_TURN * turns.turn).max(turns.discovery_wait)
+            (rank / POLLS_PER_TURN * schedule.turn_interval).max(schedule.min_delay)
         }
     };
-    after.min(unconditional)
+    after.min(fallback)
 }
 
-/// The rank of a member that is no join address.
+/// The rank of a member that is not at a join address.
 fn rank(fleet: &Fleet<'_>, seeds: &[SocketAddr], own_weight: u64) -> u64 {
-    let before = fleet
-        .living
+    let ranked_before = fleet
+        .live_members
         .iter()
         .filter(|(owner, at)| !seeds.contains(at) && weight(owner) > own_weight)
         .count();
-    let others = fleet.members.saturating_sub(seeds.len());
+    let others = fleet.configured_members.saturating_sub(seeds.len());
     let expected = (u128::from(!own_weight) * others as u128) >> 64;
-    seeds.len() as u64 + (before as u64).max(expected as u64)
+    seeds.len() as u64 + (ranked_before as u64).max(expected as u64)
 }
--- a/crates/peers/src/rows/mod.rs
+++ b/crates/peers/src/rows/mod.rs
@@ -1,10 +1,10 @@
-//! The shared rows of counters: each is raised by its owner only, and stored and passed on by all.
+//! Shared rows of counters. Only its owner increments a row; all members store and forward it.
 //!
-//! [`Rows`] merges, expires and bounds them. Merging is a join (the larger version, the larger of each
-//! count: a grow-only counter after Shapiro et al., 'A comprehensive study of convergent and commutative
-//! replicated data types', INRIA RR-7506, 2011, section 3.1.1), so it may happen in any order and any number
-//! of times. A row of one owner is never raised by another, and the rows of a dead owner stay until they
-//! expire.
+//! [`Rows`] merges and expires rows, and enforces limits. Merging takes the larger version and the
+//! larger of each count: a grow-only counter as in Shapiro et al., 'A comprehensive study of
+//! convergent and commutative replicated data types', INRIA RR-7506, 2011, section 3.1.1. Rows may
+//! therefore be merged in any order and any number of times. The rows of a dead owner are retained
+//! until they expire.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,10 +18,10 @@
     MAX_SUBJECT_LENGTH,
 };
 
-/// Bytes accounted for a row beside its subject and counts: both indices and their nodes.
+/// Bytes accounted for a row in addition to its subject and counts: the entries in both indices.
 const ROW_OVERHEAD: usize = 128;
 
-/// A row in memory.
+/// A stored row.
 #[derive(Clone, Debug, Default)]
 struct StoredRow {
     version: u64,
@@ -31,13 +31,13 @@
 /// The rows of one owner.
 #[derive(Clone, Debug, Default)]
 struct OwnerRows {
-    /// All that the owner raised up to this version is stored, or has expired.
-    known: u64,
+    /// The version up to which all rows of the owner are stored or have expired.
+    known_version: u64,
     rows: BTreeMap<Key, StoredRow>,
     by_version: BTreeSet<(u64, Key)>,
     alive: bool,
     /// The window in which the owner was declared dead.
-    died: u32,
+    died_in_window: u32,
 }
 
 impl OwnerRows {
@@ -47,7 +47,8 @@
         debug_assert_eq!(self.rows.len(), self.by_version.len());
     }
 
-    /// Joins a row with the stored one, which is there; returns whether that changes it.
+    /// Merges a row into the stored one, which is created if absent. Returns whether that changed
+    /// it.
     fn join(&mut self, key: &Key, version: u64, counts: &[u32]) -> bool {
         let stored = self.rows.entry(key.clone()).or_default();
         if stored.counts.len() < counts.len() {
@@ -74,21 +75,21 @@
     me: Owner,
     limits: Limits,
     owners: BTreeMap<Owner, OwnerRows>,
-    rows: usize,
-    bytes: usize,
-    /// The current window by the own clock.
-    current: u32,
+    row_count: usize,
+    total_bytes: usize,
+    /// The current window by the local clock.
+    current_window: u32,
     now: Micros,
     revision: u64,
     rejected: RejectedRows,
 }
 
-fn cost(key: &Key, counts: usize) -> usize {
+fn accounted_bytes(key: &Key, counts: usize) -> usize {
     ROW_OVERHEAD + key.subject.len() + 4 * counts
 }
 
 impl Rows {
-    /// No rows yet, for one incarnation of a member. `now` is Unix time.
+    /// Creates an empty store for one incarnation of a member. `now` is Unix time.
     #[must_use]
     pub fn new(me: Owner, limits: Limits, now: Micros) -> Rows {
         let own = OwnerRows {
@@ -99,9 +100,9 @@
             owners: BTreeMap::from([(me.clone(), own)]),
             me,
             limits,
-            rows: 0,
-            bytes: 0,
-            current: 0,
+            row_count: 0,
+            total_bytes: 0,
+            current_window: 0,
             now,
             revision: 0,
             rejected: RejectedRows::default(),
@@ -110,36 +111,37 @@
         rows
     }
 
-    /// The owner that this process is.
+    /// The name and incarnation of this process as an owner.
     #[must_use]
     pub fn me(&self) -> &Owner {
         &self.me
     }
 
-    /// The number of the window that contains this time.
+    /// The number of the window that contains a time.
     #[must_use]
     pub fn window(&self, at: Micros) -> u32 {
-        u32::try_from(at / self.limits.window.max(1)).unwrap_or(u32::MAX)
+        u32::try_from(at / self.limits.window_length.max(1)).unwrap_or(u32::MAX)
     }
 
-    /// Adds to counts of an own row, which is created where it does not exist. Counts saturate at
-    /// [`Limits::max_count`].
+    /// Increments counts of one of this process's own rows, which is created if absent.
+    /// `increments` are pairs of index and amount. Counts saturate at [`Limits::max_count`].
     ///
     /// # Errors
-    /// Returns why the row was rejected, for example because it is too long or the limits are reached.
+    /// Returns an error if the row is too long or outside the accepted windows, or if a limit is
+    /// reached.
     pub fn raise(
         &mut self,
         window: u32,
         table: u8,
         subject: &[u8],
-        adds: &[(usize, u32)],
+        increments: &[(usize, u32)],
     ) -> Result<(), RowError> {
         let too_long = subject.len() > MAX_SUBJECT_LENGTH;
-        if too_long || adds.iter().any(|(index, _)| *index >= MAX_COUNTS) {
+        if too_long || increments.iter().any(|(index, _)| *index >= MAX_COUNTS) {
             self.rejected.count(RowError::TooLong);
             return Err(RowError::TooLong);
         }
-        if adds.iter().all(|(_, add)| *add == 0) {
+        if increments.iter().all(|(_, increment)| *increment == 0) {
             return Ok(());
         }
         let key = Key {
@@ -148,15 +150,15 @@
             subject: subject.into(),
         };
         let own = self.owners.get(&self.me);
-        let version = own.map_or(0, |own| own.known) + 1;
+        let version = own.map_or(0, |own| own.known_version) + 1;
         let stored = own.and_then(|own| own.rows.get(&key));
         let mut counts = stored.map_or_else(Vec::new, |row| row.counts.clone());
-        for (index, add) in adds {
+        for (index, increment) in increments {
             if counts.len() <= *index {
                 counts.resize(index + 1, 0);
             }
-            let raised = counts[*index].saturating_add(*add);
-            counts[*index] = raised.min(self.limits.max_count);
+            let sum = counts[*index].saturating_add(*increment);
+            counts[*index] = sum.min(self.limits.max_count);
         }
         let me = self.me.clone();
         let row = Row {
@@ -164,50 +166,52 @@
             key,
             counts,
         };
-        self.put(&me, row)
+        self.store(&me, row)
             .inspect_err(|error| self.rejected.count(*error))?;
         if let Some(own) = self.owners.get_mut(&me) {
-            own.known = version;
+            own.known_version = version;
         }
         Ok(())
     }
 
-    /// Merges a row that another process has stored.
+    /// Merges a row received from another process or read from a snapshot.
     ///
     /// # Errors
-    /// Returns why the row was rejected, for example because it is too long, too old or implausible.
+    /// Returns an error if the row is implausible, too long or outside the accepted windows, or if a
+    /// limit is reached.
     pub fn merge(&mut self, owner: &Owner, row: Row) -> Result<(), RowError> {
-        self.check(owner, &row)
-            .and_then(|()| self.put(owner, row))
+        self.validate(owner, &row)
+            .and_then(|()| self.store(owner, row))
             .inspect_err(|error| self.rejected.count(*error))
     }
 
-    fn check(&self, owner: &Owner, row: &Row) -> Result<(), RowError> {
+    fn validate(&self, owner: &Owner, row: &Row) -> Result<(), RowError> {
         let name_is_too_long = owner.name.len() > MAX_NAME_LENGTH;
         let subject_is_too_long = row.key.subject.len() > MAX_SUBJECT_LENGTH;
         if name_is_too_long || subject_is_too_long || row.counts.len() > MAX_COUNTS {
             return Err(RowError::TooLong);
         }
         let started = owner.incarnation.saturating_mul(1_000);
-        let latest = self.now.saturating_add(self.limits.skew);
-        let age = latest.checked_sub(started).ok_or(RowError::Impossible)?;
-        let max_version = (age / 1_000_000 + 1).saturating_mul(self.limits.max_raises_per_second);
+        let latest = self.now.saturating_add(self.limits.max_clock_skew);
+        let age = latest.checked_sub(started).ok_or(RowError::Implausible)?;
+        let max_version =
+            (age / 1_000_000 + 1).saturating_mul(self.limits.max_increments_per_second);
         let max_count = self.limits.max_count;
         if row.version == 0
             || row.version > max_version
             || row.counts.iter().any(|count| *count > max_count)
         {
-            return Err(RowError::Impossible);
+            return Err(RowError::Implausible);
         }
-        if *owner == self.me && !self.is_own(row) {
-            return Err(RowError::Foreign);
+        if *owner == self.me && !self.is_own_row(row) {
+            return Err(RowError::OwnerConflict);
         }
         Ok(())
     }
 
-    /// Whether a row is one of this process's own that another one has passed on: no version and no count
-    /// is higher than was raised here.
-    fn is_own(&self, row: &Row) -> bool {
+    /// Whether a row that another process forwarded was produced by this one: neither its version
+    /// nor any count is higher than in the stored row.
+    fn is_own_row(&self, row: &Row) -> bool {
         let Some(own) = self
             .owners
             .get(&self.me)
@@ -215,20 +219,22 @@
         else {
             return false;
         };
-        let was_counted =
+        let is_within_own =
             |(index, count): (usize, &u32)| own.counts.get(index).is_some_and(|own| count <= own);
-        row.version <= own.version && row.counts.iter().enumerate().all(was_counted)
+        row.version <= own.version && row.counts.iter().enumerate().all(is_within_own)
     }
 
-    /// Joins a row with what is stored.
-    fn put(&mut self, owner: &Owner, row: Row) -> Result<(), RowError> {
+    /// Merges a row into the stored ones, within the limits.
+    fn store(&mut self, owner: &Owner, row: Row) -> Result<(), RowError> {
         let Row {
             version,
             key,
             mut counts,
         } = row;
-        let newest = self.current.saturating_add(self.limits.windows_ahead);
-        if key.window < self.oldest() || key.window > newest {
+        let newest = self
+            .current_window
+            .saturating_add(self.limits.windows_ahead);
+        if key.window < self.oldest_window() || key.window > newest {
             return Err(RowError::Window);
         }
         while counts.last() == Some(&0) {
@@ -239,53 +245,53 @@
         }
         let stored = self.owners.entry(owner.clone()).or_default();
         let old = stored.rows.get(&key).map(|row| row.counts.len());
-        let before = old.map_or(0, |old| cost(&key, old));
-        let after = cost(&key, counts.len().max(old.unwrap_or(0)));
-        let is_full = self.rows >= self.limits.max_rows
+        let before = old.map_or(0, |old| accounted_bytes(&key, old));
+        let after = accounted_bytes(&key, counts.len().max(old.unwrap_or(0)));
+        let is_full = self.row_count >= self.limits.max_rows
             || stored.rows.len() >= self.limits.max_rows_per_owner;
-        if old.is_none() && is_full || self.bytes - before + after > self.limits.max_bytes {
+        if old.is_none() && is_full || self.total_bytes - before + after > self.limits.max_bytes {
             return Err(RowError::Full);
         }
         let changed = stored.join(&key, version, &counts);
-        self.rows += usize::from(old.is_none());
-        self.bytes = self.bytes - before + after;
+        self.row_count += usize::from(old.is_none());
+        self.total_bytes = self.total_bytes - before + after;
         self.revision += u64::from(changed);
         Ok(())
     }
 
-    /// The oldest window that is retained.
-    fn oldest(&self) -> u32 {
-        (self.current + 1).saturating_sub(self.limits.retained_windows)
+    /// The oldest retained window.
+    fn oldest_window(&self) -> u32 {
+        (self.current_window + 1).saturating_sub(self.limits.retained_windows)
     }
 
-    /// Sets the time: rows of windows that are not retained any more expire, and with its last row an owner
-    /// that is not alive. A clock that steps back brings nothing back.
+    /// Advances the clock. Rows of windows that are no longer retained expire, and dead owners
+    /// without rows are removed. A clock that is set back has no effect.
     pub fn expire(&mut self, now: Micros) {
         self.now = self.now.max(now);
         let current = self.window(self.now);
-        if current == self.current {
+        if current == self.current_window {
             return;
         }
-        self.current = current;
-        let oldest = self.oldest();
-        self.rows = 0;
-        self.bytes = 0;
+        self.current_window = current;
+        let oldest = self.oldest_window();
+        self.row_count = 0;
+        self.total_bytes = 0;
         self.owners.retain(|owner, stored| {
             stored.expire(oldest);
-            self.rows += stored.rows.len();
+            self.row_count += stored.rows.len();
             for (key, row) in &stored.rows {
-                self.bytes += cost(key, row.counts.len());
+                self.total_bytes += accounted_bytes(key, row.counts.len());
             }
-            // One that has just died is retained, so that others are notified.
+            // An owner that has just died is retained, so that its death reaches other members.
             stored.alive
                 || *owner == self.me
                 || !stored.rows.is_empty()
-                || stored.died.saturating_add(1) >= current
+                || stored.died_in_window.saturating_add(1) >= current
         });
         self.revision += 1;
     }
 
-    /// Sets whether an owner is alive. Owners beyond the limit are ignored.
+    /// Sets whether an owner is alive. New owners beyond the limit are ignored.
     pub fn set_alive(&mut self, owner: &Owner, alive: bool) {
         if *owner == self.me {
             return;
@@ -294,7 +300,7 @@
             self.revision += u64::from(stored.alive != alive);
             stored.alive = alive;
             if !alive {
-                stored.died = self.current;
+                stored.died_in_window = self.current_window;
             }
         } else if alive
             && owner.name.len() <= MAX_NAME_LENGTH
@@ -309,15 +315,15 @@
         }
     }
 
-    /// All of an owner's rows from `since` up to `upto` were merged or rejected: where there is no gap before
-    /// them, the owner's rows are known up to there.
-    pub fn advance(&mut self, owner: &Owner, since: u64, upto: u64) {
+    /// Advances the version up to which an owner's rows are known, after all of those from `since`
+    /// to `up_to` were merged or rejected. Has no effect if there is a gap before `since`.
+    pub fn advance(&mut self, owner: &Owner, since: u64, up_to: u64) {
         if *owner == self.me {
             return;
         }
         if let Some(stored) = self.owners.get_mut(owner) {
-            if since <= stored.known && upto > stored.known {
-                stored.known = upto;
+            if since <= stored.known_version && up_to > stored.known_version {
+                stored.known_version = up_to;
             }
         }
     }
--- a/crates/server/src/net/peers/mod.rs
+++ b/crates/server/src/net/peers/mod.rs
@@ -88,11 +88,11 @@
     let snapshot = settings
         .dir
         .as_deref()
-        .and_then(|dir| snapshot_file::read(dir, settings, now, node_config.skew));
+        .and_then(|dir| snapshot_file::read(dir, settings, now, node_config.max_clock_skew));
     // The members of the snapshot serve as further join addresses.
     if let Some(snapshot) = &snapshot {
         node_config
-            .join
+            .join_addresses
             .extend(snapshot.members.iter().copied().take(settings.members));
     }
     node_config.key = key;
@@ -244,7 +244,7 @@
         if dropped.total() == self.logged_total || now < self.logged_at + DROP_LOG_PERIOD {
             return;
         }
-        let [cut, version, installation, mac, replayed, malformed, impossible] = dropped.by;
+        let [cut, version, installation, mac, replayed, malformed, impossible] = dropped.by_reason;
         warn!(
             event = "bad peers",
             cut,
