--- a/crates/core/tests/mechanism/list.rs
+++ b/crates/core/tests/mechanism/list.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn failed_poll_is_repeated_and_the_list_is_kept() {
+fn failed_poll_is_repeated_and_the_list_is_retained() {
     let mut harness = Harness::new(
         Settings {
             list_on_request: true,
--- a/crates/peers/tests/fleet/membership.rs
+++ b/crates/peers/tests/fleet/membership.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_broken_path_between_two_members_causes_no_death() {
+fn a_blocked_path_between_two_members_causes_no_death() {
     for seed in [1, 2, 3] {
         let (mut world, _) = converged_fleet(30, seed);
         let start = world.now;
--- a/crates/peers/tests/wall_clock.rs
+++ b/crates/peers/tests/wall_clock.rs
@@ -14,7 +14,7 @@
 /// One process started while the wall clock was an hour behind. The wall clock has since been
 /// corrected, but the process's own clock is still behind.
 #[test]
-fn a_process_started_with_a_wrong_clock_recovers_after_its_correction() {
+fn a_process_started_with_a_lagging_clock_recovers_after_its_correction() {
     let behind = NOW - HOUR;
     let (mut correct, mut slow) = (codec("correct", NOW), codec("slow", behind));
     let datagram = correct.encode(NOW, b"body").expect("the body fits");
--- a/crates/prewarm/tests/large.rs
+++ b/crates/prewarm/tests/large.rs
@@ -102,7 +102,7 @@
 
 /// The index of workers by zone must give the same order as a sort of the whole list, also after a change.
 #[test]
-fn worker_order_matches_the_whole_list_after_a_change() {
+fn worker_order_matches_the_full_list_after_a_change() {
     let mut p = Prewarm::new(
         Config {
             name: member(5),
--- a/crates/server/tests/sockets/cancelled.rs
+++ b/crates/server/tests/sockets/cancelled.rs
@@ -32,7 +32,7 @@
 
 /// How much of the second part of a request is sent.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum SecondPart {
+enum Remainder {
     /// Nothing.
     Missing,
     /// All of it, right before the client disconnects.
@@ -78,9 +78,9 @@
     let mut half_closed = Vec::new();
     for (method, disconnect) in DISCONNECTS.iter().enumerate() {
         for rest in [
-            SecondPart::Missing,
-            SecondPart::Complete,
-            SecondPart::WithAnother,
+            Remainder::Missing,
+            Remainder::Complete,
+            Remainder::WithAnother,
         ] {
             for is_chunked in [false, true] {
                 let id = format!("left-{method}-{rest:?}-{is_chunked}");
@@ -91,16 +91,16 @@
                 let finish = |mut client: TcpStream| {
                     let another = request("transfer", &format!("{id}-behind"));
                     let text = match rest {
-                        SecondPart::Missing => String::new(),
-                        SecondPart::Complete => last,
-                        SecondPart::WithAnother => last + &another,
+                        Remainder::Missing => String::new(),
+                        Remainder::Complete => last,
+                        Remainder::WithAnother => last + &another,
                     };
                     client.write_all(text.as_bytes()).expect("failed to write");
                     disconnect(&client);
                     // A half-closed client stays connected.
                     (method == 1).then_some(client)
                 };
-                if rest == SecondPart::Missing {
+                if rest == Remainder::Missing {
                     half_closed.extend(finish(client));
                 } else {
                     half_closed.extend(program.while_stopped(|| {
--- a/crates/server/tests/system_calls/short.rs
+++ b/crates/server/tests/system_calls/short.rs
@@ -20,7 +20,7 @@
     "recv SHORT 1/1 0 0 on=127.0.0.1:; send SHORT 1/1 0 0 on=127.0.0.1:",
 ];
 /// A part of each worker's result. With its repetitions the result is longer than one read of a stream.
-const RESULT_PART: &str = "made byte for byte, ";
+const RESULT_CHUNK: &str = "made byte for byte, ";
 const REPETITIONS: usize = 40;
 /// The minimum number of short calls in each row.
 const MIN_STRIKES: u64 = 50;
@@ -31,7 +31,7 @@
 }
 
 fn check_short_calls(row: &str) {
-    let result = RESULT_PART.repeat(REPETITIONS);
+    let result = RESULT_CHUNK.repeat(REPETITIONS);
     let worker = || {
         let result = result.clone();
         Peer::new(move |message, stream| done(message, stream, &result))
