--- a/crates/quarantine/src/attribution.rs
+++ b/crates/quarantine/src/attribution.rs
@@ -7,7 +7,7 @@
 
 use crate::classify::Classification;
 use crate::detector::log_evidence;
-use crate::KINDS;
+use crate::FAILURE_KINDS;
 
 /// A worker this many times worse than its peers fails so often that one failure alone is no sign of it.
 const FAR: f64 = 10.0;
@@ -22,10 +22,10 @@
     pub(crate) from: u32,
     /// The natural logarithm of the e-value.
     pub(crate) log: f64,
-    pub(crate) tries: u32,
+    pub(crate) attempts: u32,
     pub(crate) failures: u32,
     pub(crate) expected: f64,
-    pub(crate) kinds: [u32; KINDS],
+    pub(crate) kinds: [u32; FAILURE_KINDS],
     pub(crate) witnesses: usize,
     pub(crate) zones: usize,
 }
@@ -43,7 +43,7 @@
 #[derive(Clone, Copy, Default)]
 struct Witness {
     zone: u16,
-    tries: u32,
+    attempts: u32,
     failures: u32,
 }
 
@@ -88,10 +88,10 @@
             case: Case {
                 from,
                 log,
-                tries: 0,
+                attempts: 0,
                 failures: 0,
                 expected: 0.0,
-                kinds: [0; KINDS],
+                kinds: [0; FAILURE_KINDS],
                 witnesses: 0,
                 zones: 0,
             },
@@ -117,7 +117,7 @@
         let Some(seen) = classification.workers.get(&worker) else {
             return;
         };
-        self.case.tries += seen.tries;
+        self.case.attempts += seen.attempts;
         self.case.failures += seen.failures;
         self.case.expected += seen.expected;
         for (sum, kind) in self.case.kinds.iter_mut().zip(seen.kinds) {
@@ -128,10 +128,10 @@
             sums.failures += failures;
             sums.expected += expected;
         }
-        for (member, (zone, tries, failures)) in &seen.witnesses {
+        for (member, (zone, attempts, failures)) in &seen.witnesses {
             let witness = self.witnesses.entry(*member).or_default();
             witness.zone = *zone;
-            witness.tries += tries;
+            witness.attempts += attempts;
             witness.failures += failures;
         }
     }
@@ -145,9 +145,9 @@
         if self.case.zones < zones.len().min(MIN_ZONES) {
             return Err(NotAttributed::Path);
         }
-        let expected_each = self.case.expected / f64::from(self.case.tries.max(1));
+        let expected_each = self.case.expected / f64::from(self.case.attempts.max(1));
         let saw_most = |witness: &Witness| {
-            let expected = f64::from(witness.tries) * expected_each;
+            let expected = f64::from(witness.attempts) * expected_each;
             self.log_without(witness.failures, expected) < remaining
         };
         if reporters >= MIN_WITNESSES && self.witnesses.values().any(saw_most) {
--- a/crates/quarantine/src/classify.rs
+++ b/crates/quarantine/src/classify.rs
@@ -12,9 +12,9 @@
 
 use crate::detector::above;
 use crate::store::Cells;
-use crate::KINDS;
+use crate::FAILURE_KINDS;
 
-use rates::{add, decayed, failures, sums, Count, Rates, Sums};
+use rates::{add, decayed, sums, total_failures, Count, Rates, Sums};
 use samples::{counts, samples, Sample};
 
 /// The part of the sums for rates that is retained from one half window to the next.
@@ -54,8 +54,8 @@
 /// The evidence of one half window on one worker, without what others explain.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct WorkerEvidence {
-    pub(crate) tries: u32,
-    pub(crate) kinds: [u32; KINDS],
+    pub(crate) attempts: u32,
+    pub(crate) kinds: [u32; FAILURE_KINDS],
     pub(crate) failures: u32,
     pub(crate) expected: f64,
     /// By zone of the members: failures, expected.
@@ -66,18 +66,18 @@
 
 impl WorkerEvidence {
     fn add(&mut self, sample: &Sample<'_>) {
-        let tries = sample.cell.tries;
-        self.tries += tries;
+        let attempts = sample.cell.attempts;
+        self.attempts += attempts;
         self.failures += sample.failures;
-        for (kind, failures) in self.kinds.iter_mut().zip(sample.cell.fails) {
+        for (kind, failures) in self.kinds.iter_mut().zip(sample.cell.failures) {
             *kind += failures;
         }
         if sample.failures > 0 {
-            let (_, tries_so_far, failures_so_far) = self
+            let (_, attempts_so_far, failures_so_far) = self
                 .witnesses
                 .entry(sample.owner)
                 .or_insert((sample.cell.zone, 0, 0));
-            *tries_so_far += tries;
+            *attempts_so_far += attempts;
             *failures_so_far += sample.failures;
         }
     }
@@ -86,19 +86,19 @@
     /// than its class the worker's zone fails.
     fn set_expected(&mut self, by_zone: BTreeMap<u16, Count>, rates: &Rates, times: f64) {
         let expected = |count: &Count| -> f64 {
-            let each = |(class, (tries, _)): (&u8, &(u32, u32))| {
+            let each = |(class, (attempts, _)): (&u8, &(u32, u32))| {
                 let class = usize::from(*class);
                 let rate = rates.rate[class] * rates.uncertainty[class] * times;
-                f64::from(*tries) * rate.min(1.0)
+                f64::from(*attempts) * rate.min(1.0)
             };
             count.iter().map(each).sum()
         };
         let mut all = Count::new();
         for (zone, count) in by_zone {
-            let sums = (failures(&count), expected(&count));
+            let sums = (total_failures(&count), expected(&count));
             self.zones.insert(zone, sums);
-            for (class, (tries, failures)) in &count {
-                add(&mut all, *class, *tries, *failures);
+            for (class, (attempts, failures)) in &count {
+                add(&mut all, *class, *attempts, *failures);
             }
         }
         self.expected = expected(&all);
@@ -251,8 +251,8 @@
     let mut by_zone: BTreeMap<u16, Count> = BTreeMap::new();
     for (path, count) in by_path.iter().filter(|(path, _)| !paths.contains(path)) {
         let of_zone = by_zone.entry(path.1).or_default();
-        for (class, (tries, failures)) in count {
-            add(of_zone, *class, *tries, *failures);
+        for (class, (attempts, failures)) in count {
+            add(of_zone, *class, *attempts, *failures);
         }
     }
     by_zone
@@ -273,12 +273,12 @@
 ) -> BTreeMap<(u8, u32), f64> {
     let mut served: BTreeMap<(u8, u32), f64> = before
         .iter()
-        .map(|(key, tries)| (*key, tries * SERVED_DECAY))
-        .filter(|(_, tries)| *tries > MIN_SERVED)
+        .map(|(key, attempts)| (*key, attempts * SERVED_DECAY))
+        .filter(|(_, attempts)| *attempts > MIN_SERVED)
         .collect();
     for (worker, count) in by_worker {
-        for (class, (tries, _)) in count {
-            *served.entry((*class, *worker)).or_default() += f64::from(*tries);
+        for (class, (attempts, _)) in count {
+            *served.entry((*class, *worker)).or_default() += f64::from(*attempts);
         }
     }
     served
@@ -346,10 +346,10 @@
 /// By class, how many workers have tried it, and what all of them have served together.
 fn tried(served: &BTreeMap<(u8, u32), f64>) -> BTreeMap<u8, (u32, f64)> {
     let mut tried: BTreeMap<u8, (u32, f64)> = BTreeMap::new();
-    for ((class, _), tries) in served {
+    for ((class, _), attempts) in served {
         let (count, all) = tried.entry(*class).or_default();
-        *count += u32::from(*tries >= 0.5);
-        *all += tries;
+        *count += u32::from(*attempts >= 0.5);
+        *all += attempts;
     }
     tried
 }
--- a/crates/quarantine/src/classify/rates.rs
+++ b/crates/quarantine/src/classify/rates.rs
@@ -14,10 +14,10 @@
 /// Tries and failures by class.
 pub(super) type Count = BTreeMap<u8, (u32, u32)>;
 
-pub(super) fn add(count: &mut Count, class: u8, tries: u32, fails: u32) {
+pub(super) fn add(count: &mut Count, class: u8, attempts: u32, failures: u32) {
     let (n, f) = count.entry(class).or_default();
-    *n += tries;
-    *f += fails;
+    *n += attempts;
+    *f += failures;
 }
 
 /// Failure rates by class: those of before, unless those of now are clearly above them.
@@ -62,7 +62,7 @@
     }
 }
 
-pub(super) fn failures(count: &Count) -> u32 {
+pub(super) fn total_failures(count: &Count) -> u32 {
     count.values().map(|(_, f)| f).sum()
 }
 
@@ -80,7 +80,7 @@
         .collect();
     for (key, count) in new {
         let sum = sums.entry(*key).or_default();
-        sum.0 += f64::from(failures(count));
+        sum.0 += f64::from(total_failures(count));
         sum.1 += rates.expected(count);
     }
     sums
@@ -89,8 +89,11 @@
 pub(super) fn sums(classes: usize, old: &[Sums], new: &Count, decay: f64) -> Vec<Sums> {
     let each = |c: usize| {
         let (f, n) = old.get(c).copied().unwrap_or_default();
-        let (tries, fails) = new.get(&(c as u8)).copied().unwrap_or_default();
-        (f * decay + f64::from(fails), n * decay + f64::from(tries))
+        let (attempts, failures) = new.get(&(c as u8)).copied().unwrap_or_default();
+        (
+            f * decay + f64::from(failures),
+            n * decay + f64::from(attempts),
+        )
     };
     (0..classes).map(each).collect()
 }
--- a/crates/quarantine/src/classify/samples.rs
+++ b/crates/quarantine/src/classify/samples.rs
@@ -18,7 +18,7 @@
 
 impl Sample<'_> {
     pub(super) fn add_to(&self, count: &mut Count) {
-        add(count, self.class, self.cell.tries, self.failures);
+        add(count, self.class, self.cell.attempts, self.failures);
     }
 
     pub(super) fn path(&self) -> (u16, u16) {
@@ -44,7 +44,7 @@
             class: *class,
             zone,
             cell,
-            failures: cell.fails.iter().sum(),
+            failures: cell.failures.iter().sum(),
         });
     }
     samples
--- a/crates/quarantine/src/code.rs
+++ b/crates/quarantine/src/code.rs
@@ -7,16 +7,16 @@
 
 use sha2::{Digest, Sha256};
 
-use crate::{Worker, KINDS};
+use crate::{Worker, FAILURE_KINDS};
 
 /// The most cells in a row of tries: two counts each and one at the end stay below 64.
 const MAX_CELLS: usize = 31;
 /// The most classes.
 const MAX_CLASSES: usize = 32;
 /// The tag of rows of tries; the lowest bit is the half of the window.
-const TRIES: u8 = 2;
+const ATTEMPTS_TAG: u8 = 2;
 /// The tag of rows of failures, likewise.
-const FAILS: u8 = 4;
+const FAILURES_TAG: u8 = 4;
 /// A unit of tries is less than two to the power of this.
 const MAX_UNIT_BITS: u8 = 16;
 /// The highest count that is believed.
@@ -26,7 +26,7 @@
 /// Bytes of a row beside its subject and counts: version, table, window and lengths.
 const ROW_OVERHEAD: u32 = 10;
 /// The tag of proposals.
-pub(crate) const PROPOSAL: u8 = 6;
+pub(crate) const PROPOSAL_TAG: u8 = 6;
 
 /// The names that rows refer to by number: workers and zones by name, classes as in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -91,12 +91,12 @@
 }
 
 /// A cell, its tries, and its failures by kind.
-type CellCounts = (u32, u32, [u32; KINDS]);
+type CellCounts = (u32, u32, [u32; FAILURE_KINDS]);
 
 /// The rows of tries of one half window: cells in order, counts in units of `2^coarse`.
-pub(crate) fn tries(
+pub(crate) fn encode_attempts(
     names: &Names,
-    window_half: u32,
+    half: u32,
     zone: u16,
     coarse: u8,
     cells: &[(u32, u32)],
@@ -106,18 +106,18 @@
     for (chunk, cells) in cells.chunks(MAX_CELLS).enumerate() {
         let mut counts = Vec::new();
         let mut next = 0;
-        for &(cell, tries) in cells {
+        for &(cell, attempts) in cells {
             let gap = cell - next;
             next = cell + 1;
-            counts.push(gap * 2 + u32::from(tries > 1));
-            if tries > 1 {
-                counts.push(tries);
+            counts.push(gap * 2 + u32::from(attempts > 1));
+            if attempts > 1 {
+                counts.push(attempts);
             }
         }
         // A gap of zero at the end would be omitted.
         counts.push(1);
         let mut subject = vec![
-            TRIES | window_half as u8,
+            ATTEMPTS_TAG | half as u8,
             names.digest[0],
             names.digest[1],
             coarse,
@@ -130,8 +130,8 @@
 }
 
 /// The subject of a cell's row of failures.
-pub(crate) fn fail(names: &Names, window_half: u32, zone: u16, cell: u32) -> Vec<u8> {
-    let mut subject = vec![FAILS | window_half as u8, names.digest[0], names.digest[1]];
+pub(crate) fn fail(names: &Names, half: u32, zone: u16, cell: u32) -> Vec<u8> {
+    let mut subject = vec![FAILURES_TAG | half as u8, names.digest[0], names.digest[1]];
     push_varint(&mut subject, u32::from(zone));
     push_varint(&mut subject, cell);
     subject
@@ -171,7 +171,7 @@
 /// The digest of the names that a row was encoded with; nothing where it is no row of evidence.
 pub(crate) fn digest(subject: &[u8]) -> Option<[u8; 2]> {
     match subject {
-        [tag, a, b, _, ..] if [TRIES, FAILS].contains(&(tag & !1)) => Some([*a, *b]),
+        [tag, a, b, _, ..] if [ATTEMPTS_TAG, FAILURES_TAG].contains(&(tag & !1)) => Some([*a, *b]),
         _ => None,
     }
 }
@@ -183,8 +183,8 @@
     };
     let kind = tag & !1;
     let (coarse, mut rest) = match (kind, rest) {
-        (TRIES, [coarse, rest @ ..]) if *coarse < MAX_UNIT_BITS => (*coarse, rest),
-        (FAILS, rest) => (0, rest),
+        (ATTEMPTS_TAG, [coarse, rest @ ..]) if *coarse < MAX_UNIT_BITS => (*coarse, rest),
+        (FAILURES_TAG, rest) => (0, rest),
         _ => return None,
     };
     let zone = take_varint(&mut rest)?;
@@ -194,10 +194,10 @@
         return None;
     }
     let max_cells = (names.workers.len() * names.classes) as u32;
-    let cells = if kind == TRIES {
-        read_tries(max_cells, coarse, counts)?
+    let cells = if kind == ATTEMPTS_TAG {
+        decode_attempts(max_cells, coarse, counts)?
     } else {
-        vec![read_failures(max_cells, number, counts)?]
+        vec![decode_failures(max_cells, number, counts)?]
     };
     Some(Evidence {
         half: u32::from(tag & 1),
@@ -207,26 +207,30 @@
 }
 
 /// Decodes the counts of a row of tries.
-fn read_tries(max_cells: u32, coarse: u8, counts: &[u32]) -> Option<Vec<CellCounts>> {
+fn decode_attempts(max_cells: u32, coarse: u8, counts: &[u32]) -> Option<Vec<CellCounts>> {
     let mut cells = Vec::new();
     let mut next = 0_u32;
     let mut counts = counts.split_last()?.1.iter();
     while let Some(&gap) = counts.next() {
-        let tries = if gap & 1 == 1 { *counts.next()? } else { 1 };
+        let attempts = if gap & 1 == 1 { *counts.next()? } else { 1 };
         let cell = next.checked_add(gap / 2).filter(|cell| *cell < max_cells)?;
         next = cell + 1;
         let unit_bits = coarse.min(10);
-        cells.push((cell, tries.min(MAX_COUNT) << unit_bits, [0; KINDS]));
+        cells.push((
+            cell,
+            attempts.min(MAX_COUNT) << unit_bits,
+            [0; FAILURE_KINDS],
+        ));
     }
     Some(cells)
 }
 
 /// Decodes the counts of a row of failures.
-fn read_failures(max_cells: u32, cell: u32, counts: &[u32]) -> Option<CellCounts> {
-    if cell >= max_cells || counts.len() > KINDS {
+fn decode_failures(max_cells: u32, cell: u32, counts: &[u32]) -> Option<CellCounts> {
+    if cell >= max_cells || counts.len() > FAILURE_KINDS {
         return None;
     }
-    let mut kinds = [0; KINDS];
+    let mut kinds = [0; FAILURE_KINDS];
     for (kind, count) in kinds.iter_mut().zip(counts) {
         *kind = (*count).min(MAX_COUNT);
     }
--- a/crates/quarantine/src/counter.rs
+++ b/crates/quarantine/src/counter.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use crate::code::{self, Names};
-use crate::{Config, Micros, Outcome, State, Worker, KINDS};
+use crate::{Config, Micros, Outcome, Worker, WorkerState, FAILURE_KINDS};
 
 /// A row to be raised, as `Rows::raise` takes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -52,8 +52,8 @@
     names: Names,
     ready: BTreeMap<Box<str>, Micros>,
     /// By half window and cell.
-    tries: BTreeMap<u32, BTreeMap<u32, u32>>,
-    fails: BTreeMap<(u32, u32), [u32; KINDS]>,
+    attempts: BTreeMap<u32, BTreeMap<u32, u32>>,
+    failures: BTreeMap<(u32, u32), [u32; FAILURE_KINDS]>,
     rng: fastrand::Rng,
     members: u32,
     /// Bytes that may be spent on failures.
@@ -67,9 +67,9 @@
 /// The most half windows of tries that wait.
 const MAX_WAITING: usize = 8;
 /// How many half windows' budget for failures can be saved.
-const MAX_BUDGET_HALF_WINDOWS: f64 = 6.0;
+const MAX_SAVED_INTERVALS: f64 = 6.0;
 /// The least budget for the tries of a half window, in bytes.
-const MIN_TRIES_BUDGET: f64 = 32.0;
+const MIN_ATTEMPTS_BUDGET: f64 = 32.0;
 /// The coarsest unit of tries is two to the power of this.
 const MAX_COARSE: u8 = 9;
 
@@ -92,8 +92,8 @@
             config,
             names,
             ready: BTreeMap::new(),
-            tries: BTreeMap::new(),
-            fails: BTreeMap::new(),
+            attempts: BTreeMap::new(),
+            failures: BTreeMap::new(),
             rng,
             members: 1,
             budget: 0.0,
@@ -113,8 +113,8 @@
     pub fn workers(&mut self, workers: &[Worker]) {
         let names = Names::new(workers, &self.config.classes, &self.config.zone);
         if names != self.names {
-            self.tries.clear();
-            self.fails.clear();
+            self.attempts.clear();
+            self.failures.clear();
             self.names = names;
         }
         let warm = |w: &Worker| {
@@ -122,7 +122,7 @@
                 .saturating_mul(1_000)
                 .saturating_add(self.config.warmup)
         };
-        let ready = workers.iter().filter(|w| w.state == State::Ready);
+        let ready = workers.iter().filter(|w| w.state == WorkerState::Ready);
         self.ready = ready.map(|w| (w.name.as_ref().into(), warm(w))).collect();
     }
 
@@ -135,15 +135,20 @@
         let Some(cell) = self.names.cell(worker, class) else {
             return;
         };
-        let slot = self.config.slot(now);
-        if outcome != Outcome::SecondAnswer {
-            *self.tries.entry(slot).or_default().entry(cell).or_default() += 1;
-            if self.tries.len() > MAX_WAITING {
-                self.tries.pop_first();
+        let interval = self.config.interval_at(now);
+        if outcome != Outcome::DuplicateResponse {
+            *self
+                .attempts
+                .entry(interval)
+                .or_default()
+                .entry(cell)
+                .or_default() += 1;
+            if self.attempts.len() > MAX_WAITING {
+                self.attempts.pop_first();
             }
         }
-        if let Some(kind) = outcome.kind() {
-            self.fails.entry((slot, cell)).or_default()[kind] += 1;
+        if let Some(kind) = outcome.failure_kind() {
+            self.failures.entry((interval, cell)).or_default()[kind] += 1;
         }
     }
 
@@ -154,13 +159,13 @@
         };
         self.refill(now);
         let mut rows = self.failure_rows(zone);
-        let running = self.config.slot(now);
-        while let Some((&slot, _)) = self.tries.first_key_value() {
-            if slot >= running {
+        let running = self.config.interval_at(now);
+        while let Some((&interval, _)) = self.attempts.first_key_value() {
+            if interval >= running {
                 break;
             }
-            let cells = self.tries.remove(&slot).unwrap_or_default();
-            rows.extend(self.try_rows(zone, slot, &cells));
+            let cells = self.attempts.remove(&interval).unwrap_or_default();
+            rows.extend(self.attempt_rows(zone, interval, &cells));
         }
         for row in &rows {
             self.bytes += u64::from(code::cost(&row.subject, &row.counts()));
@@ -170,10 +175,10 @@
 
     /// Half of this member's part of the budget, in bytes a second: one half is for failures, one for tries.
     fn rate(&self) -> f64 {
-        f64::from(self.config.bytes) / f64::from(self.members) / 2.0
+        f64::from(self.config.bytes_per_second) / f64::from(self.members) / 2.0
     }
 
-    fn half_window_s(&self) -> f64 {
+    fn interval_s(&self) -> f64 {
         (self.config.window / 2) as f64 / 1e6
     }
 
@@ -181,7 +186,7 @@
     fn refill(&mut self, now: Micros) {
         let rate = self.rate();
         let passed = now.saturating_sub(self.at) as f64 / 1e6;
-        let max_budget = rate * self.half_window_s() * MAX_BUDGET_HALF_WINDOWS;
+        let max_budget = rate * self.interval_s() * MAX_SAVED_INTERVALS;
         self.at = self.at.max(now);
         self.budget = (self.budget + rate * passed).min(max_budget);
     }
@@ -189,22 +194,22 @@
     /// The rows of failures, one a cell, as far as the budget allows.
     fn failure_rows(&mut self, zone: u16) -> Vec<Raise> {
         let mut rows = Vec::new();
-        for ((slot, cell), kinds) in std::mem::take(&mut self.fails) {
-            let subject = code::fail(&self.names, slot % 2, zone, cell);
+        for ((interval, cell), kinds) in std::mem::take(&mut self.failures) {
+            let subject = code::fail(&self.names, interval % 2, zone, cell);
             let cost = f64::from(code::cost(&subject, &kinds));
             if cost > self.budget {
                 self.dropped += u64::from(kinds.iter().sum::<u32>());
                 continue;
             }
             self.budget -= cost;
-            rows.push(Raise::new(slot / 2, subject, &kinds));
+            rows.push(Raise::new(interval / 2, subject, &kinds));
         }
         rows
     }
 
     /// The rows of a half window's tries, as coarse as the budget demands.
-    fn try_rows(&mut self, zone: u16, slot: u32, cells: &BTreeMap<u32, u32>) -> Vec<Raise> {
-        let budget = (self.rate() * self.half_window_s()).max(MIN_TRIES_BUDGET) as u32;
+    fn attempt_rows(&mut self, zone: u16, interval: u32, cells: &BTreeMap<u32, u32>) -> Vec<Raise> {
+        let budget = (self.rate() * self.interval_s()).max(MIN_ATTEMPTS_BUDGET) as u32;
         let mut coarse = 0;
         loop {
             let rounded: Vec<(u32, u32)> = cells
@@ -212,7 +217,7 @@
                 .map(|(cell, count)| (*cell, self.round(*count, coarse)))
                 .filter(|(_, count)| *count > 0)
                 .collect();
-            let rows = code::tries(&self.names, slot % 2, zone, coarse, &rounded);
+            let rows = code::encode_attempts(&self.names, interval % 2, zone, coarse, &rounded);
             let cost: u32 = rows
                 .iter()
                 .map(|(subject, counts)| code::cost(subject, counts))
@@ -220,7 +225,7 @@
             if cost <= budget || coarse == MAX_COARSE {
                 return rows
                     .into_iter()
-                    .map(|(subject, counts)| Raise::new(slot / 2, subject, &counts))
+                    .map(|(subject, counts)| Raise::new(interval / 2, subject, &counts))
                     .collect();
             }
             coarse += 1;
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -26,48 +26,48 @@
 pub const TABLE: u8 = 2;
 
 /// How many kinds of failure there are.
-pub const KINDS: usize = 6;
+pub const FAILURE_KINDS: usize = 6;
 
 /// How a job's first try on a worker ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It was answered.
-    Answered,
+    Success,
     /// The worker reported a failure.
     Error,
     /// The connection broke with the job on it.
     Reset,
     /// No answer in time.
-    Unresponsive,
+    Timeout,
     /// No connection could be made.
-    NoConnection,
+    ConnectFailed,
     /// The worker started the job too late.
     LateStart,
     /// A second answer came for a job that had ended: a failure without a try of its own.
-    SecondAnswer,
+    DuplicateResponse,
 }
 
 impl Outcome {
     /// The index among the kinds of failure; nothing for an answer.
     #[must_use]
-    pub fn kind(self) -> Option<usize> {
+    pub fn failure_kind(self) -> Option<usize> {
         match self {
-            Outcome::Answered => None,
+            Outcome::Success => None,
             Outcome::Error => Some(0),
             Outcome::Reset => Some(1),
-            Outcome::Unresponsive => Some(2),
-            Outcome::NoConnection => Some(3),
+            Outcome::Timeout => Some(2),
+            Outcome::ConnectFailed => Some(3),
             Outcome::LateStart => Some(4),
-            Outcome::SecondAnswer => Some(5),
+            Outcome::DuplicateResponse => Some(5),
         }
     }
 }
 
 /// The state of a worker, by the endpoint list and staff.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum WorkerState {
     /// In slow start.
-    Cold,
+    SlowStart,
     /// In full use: the only state in which its failures are evidence.
     Ready,
     /// Draining.
@@ -88,7 +88,7 @@
     /// When it started, in milliseconds of Unix time.
     pub started: u64,
     /// Its state.
-    pub state: State,
+    pub state: WorkerState,
 }
 
 /// The settings; the same on every member except `me` and `zone`.
@@ -103,19 +103,19 @@
     /// The length of a window of the shared rows, in microseconds. Evidence is taken in halves of it.
     pub window: Micros,
     /// How many windows are retained.
-    pub keep: u32,
+    pub retained_windows: u32,
     /// How long rows of a half that ended are waited for, in microseconds.
-    pub grace: Micros,
+    pub allowed_lateness: Micros,
     /// How long after its start a worker counts as cold whatever its state says, in microseconds.
     pub warmup: Micros,
     /// At most one false proposal in this many worker-hours.
-    pub worker_hours: f64,
+    pub worker_hours_per_false_proposal: f64,
     /// Proposals and exclusions stay at or under this share of a zone's capacity.
-    pub share: f64,
+    pub max_zone_share: f64,
     /// The budget of the rows of all members, in bytes a second into each member.
-    pub bytes: u32,
+    pub bytes_per_second: u32,
     /// The most cells of evidence (a cell: half window, worker, member, class).
-    pub cells: usize,
+    pub max_cells: usize,
 }
 
 impl Config {
@@ -127,19 +127,19 @@
             zone: zone.into(),
             classes: classes.iter().map(|&c| c.into()).collect(),
             window: 10_000_000,
-            keep: 60,
-            grace: 2_000_000,
+            retained_windows: 60,
+            allowed_lateness: 2_000_000,
             warmup: 60_000_000,
-            worker_hours: 1_000.0,
-            share: 0.2,
-            bytes: 4_096,
-            cells: 400_000,
+            worker_hours_per_false_proposal: 1_000.0,
+            max_zone_share: 0.2,
+            bytes_per_second: 4_096,
+            max_cells: 400_000,
         }
     }
 
     /// The half window (slot) that contains this time.
     #[must_use]
-    pub fn slot(&self, at: Micros) -> u32 {
+    pub fn interval_at(&self, at: Micros) -> u32 {
         u32::try_from(at / (self.window / 2).max(1)).unwrap_or(u32::MAX)
     }
 }
--- a/crates/quarantine/src/machine/decide.rs
+++ b/crates/quarantine/src/machine/decide.rs
@@ -7,7 +7,7 @@
 use crate::attribution::{attribute, Case, NotAttributed};
 use crate::detector::{detect, fresh, threshold};
 use crate::proposals::{responsible, tag, Effect, Reason, Subject};
-use crate::{Micros, State, Worker};
+use crate::{Micros, Worker, WorkerState};
 
 /// By how much the threshold is lowered (natural logarithm): see docs/quarantine.md, 'the bound'.
 const SLACK: f64 = 3.0;
@@ -85,7 +85,7 @@
     /// The evidence that a proposal needs.
     fn evidence_threshold(&self) -> f64 {
         let steps = 3.6e9 / (self.config.window / 2).max(1) as f64;
-        threshold(self.config.worker_hours, steps) - SLACK
+        threshold(self.config.worker_hours_per_false_proposal, steps) - SLACK
     }
 
     /// Withdraws or refreshes the standing proposals.
@@ -108,7 +108,7 @@
             .into_iter()
             .map(|(subject, _, figures)| (subject.clone(), figures.made))
             .collect();
-        let retention = u64::from(self.config.keep) * self.config.window;
+        let retention = u64::from(self.config.retained_windows) * self.config.window;
         let has_full_memory = self.started_at.is_some_and(|at| now >= at + retention);
         for (subject, made) in &standing {
             let known = by_tag
@@ -192,12 +192,14 @@
     /// Failures and expected failures of a worker by half window.
     fn steps(&self, known: &Known, from: u32, over: u32) -> Vec<(u32, f64)> {
         let id = self.store.workers.find(&known.worker.name);
-        let evidence = |slot: u32| {
-            let classification = self.classifications.get(&slot)?;
+        let evidence = |interval: u32| {
+            let classification = self.classifications.get(&interval)?;
             classification.workers.get(&id?)
         };
         (from..=over)
-            .map(|slot| evidence(slot).map_or((0, 0.0), |seen| (seen.failures, seen.expected)))
+            .map(|interval| {
+                evidence(interval).map_or((0, 0.0), |seen| (seen.failures, seen.expected))
+            })
             .collect()
     }
 
@@ -218,7 +220,7 @@
                 continue;
             }
             total += u64::from(worker.capacity);
-            if worker.state == State::Excluded || standing.contains(&subject(worker)) {
+            if worker.state == WorkerState::Excluded || standing.contains(&subject(worker)) {
                 used += u64::from(worker.capacity);
             }
         }
@@ -230,7 +232,7 @@
                 continue;
             }
             let capacity = u64::from(worker.capacity);
-            if (used + capacity) as f64 > self.config.share * total as f64 {
+            if (used + capacity) as f64 > self.config.max_zone_share * total as f64 {
                 self.open.insert(name, (case, "beyond the zone's share"));
                 continue;
             }
--- a/crates/quarantine/src/machine/mod.rs
+++ b/crates/quarantine/src/machine/mod.rs
@@ -16,7 +16,7 @@
 use crate::counter::{Counter, Raise};
 use crate::proposals::{tag, Effect, Proposals};
 use crate::store::Store;
-use crate::{Config, Micros, Outcome, Owner, State, Worker};
+use crate::{Config, Micros, Outcome, Owner, Worker, WorkerState};
 
 /// The most sets of names that rows may have been written with.
 const MAX_NAME_SETS: usize = 8;
@@ -64,7 +64,7 @@
     pub fn new(config: Config, seed: u64) -> Quarantine {
         Quarantine {
             counter: Counter::new(config.clone(), seed),
-            store: Store::new(config.cells),
+            store: Store::new(config.max_cells),
             names: VecDeque::new(),
             waiting: BTreeMap::new(),
             workers: BTreeMap::new(),
@@ -99,7 +99,7 @@
     /// Merges a row of any member, in any order, any number of times.
     pub fn merge(&mut self, owner: &Owner, window: u32, subject: &[u8], counts: &[u32]) {
         match subject.first() {
-            Some(&code::PROPOSAL) => self.proposals.merge(window, subject, counts),
+            Some(&code::PROPOSAL_TAG) => self.proposals.merge(window, subject, counts),
             _ => self.merge_evidence(owner, window, subject, counts),
         }
     }
@@ -139,10 +139,10 @@
 
     /// Sets the endpoint list.
     pub fn workers(&mut self, now: Micros, workers: &[Worker]) {
-        let slot = self.config.slot(now);
+        let interval = self.config.interval_at(now);
         let known = std::mem::take(&mut self.workers);
         for worker in workers {
-            let from = self.counts_from(worker, known.get(&worker.name), slot);
+            let from = self.counts_from(worker, known.get(&worker.name), interval);
             let worker = worker.clone();
             self.workers
                 .insert(worker.name.clone(), Known { worker, from });
@@ -159,39 +159,39 @@
     }
 
     /// The first half window of a worker that counts, as the list has it at this half window.
-    fn counts_from(&self, worker: &Worker, known: Option<&Known>, slot: u32) -> u32 {
-        if worker.state != State::Ready {
+    fn counts_from(&self, worker: &Worker, known: Option<&Known>, interval: u32) -> u32 {
+        if worker.state != WorkerState::Ready {
             return u32::MAX;
         }
         let started = worker.started.saturating_mul(1_000);
         let warm = started.saturating_add(self.config.warmup);
-        let warm = self.config.slot(warm).saturating_add(1);
+        let warm = self.config.interval_at(warm).saturating_add(1);
         match known {
             None => warm,
             Some(known) if known.worker.started == worker.started && known.from != u32::MAX => {
                 known.from
             }
-            Some(_) => warm.max(slot + 1),
+            Some(_) => warm.max(interval + 1),
         }
     }
 
     /// Sets the time; to be called at least once a second.
     pub fn tick(&mut self, now: Micros) {
         self.started_at.get_or_insert(now);
-        let retained = self.config.keep.saturating_mul(2);
-        let oldest = (self.config.slot(now) + 1).saturating_sub(retained);
+        let retained = self.config.retained_windows.saturating_mul(2);
+        let oldest = (self.config.interval_at(now) + 1).saturating_sub(retained);
         self.expire(oldest);
         // The last half window that is over, and whose rows have come.
         let over = self
             .config
-            .slot(now.saturating_sub(self.config.grace))
+            .interval_at(now.saturating_sub(self.config.allowed_lateness))
             .saturating_sub(1);
         let next = self.classified.map_or(oldest, |classified| classified + 1);
         let first_changed = self.store.changed().unwrap_or(next);
         let first = first_changed.min(next).max(oldest);
         if first <= over {
-            for slot in first..=over {
-                self.classify(slot);
+            for interval in first..=over {
+                self.classify(interval);
             }
             self.classified = Some(over);
             self.decide(now, over, oldest);
@@ -211,13 +211,18 @@
     }
 
     /// Classifies the evidence of a half window.
-    fn classify(&mut self, slot: u32) {
-        let cells = self.store.slots.get(&slot).cloned().unwrap_or_default();
+    fn classify(&mut self, interval: u32) {
+        let cells = self
+            .store
+            .intervals
+            .get(&interval)
+            .cloned()
+            .unwrap_or_default();
         let mut zones: BTreeMap<u32, u16> = BTreeMap::new();
         for (worker, _, _) in cells.keys() {
             let name = self.store.workers.name(*worker);
             let known = name.and_then(|name| self.workers.get(name));
-            let Some(known) = known.filter(|known| known.from <= slot) else {
+            let Some(known) = known.filter(|known| known.from <= interval) else {
                 continue;
             };
             let zone = known.worker.zone.clone();
@@ -228,14 +233,14 @@
             }
         }
         let none = classify::Carry::default();
-        let before = slot
+        let before = interval
             .checked_sub(1)
-            .and_then(|slot| self.classifications.get(&slot))
+            .and_then(|interval| self.classifications.get(&interval))
             .map_or(&none, |classification| &classification.carry);
         let classes = self.config.classes.len().clamp(1, 32);
         let zone = |worker| zones.get(&worker).copied();
         let classification = classify::classify(before, &cells, classes, zone);
-        self.classifications.insert(slot, classification);
+        self.classifications.insert(interval, classification);
     }
 
     /// The next effect, in order.
--- a/crates/quarantine/src/machine/table.rs
+++ b/crates/quarantine/src/machine/table.rs
@@ -11,7 +11,7 @@
             lines.push(format!(
                 "proposal {number} worker={} tries={} failures={} expected={:.2} evidence={:.2} witnesses={} zones={}",
                 String::from_utf8_lossy(&subject.0),
-                figures.tries,
+                figures.attempts,
                 figures.failures,
                 figures.expected,
                 figures.evidence,
@@ -22,7 +22,7 @@
         for (name, (case, why)) in &self.open {
             lines.push(format!(
                 "open worker={name} tries={} failures={} expected={:.2} evidence={:.2} why=\"{why}\"",
-                case.tries, case.failures, case.expected, case.log
+                case.attempts, case.failures, case.expected, case.log
             ));
         }
         self.add_other_failures(&mut lines);
--- a/crates/quarantine/src/proposals.rs
+++ b/crates/quarantine/src/proposals.rs
@@ -8,9 +8,9 @@
 use sha2::{Digest, Sha256};
 
 use crate::attribution::Case;
-use crate::code::PROPOSAL;
+use crate::code::PROPOSAL_TAG;
 use crate::counter::Raise;
-use crate::{Owner, KINDS};
+use crate::{Owner, FAILURE_KINDS};
 
 mod row;
 mod types;
@@ -56,10 +56,10 @@
 impl Proposals {
     /// Merges a row of a proposal; own ones too.
     pub(crate) fn merge(&mut self, window: u32, subject: &[u8], counts: &[u32]) {
-        let [PROPOSAL, rest @ ..] = subject else {
+        let [PROPOSAL_TAG, rest @ ..] = subject else {
             return;
         };
-        let max_counts = FIRST_KIND + KINDS;
+        let max_counts = FIRST_KIND + FAILURE_KINDS;
         if rest.len() < SUBJECT_HEADER_LENGTH
             || counts.is_empty()
             || counts.len() > max_counts
@@ -180,7 +180,7 @@
     }
 
     fn raise(&mut self, window: u32, subject: &Subject, proposal: &Proposal) {
-        let mut row = vec![PROPOSAL];
+        let mut row = vec![PROPOSAL_TAG];
         row.extend(proposal.made.to_be_bytes());
         row.extend((proposal.number as u16).to_be_bytes());
         row.extend(&subject.1.to_be_bytes()[2..]);
--- a/crates/quarantine/src/proposals/row.rs
+++ b/crates/quarantine/src/proposals/row.rs
@@ -4,7 +4,7 @@
 
 use super::types::{Figures, Reason};
 use crate::attribution::Case;
-use crate::KINDS;
+use crate::FAILURE_KINDS;
 
 /// A worker's start: its tag, and its start in milliseconds of Unix time.
 pub(crate) type Subject = (Vec<u8>, u64);
@@ -28,14 +28,14 @@
 
     pub(super) fn figures(&self) -> Figures {
         let count = |index: usize| self.counts.get(index).copied().unwrap_or(0);
-        let mut kinds = [0; KINDS];
+        let mut kinds = [0; FAILURE_KINDS];
         for (index, kind) in kinds.iter_mut().enumerate() {
             *kind = count(FIRST_KIND + index);
         }
         Figures {
             made: self.made,
             since: self.made.saturating_sub(count(7)),
-            tries: count(1),
+            attempts: count(1),
             failures: count(2),
             expected: f64::from(count(3)) / 100.0,
             evidence: f64::from(count(4)) / 100.0,
@@ -81,7 +81,7 @@
     let hundredths = |figure: f64| ((figure * 100.0).max(0.0) as u32).min(MAX_FIGURE);
     let mut counts = vec![
         STANDING,
-        case.tries.min(MAX_FIGURE),
+        case.attempts.min(MAX_FIGURE),
         case.failures.min(MAX_FIGURE),
         hundredths(case.expected),
         hundredths(case.log),
--- a/crates/quarantine/src/proposals/types.rs
+++ b/crates/quarantine/src/proposals/types.rs
@@ -1,6 +1,6 @@
 //! What callers see of proposals: their figures, and the notifications.
 
-use crate::KINDS;
+use crate::FAILURE_KINDS;
 
 /// Why a proposal no longer stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -25,7 +25,7 @@
     /// The half window from which on it was worse.
     pub since: u32,
     /// First tries that ended since, without what others explain.
-    pub tries: u32,
+    pub attempts: u32,
     /// The failures among them.
     pub failures: u32,
     /// The failures to be expected, by its peers.
@@ -37,7 +37,7 @@
     /// The zones of these members.
     pub zones: u32,
     /// Failures by kind: error, reset, unresponsive, no connection, late start, second answer.
-    pub kinds: [u32; KINDS],
+    pub kinds: [u32; FAILURE_KINDS],
 }
 
 /// A notification for the caller, to be logged.
--- a/crates/quarantine/src/store.rs
+++ b/crates/quarantine/src/store.rs
@@ -5,24 +5,24 @@
 use std::collections::BTreeMap;
 
 use crate::code::{Evidence, Names};
-use crate::{Owner, KINDS};
+use crate::{Owner, FAILURE_KINDS};
 
 /// What one member reported of one worker and class in one half window.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Cell {
     pub(crate) zone: u16,
-    pub(crate) tries: u32,
-    pub(crate) fails: [u32; KINDS],
+    pub(crate) attempts: u32,
+    pub(crate) failures: [u32; FAILURE_KINDS],
 }
 
 impl Cell {
     /// Joins a row with this cell; returns whether that changes it.
-    fn join(&mut self, zone: u16, tries: u32, fails: &[u32; KINDS]) -> bool {
+    fn join(&mut self, zone: u16, attempts: u32, failures: &[u32; FAILURE_KINDS]) -> bool {
         let before = *self;
         self.zone = zone;
-        self.tries = self.tries.max(tries);
-        for (joined, fails) in self.fails.iter_mut().zip(fails) {
-            *joined = (*joined).max(*fails);
+        self.attempts = self.attempts.max(attempts);
+        for (joined, failures) in self.failures.iter_mut().zip(failures) {
+            *joined = (*joined).max(*failures);
         }
         *self != before
     }
@@ -74,7 +74,7 @@
 /// The evidence.
 #[derive(Clone, Debug)]
 pub(crate) struct Store {
-    pub(crate) slots: BTreeMap<u32, Cells>,
+    pub(crate) intervals: BTreeMap<u32, Cells>,
     pub(crate) workers: Ids<std::sync::Arc<str>>,
     pub(crate) owners: Ids<Owner>,
     pub(crate) zones: Vec<std::sync::Arc<str>>,
@@ -91,7 +91,7 @@
 impl Store {
     pub(crate) fn new(max_cells: usize) -> Store {
         Store {
-            slots: BTreeMap::new(),
+            intervals: BTreeMap::new(),
             workers: Ids::new(),
             owners: Ids::new(),
             zones: Vec::new(),
@@ -121,8 +121,8 @@
 
     /// Merges one member's evidence of a window.
     pub(crate) fn merge(&mut self, owner: &Owner, window: u32, names: &Names, evidence: &Evidence) {
-        let slot = window.saturating_mul(2).saturating_add(evidence.half);
-        if slot < self.oldest {
+        let interval = window.saturating_mul(2).saturating_add(evidence.half);
+        if interval < self.oldest {
             return;
         }
         let Some(zone) = self.zone(&names.zones[usize::from(evidence.zone)]) else {
@@ -130,11 +130,11 @@
         };
         let owner = self.owners.id(owner);
         let mut changed = false;
-        for (cell, tries, fails) in &evidence.cells {
+        for (cell, attempts, failures) in &evidence.cells {
             let worker = *cell as usize / names.classes;
             let class = *cell as usize % names.classes;
             let worker = self.workers.id(&names.workers[worker]);
-            let cells = self.slots.entry(slot).or_default();
+            let cells = self.intervals.entry(interval).or_default();
             let key = (worker, owner, class as u8);
             if !cells.contains_key(&key) {
                 if self.cells >= self.max_cells {
@@ -143,11 +143,14 @@
                 }
                 self.cells += 1;
             }
-            changed |= cells.entry(key).or_default().join(zone, *tries, fails);
+            changed |= cells
+                .entry(key)
+                .or_default()
+                .join(zone, *attempts, failures);
         }
         if changed {
-            let first = self.first_changed.unwrap_or(slot);
-            self.first_changed = Some(first.min(slot));
+            let first = self.first_changed.unwrap_or(interval);
+            self.first_changed = Some(first.min(interval));
         }
     }
 
@@ -162,12 +165,12 @@
             return;
         }
         self.oldest = oldest;
-        let retained = self.slots.split_off(&oldest);
-        let expired = std::mem::replace(&mut self.slots, retained);
+        let retained = self.intervals.split_off(&oldest);
+        let expired = std::mem::replace(&mut self.intervals, retained);
         self.cells -= expired.values().map(BTreeMap::len).sum::<usize>();
         if oldest % ID_CLEANUP_INTERVAL == 0 {
             let used: std::collections::BTreeSet<(u32, u32)> = self
-                .slots
+                .intervals
                 .values()
                 .flat_map(|c| c.keys().map(|(w, o, _)| (*w, *o)))
                 .collect();
--- a/crates/quarantine/src/trial.rs
+++ b/crates/quarantine/src/trial.rs
@@ -70,7 +70,7 @@
     let classes = ["read", "write", "audit"];
     let config = Config::new(member(n), &world.zone_name(n % World::ZONES), &classes);
     Config {
-        worker_hours: world.plan().bound,
+        worker_hours_per_false_proposal: world.plan().bound,
         ..config
     }
 }
--- a/crates/quarantine/src/trial/plain.rs
+++ b/crates/quarantine/src/trial/plain.rs
@@ -30,7 +30,7 @@
     /// A try ended.
     pub fn seen(&mut self, second: u64, scheduler: usize, worker: usize, outcome: Outcome) {
         let run = self.runs.entry((scheduler, worker)).or_default();
-        *run = if outcome == Outcome::Answered {
+        *run = if outcome == Outcome::Success {
             0
         } else {
             *run + 1
@@ -60,9 +60,9 @@
             self.detect(self.until);
             self.until = second + 30;
         }
-        let (tries, answered) = self.counts.entry(worker).or_default();
-        *tries += 1;
-        *answered += u32::from(outcome == Outcome::Answered);
+        let (attempts, answered) = self.counts.entry(worker).or_default();
+        *attempts += 1;
+        *answered += u32::from(outcome == Outcome::Success);
     }
 
     fn detect(&mut self, second: u64) {
--- a/crates/quarantine/src/trial/world.rs
+++ b/crates/quarantine/src/trial/world.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use super::{Plan, BEGIN};
-use crate::{Outcome, State, Worker};
+use crate::{Outcome, Worker, WorkerState};
 
 /// The fault of a world, in minutes 3 to 6 of every ten; no worker is the cause of any.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -75,9 +75,9 @@
     /// When each worker started, in seconds of Unix time.
     started: Vec<u64>,
     /// The state of each worker in the list.
-    states: Vec<State>,
+    states: Vec<WorkerState>,
     /// The next state of each worker, and the second of the change.
-    next: Vec<Option<(u64, State)>>,
+    next: Vec<Option<(u64, WorkerState)>>,
 }
 
 /// The shares of the classes and how often each fails: 1% in all.
@@ -116,7 +116,7 @@
             rng,
             bad,
             started: vec![BEGIN - 3_600; Self::WORKERS],
-            states: vec![State::Ready; Self::WORKERS],
+            states: vec![WorkerState::Ready; Self::WORKERS],
             next: vec![None; Self::WORKERS],
         }
     }
@@ -170,7 +170,7 @@
         let mut changed = false;
         for n in 0..Self::WORKERS {
             if let Some((_, state)) = self.next[n].filter(|(at, _)| *at <= second) {
-                if self.states[n] == State::Draining {
+                if self.states[n] == WorkerState::Draining {
                     self.started[n] = BEGIN + second;
                 }
                 self.states[n] = state;
@@ -180,17 +180,17 @@
         }
         if self.cycle(second).is_some() && second % 20 == 0 {
             let n = self.rng.usize(0..Self::WORKERS);
-            let is_free = self.states[n] == State::Ready && self.next[n].is_none();
+            let is_free = self.states[n] == WorkerState::Ready && self.next[n].is_none();
             match self.plan.fault {
                 Fault::Cold if is_free => {
                     self.started[n] = BEGIN + second;
-                    self.states[n] = State::Cold;
-                    self.next[n] = Some((second + 20, State::Ready));
+                    self.states[n] = WorkerState::SlowStart;
+                    self.next[n] = Some((second + 20, WorkerState::Ready));
                     changed = true;
                 }
                 Fault::Drain if is_free => {
-                    self.states[n] = State::Draining;
-                    self.next[n] = Some((second + 30, State::Ready));
+                    self.states[n] = WorkerState::Draining;
+                    self.next[n] = Some((second + 30, WorkerState::Ready));
                     changed = true;
                 }
                 _ => {}
@@ -219,7 +219,7 @@
             Fault::Class if class == 2 => (0.4, Outcome::Error),
             Fault::Member if scheduler == cycle % self.plan.schedulers => (0.5, Outcome::Reset),
             Fault::Path if zone == cycle % Self::ZONES && worker_zone == away => {
-                (0.5, Outcome::Unresponsive)
+                (0.5, Outcome::Timeout)
             }
             Fault::Cold
                 if second < self.started[worker] - BEGIN.min(self.started[worker]) + 50
@@ -227,15 +227,15 @@
             {
                 (0.2, Outcome::LateStart)
             }
-            Fault::Drain if self.states[worker] == State::Draining => (0.5, Outcome::Reset),
+            Fault::Drain if self.states[worker] == WorkerState::Draining => (0.5, Outcome::Reset),
             Fault::Partition if worker_zone == away && zone != worker_zone => {
-                (1.0, Outcome::NoConnection)
+                (1.0, Outcome::ConnectFailed)
             }
             Fault::Lone if worker == cycle * 7 % Self::WORKERS && zone != worker_zone => {
-                (1.0, Outcome::NoConnection)
+                (1.0, Outcome::ConnectFailed)
             }
             Fault::Link if worker == cycle * 7 % Self::WORKERS && zone == away => {
-                (1.0, Outcome::NoConnection)
+                (1.0, Outcome::ConnectFailed)
             }
             Fault::All => (0.08, Outcome::Error),
             _ => regular,
@@ -270,12 +270,12 @@
             worker,
             class,
             first: true,
-            outcome: Outcome::Answered,
+            outcome: Outcome::Success,
         };
         job.outcome = self.draw_outcome(second, job, is_poison);
         ended(job);
         for _ in 0..RETRIES {
-            if job.outcome == Outcome::Answered {
+            if job.outcome == Outcome::Success {
                 return;
             }
             job.first = false;
@@ -302,7 +302,7 @@
         if is_poison || self.rng.f64() < probability {
             failure
         } else {
-            Outcome::Answered
+            Outcome::Success
         }
     }
 }
--- a/crates/quarantine/tests/common/mod.rs
+++ b/crates/quarantine/tests/common/mod.rs
@@ -5,7 +5,7 @@
 
 use oakshed_peers::rows::{Limits, Rows};
 use oakshed_quarantine::{
-    Config, Effect, Micros, Outcome, Owner, Quarantine, State, Worker, TABLE,
+    Config, Effect, Micros, Outcome, Owner, Quarantine, Worker, WorkerState, TABLE,
 };
 use oakshed_timeline::Timeline;
 
@@ -52,7 +52,7 @@
                 zone: ZONES[n % 2].into(),
                 capacity: 4,
                 started: (BEGIN - 3_600) * 1_000,
-                state: State::Ready,
+                state: WorkerState::Ready,
             })
             .collect();
         let mut fleet = Fleet {
@@ -75,7 +75,7 @@
     fn new_member(&self, n: usize) -> Member {
         let owner = Owner::new(&format!("s{n}"), (BEGIN + self.second) * 1_000 - 60_000);
         let config = Config {
-            keep: RETAINED_WINDOWS,
+            retained_windows: RETAINED_WINDOWS,
             ..Config::new(owner.clone(), ZONES[n % 2], &["read"])
         };
         let mut machine = Quarantine::new(config, n as u64);
@@ -165,7 +165,7 @@
             let outcome = if fails {
                 Outcome::Error
             } else {
-                Outcome::Answered
+                Outcome::Success
             };
             let name = self.list[w].name.clone();
             self.members[n]
--- a/crates/quarantine/tests/fleet.rs
+++ b/crates/quarantine/tests/fleet.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::Fleet;
-use oakshed_quarantine::{Effect, Reason, State};
+use oakshed_quarantine::{Effect, Reason, WorkerState};
 use oakshed_timeline::Style;
 
 /// A fleet in which worker 4 has been 20 times worse until a proposal stands.
@@ -164,7 +164,7 @@
     );
 
     let mut fleet = Fleet::new(5, 12);
-    fleet.list[0].state = State::Excluded;
+    fleet.list[0].state = WorkerState::Excluded;
     fleet.send_list();
     fleet.run(60);
     fleet.bad[4] = 400;
--- a/crates/quarantine/tests/large.rs
+++ b/crates/quarantine/tests/large.rs
@@ -2,7 +2,9 @@
 
 use std::sync::Arc;
 
-use oakshed_quarantine::{Config, Counter, Effect, Outcome, Owner, Quarantine, State, Worker};
+use oakshed_quarantine::{
+    Config, Counter, Effect, Outcome, Owner, Quarantine, Worker, WorkerState,
+};
 
 const BEGIN: u64 = 1_700_000_000;
 const MANY: usize = 1_024;
@@ -15,8 +17,8 @@
     let zone = zone(zones - 1 - n % zones);
     // A zone has a few workers: one of them is more than the usual share.
     Config {
-        bytes: 1 << 20,
-        share: 0.5,
+        bytes_per_second: 1 << 20,
+        max_zone_share: 0.5,
         ..Config::new(Owner::new(&format!("s{n}"), 1), &zone, classes)
     }
 }
@@ -27,7 +29,7 @@
         zone: zone(n % zones),
         capacity: 4,
         started: (BEGIN - 3_600) * 1_000,
-        state: State::Ready,
+        state: WorkerState::Ready,
     };
     (0..MANY).map(each).collect()
 }
@@ -44,7 +46,7 @@
 }
 
 /// The workers that are proposed after 100 s in which one fails half of its jobs, and all others one of a hundred.
-fn proposed(members: usize, zones: usize, tries: usize) -> Vec<String> {
+fn proposed(members: usize, zones: usize, attempts: usize) -> Vec<String> {
     let mut rng = fastrand::Rng::with_seed(5);
     let list = list(zones);
     let mut counters = counters(members, zones, &list);
@@ -54,13 +56,13 @@
     for second in 0..=100 {
         let now = (BEGIN + second) * 1_000_000;
         for (n, counter) in counters.iter_mut().enumerate() {
-            for _ in 0..tries {
+            for _ in 0..attempts {
                 let worker = rng.usize(0..MANY);
                 let is_failure = rng.u32(0..1_000) < if worker == 777 { 500 } else { 10 };
                 let outcome = if is_failure {
                     Outcome::Reset
                 } else {
-                    Outcome::Answered
+                    Outcome::Success
                 };
                 counter.seen(now, &list[worker].name, 0, true, outcome);
             }
@@ -113,7 +115,7 @@
     let classes: Vec<&str> = names.iter().map(String::as_str).collect();
     let (list, now) = (list(16), BEGIN * 1_000_000);
     let large = |n| Config {
-        bytes: 1 << 30,
+        bytes_per_second: 1 << 30,
         ..config(n, 16, &classes)
     };
     let mut counter = Counter::new(large(1), 1);
@@ -122,7 +124,7 @@
     machine.workers(now, &list);
     for worker in &list {
         for class in 0..32 {
-            counter.seen(now, &worker.name, class, true, Outcome::Answered);
+            counter.seen(now, &worker.name, class, true, Outcome::Success);
         }
     }
     let rows = counter.rows(now + 6_000_000);
--- a/crates/quarantine/tests/properties.rs
+++ b/crates/quarantine/tests/properties.rs
@@ -1,7 +1,7 @@
 //! Properties: the order of rows does not matter, the share is never exceeded, no bytes cause a panic.
 
 use oakshed_quarantine::{
-    Config, Counter, Effect, Outcome, Owner, Quarantine, Spent, State, Worker,
+    Config, Counter, Effect, Outcome, Owner, Quarantine, Spent, Worker, WorkerState,
 };
 use proptest::prelude::*;
 
@@ -13,7 +13,7 @@
         zone: ["east", "west"][n % 2].into(),
         capacity: 1 + (n as u32 * 7) % 5,
         started: (BEGIN - 3_600) * 1_000,
-        state: State::Ready,
+        state: WorkerState::Ready,
     };
     (0..workers).map(each).collect()
 }
@@ -47,7 +47,7 @@
                 let outcome = if rng.u32(0..1_000) < bad[w] {
                     Outcome::Reset
                 } else {
-                    Outcome::Answered
+                    Outcome::Success
                 };
                 counter.seen(now, &list[w].name, rng.usize(0..2), true, outcome);
             }
--- a/crates/quarantine/tests/row_form.rs
+++ b/crates/quarantine/tests/row_form.rs
@@ -3,18 +3,18 @@
 use std::fmt::Write as _;
 use std::sync::Arc;
 
-use oakshed_quarantine::{Config, Counter, Outcome, Owner, Quarantine, Raise, State, Worker};
+use oakshed_quarantine::{Config, Counter, Outcome, Owner, Quarantine, Raise, Worker, WorkerState};
 
 const BEGIN: u64 = 1_700_000_000;
 const FIXTURE: &str = include_str!("fixtures/rows-v1.txt");
 const OUTCOMES: [Outcome; 7] = [
-    Outcome::Answered,
+    Outcome::Success,
     Outcome::Error,
     Outcome::Reset,
-    Outcome::Unresponsive,
-    Outcome::NoConnection,
+    Outcome::Timeout,
+    Outcome::ConnectFailed,
     Outcome::LateStart,
-    Outcome::SecondAnswer,
+    Outcome::DuplicateResponse,
 ];
 
 fn workers() -> Vec<Worker> {
@@ -23,7 +23,7 @@
         zone: Arc::from(if n % 2 == 0 { "east" } else { "west" }),
         capacity: 4,
         started: (BEGIN - 3_600) * 1_000 + n,
-        state: State::Ready,
+        state: WorkerState::Ready,
     };
     (0..12).map(worker).collect()
 }
@@ -31,8 +31,8 @@
 fn config(n: usize) -> Config {
     let zone = if n % 2 == 0 { "east" } else { "west" };
     Config {
-        share: 0.5,
-        bytes: 1 << 20,
+        max_zone_share: 0.5,
+        bytes_per_second: 1 << 20,
         ..Config::new(Owner::new(&format!("s{n}"), 1), zone, &["read", "write"])
     }
 }
