--- a/crates/quarantine/src/attribution.rs
+++ b/crates/quarantine/src/attribution.rs
@@ -10,7 +10,7 @@
 use crate::FAILURE_KINDS;
 
 /// A worker this many times worse than its peers fails so often that one failure alone is no sign of it.
-const FAR: f64 = 10.0;
+const LARGE_RATIO: f64 = 10.0;
 /// How many witnesses are needed, where as many members report.
 const MIN_WITNESSES: usize = 3;
 /// In how many zones witnesses are needed, where members of as many report.
@@ -18,10 +18,10 @@
 
 /// The evidence against a worker since `from`.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) struct Case {
+pub(crate) struct TotalEvidence {
     pub(crate) from: u32,
     /// The natural logarithm of the e-value.
-    pub(crate) log: f64,
+    pub(crate) log_evidence: f64,
     pub(crate) attempts: u32,
     pub(crate) failures: u32,
     pub(crate) expected: f64,
@@ -34,9 +34,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum NotAttributed {
     /// Too few members saw it, or one saw nearly all of it.
-    Member,
+    SingleMember,
     /// One zone of members saw nearly all of it, or the failures in one zone fit the peers' rate.
-    Path,
+    SingleZone,
 }
 
 /// What one member saw of the worker.
@@ -55,8 +55,8 @@
 }
 
 /// All evidence of a worker, by zone and member.
-struct Evidence {
-    case: Case,
+struct ObservedEvidence {
+    total: TotalEvidence,
     zones: BTreeMap<u16, ZoneSums>,
     witnesses: BTreeMap<u32, Witness>,
     /// The members that reported anything, and their zones.
@@ -69,25 +69,25 @@
     classifications: &BTreeMap<u32, Classification>,
     worker: u32,
     from: u32,
-    log: f64,
+    log_evidence: f64,
     remaining: f64,
-) -> (Case, Result<(), NotAttributed>) {
-    let evidence = Evidence::collect(classifications, worker, from, log);
-    let attribution = evidence.check(remaining);
-    (evidence.case, attribution)
+) -> (TotalEvidence, Result<(), NotAttributed>) {
+    let observed = ObservedEvidence::collect(classifications, worker, from, log_evidence);
+    let attribution = observed.check(remaining);
+    (observed.total, attribution)
 }
 
-impl Evidence {
+impl ObservedEvidence {
     fn collect(
         classifications: &BTreeMap<u32, Classification>,
         worker: u32,
         from: u32,
-        log: f64,
-    ) -> Evidence {
-        let mut evidence = Evidence {
-            case: Case {
+        log_evidence: f64,
+    ) -> ObservedEvidence {
+        let mut observed = ObservedEvidence {
+            total: TotalEvidence {
                 from,
-                log,
+                log_evidence,
                 attempts: 0,
                 failures: 0,
                 expected: 0.0,
@@ -100,12 +100,12 @@
             reporters: BTreeMap::new(),
         };
         for (_, classification) in classifications.range(from..) {
-            evidence.add(classification, worker);
+            observed.add(classification, worker);
         }
-        let zones: BTreeSet<u16> = evidence.witnesses.values().map(|w| w.zone).collect();
-        evidence.case.witnesses = evidence.witnesses.len();
-        evidence.case.zones = zones.len();
-        evidence
+        let zones: BTreeSet<u16> = observed.witnesses.values().map(|w| w.zone).collect();
+        observed.total.witnesses = observed.witnesses.len();
+        observed.total.zones = zones.len();
+        observed
     }
 
     fn add(&mut self, classification: &Classification, worker: u32) {
@@ -117,10 +117,10 @@
         let Some(seen) = classification.workers.get(&worker) else {
             return;
         };
-        self.case.attempts += seen.attempts;
-        self.case.failures += seen.failures;
-        self.case.expected += seen.expected;
-        for (sum, kind) in self.case.kinds.iter_mut().zip(seen.kinds) {
+        self.total.attempts += seen.attempts;
+        self.total.failures += seen.failures;
+        self.total.expected += seen.expected;
+        for (sum, kind) in self.total.kinds.iter_mut().zip(seen.kinds) {
             *sum += kind;
         }
         for (zone, (failures, expected)) in &seen.zones {
@@ -139,48 +139,49 @@
     fn check(&self, remaining: f64) -> Result<(), NotAttributed> {
         let reporters = self.reporters.len();
         let zones: BTreeSet<u16> = self.reporters.values().copied().collect();
-        if self.case.witnesses < reporters.min(MIN_WITNESSES) {
-            return Err(NotAttributed::Member);
+        if self.total.witnesses < reporters.min(MIN_WITNESSES) {
+            return Err(NotAttributed::SingleMember);
         }
-        if self.case.zones < zones.len().min(MIN_ZONES) {
-            return Err(NotAttributed::Path);
+        if self.total.zones < zones.len().min(MIN_ZONES) {
+            return Err(NotAttributed::SingleZone);
         }
-        let expected_each = self.case.expected / f64::from(self.case.attempts.max(1));
-        let saw_most = |witness: &Witness| {
-            let expected = f64::from(witness.attempts) * expected_each;
-            self.log_without(witness.failures, expected) < remaining
+        let expected_rate = self.total.expected / f64::from(self.total.attempts.max(1));
+        let is_dominant = |witness: &Witness| {
+            let expected = f64::from(witness.attempts) * expected_rate;
+            self.log_evidence_without(witness.failures, expected) < remaining
         };
-        if reporters >= MIN_WITNESSES && self.witnesses.values().any(saw_most) {
-            return Err(NotAttributed::Member);
+        if reporters >= MIN_WITNESSES && self.witnesses.values().any(is_dominant) {
+            return Err(NotAttributed::SingleMember);
         }
         let contradicts = |sums: &ZoneSums| {
-            self.log_without(sums.failures, sums.expected) < remaining
+            self.log_evidence_without(sums.failures, sums.expected) < remaining
                 || self.fits_peers(*sums, zones.len())
         };
         if zones.len() >= MIN_ZONES && self.zones.values().any(contradicts) {
-            return Err(NotAttributed::Path);
+            return Err(NotAttributed::SingleZone);
         }
         Ok(())
     }
 
     /// The evidence without that of one member or zone.
-    fn log_without(&self, failures: u32, expected: f64) -> f64 {
-        let failures = f64::from(self.case.failures - failures);
-        log_evidence(failures, (self.case.expected - expected).max(0.0))
+    fn log_evidence_without(&self, failures: u32, expected: f64) -> f64 {
+        let failures = f64::from(self.total.failures - failures);
+        log_evidence(failures, (self.total.expected - expected).max(0.0))
     }
 
     /// Whether the failures in a zone fit the peers' rate better than the worker's. Where the two lie far apart,
     /// one failure less: it may be chance. Where they are near, the mean of both is the mark, as a zone with few
     /// tries would otherwise outweigh what the others show. A zone that hardly tries the worker does not count.
     fn fits_peers(&self, sums: ZoneSums, zones: usize) -> bool {
-        let ratio = (f64::from(self.case.failures) / self.case.expected.max(1e-9)).max(1.1);
-        let min_expected = self.case.expected / (4 * zones.max(1)) as f64;
-        let (mark, chance) = if ratio > FAR {
+        let ratio = (f64::from(self.total.failures) / self.total.expected.max(1e-9)).max(1.1);
+        let min_expected = self.total.expected / (4 * zones.max(1)) as f64;
+        let (ratio_limit, allowance) = if ratio > LARGE_RATIO {
             (ratio, 1.0)
         } else {
             (ratio.sqrt(), 0.0)
         };
-        let failures = f64::from(sums.failures) - chance;
-        sums.expected >= min_expected && failures * mark.ln() <= (mark - 1.0) * sums.expected
+        let failures = f64::from(sums.failures) - allowance;
+        sums.expected >= min_expected
+            && failures * ratio_limit.ln() <= (ratio_limit - 1.0) * sums.expected
     }
 }
--- a/crates/quarantine/src/bin/oakshed-quarantine-trial.rs
+++ b/crates/quarantine/src/bin/oakshed-quarantine-trial.rs
@@ -88,7 +88,10 @@
     };
     let most = max(|outcomes| outcomes.bytes_most);
     let mean = max(|outcomes| outcomes.bytes_mean);
-    let dropped: u64 = runs.iter().map(|(_, outcomes)| outcomes.dropped).sum();
+    let dropped: u64 = runs
+        .iter()
+        .map(|(_, outcomes)| outcomes.dropped_failures)
+        .sum();
     println!(
         "schedulers {} trouble {} worse {:?} runs {} seeds {}..: bytes/s a member: {most:.1} in the worst \
          minute, {mean:.1} mean; failures left out {dropped}",
--- a/crates/quarantine/src/classify.rs
+++ b/crates/quarantine/src/classify.rs
@@ -10,12 +10,12 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use crate::detector::above;
+use crate::detector::excess_log_likelihood;
 use crate::store::Cells;
 use crate::FAILURE_KINDS;
 
-use rates::{add, decayed, sums, total_failures, Count, Rates, Sums};
-use samples::{counts, samples, Sample};
+use rates::{add, decayed, decayed_by_class, total_failures, ClassCounts, Rates, Sums};
+use samples::{samples, sum_by, Sample};
 
 /// The part of the sums for rates that is retained from one half window to the next.
 const RATE_DECAY: f64 = 0.97;
@@ -26,21 +26,21 @@
 /// The same for members, paths and zones.
 const OTHERS_DECAY: f64 = 0.7;
 /// The same for the tries that show who has peers.
-const SERVED_DECAY: f64 = 0.95;
+const ATTEMPTS_DECAY: f64 = 0.95;
 /// Fewer tries than this are dropped.
-const MIN_SERVED: f64 = 0.01;
+const MIN_DECAYED_ATTEMPTS: f64 = 0.01;
 /// The log likelihood ratio beyond which a class, member, path or zone is classified as failing by itself.
-const GATE: f64 = 3.0;
+const FAILING_LOG_LIKELIHOOD: f64 = 3.0;
 /// The same for a worker that is left out of what the others are measured by.
-const OUTLIER_GATE: f64 = 4.0;
+const OUTLIER_LOG_LIKELIHOOD: f64 = 4.0;
 /// The most workers of a zone that are left out, as a part of them.
-const MAX_OUTLIERS: f64 = 0.2;
+const MAX_OUTLIER_SHARE: f64 = 0.2;
 /// How many other workers must have been tried with a class.
 const MIN_PEERS: u32 = 3;
 
 /// What is carried from one half window to the next.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Carry {
+pub(crate) struct CarriedSums {
     long: Vec<Sums>,
     short: Vec<Sums>,
     workers: BTreeMap<u32, Sums>,
@@ -48,7 +48,7 @@
     paths: BTreeMap<(u16, u16), Sums>,
     zones: BTreeMap<u16, Sums>,
     /// Tries by class and worker, which show who has peers.
-    served: BTreeMap<(u8, u32), f64>,
+    recent_attempts: BTreeMap<(u8, u32), f64>,
 }
 
 /// The evidence of one half window on one worker, without what others explain.
@@ -84,16 +84,16 @@
 
     /// Sets the failures to be expected, in each zone of the members and in all. `times`: how many times more
     /// than its class the worker's zone fails.
-    fn set_expected(&mut self, by_zone: BTreeMap<u16, Count>, rates: &Rates, times: f64) {
-        let expected = |count: &Count| -> f64 {
+    fn set_expected(&mut self, by_zone: BTreeMap<u16, ClassCounts>, rates: &Rates, factor: f64) {
+        let expected = |count: &ClassCounts| -> f64 {
             let each = |(class, (attempts, _)): (&u8, &(u32, u32))| {
                 let class = usize::from(*class);
-                let rate = rates.rate[class] * rates.uncertainty[class] * times;
+                let rate = rates.rate[class] * rates.uncertainty[class] * factor;
                 f64::from(*attempts) * rate.min(1.0)
             };
             count.iter().map(each).sum()
         };
-        let mut all = Count::new();
+        let mut all = ClassCounts::new();
         for (zone, count) in by_zone {
             let sums = (total_failures(&count), expected(&count));
             self.zones.insert(zone, sums);
@@ -119,12 +119,12 @@
     pub(crate) classes: BTreeMap<u8, (f64, f64)>,
     /// All members that reported anything, with their zones.
     pub(crate) reporters: BTreeMap<u32, u16>,
-    pub(crate) carry: Carry,
+    pub(crate) carried: CarriedSums,
 }
 
 /// Classifies a half window. `zone` returns a worker's zone; workers without one (removed) are no evidence.
 pub(crate) fn classify(
-    before: &Carry,
+    before: &CarriedSums,
     cells: &Cells,
     classes: usize,
     zone: impl Fn(u32) -> Option<u16>,
@@ -132,13 +132,13 @@
     let samples = samples(cells, classes, &zone);
     let reporters: BTreeMap<u32, u16> = samples.iter().map(|s| (s.owner, s.cell.zone)).collect();
     // By the sums of all: which workers are left out of what the others are measured by.
-    let (all, by_worker) = counts(samples.iter(), |sample| sample.worker);
+    let (all, by_worker) = sum_by(samples.iter(), |sample| sample.worker);
     let rates = before.rates(classes, &all).rates;
     let workers = decayed(&before.workers, &by_worker, WORKER_DECAY, &rates);
     let outliers = outliers(&workers, &zone);
     // Members that fail on all workers.
     let remaining = samples.iter().filter(|s| !outliers.contains(&s.worker));
-    let (rest, by_owner) = counts(remaining, |sample| sample.owner);
+    let (rest, by_owner) = sum_by(remaining, |sample| sample.owner);
     let rates = before.rates(classes, &rest).rates;
     let owners = decayed(&before.owners, &by_owner, OTHERS_DECAY, &rates);
     let members = failing_members(&owners, reporters.len());
@@ -146,8 +146,8 @@
     let remaining = samples
         .iter()
         .filter(|s| !outliers.contains(&s.worker) && !members.contains(&s.owner));
-    let (rest, by_path) = counts(remaining, Sample::path);
-    let CarriedRates { long, short, rates } = before.rates(classes, &rest);
+    let (rest, by_path) = sum_by(remaining, Sample::path);
+    let RatesAndSums { long, short, rates } = before.rates(classes, &rest);
     let path_sums = decayed(&before.paths, &by_path, OTHERS_DECAY, &rates);
     let paths = failing_paths(&path_sums);
     let by_zone = counts_by_zone(&by_path, &paths);
@@ -156,16 +156,16 @@
         members,
         paths,
         zones: failing_zones(&zone_sums),
-        classes: rates.raised.clone(),
+        classes: rates.elevated.clone(),
         reporters,
-        carry: Carry {
+        carried: CarriedSums {
             long,
             short,
             workers,
             owners,
             paths: path_sums,
             zones: zone_sums,
-            served: served_tries(&before.served, &by_worker),
+            recent_attempts: decayed_attempts(&before.recent_attempts, &by_worker),
         },
         ..Classification::default()
     };
@@ -174,19 +174,19 @@
 }
 
 /// The rates by class, and the sums that they are made of.
-struct CarriedRates {
+struct RatesAndSums {
     long: Vec<Sums>,
     short: Vec<Sums>,
     rates: Rates,
 }
 
-impl Carry {
+impl CarriedSums {
     /// The rates by class with new counts.
-    fn rates(&self, classes: usize, new: &Count) -> CarriedRates {
-        let long = sums(classes, &self.long, new, RATE_DECAY);
-        let short = sums(classes, &self.short, new, SHORT_RATE_DECAY);
+    fn rates(&self, classes: usize, new: &ClassCounts) -> RatesAndSums {
+        let long = decayed_by_class(classes, &self.long, new, RATE_DECAY);
+        let short = decayed_by_class(classes, &self.short, new, SHORT_RATE_DECAY);
         let rates = Rates::new(&long, &short);
-        CarriedRates { long, short, rates }
+        RatesAndSums { long, short, rates }
     }
 }
 
@@ -199,25 +199,25 @@
         zone: impl Fn(u32) -> Option<u16>,
     ) {
         for (worker, by_zone) in self.own_counts(samples) {
-            let times = zone(worker)
+            let factor = zone(worker)
                 .and_then(|zone| self.zones.get(&zone).copied())
                 .unwrap_or(1.0);
             if let Some(evidence) = self.workers.get_mut(&worker) {
-                evidence.set_expected(by_zone, rates, times);
+                evidence.set_expected(by_zone, rates, factor);
             }
         }
     }
 
     /// Enters each worker's own tries and failures, and returns them by the zone of the members. Left out is what
     /// members and paths explain, and classes in which a worker has no peers.
-    fn own_counts(&mut self, samples: &[Sample<'_>]) -> BTreeMap<u32, BTreeMap<u16, Count>> {
-        let served = &self.carry.served;
-        let tried = tried(served);
-        let mut own: BTreeMap<u32, BTreeMap<u16, Count>> = BTreeMap::new();
+    fn own_counts(&mut self, samples: &[Sample<'_>]) -> BTreeMap<u32, BTreeMap<u16, ClassCounts>> {
+        let recent_attempts = &self.carried.recent_attempts;
+        let attempted = attempted(recent_attempts);
+        let mut own: BTreeMap<u32, BTreeMap<u16, ClassCounts>> = BTreeMap::new();
         for sample in samples {
             if self.members.contains(&sample.owner)
                 || self.paths.contains(&sample.path())
-                || !has_peers(served, &tried, sample.class, sample.worker)
+                || !has_peers(recent_attempts, &attempted, sample.class, sample.worker)
             {
                 continue;
             }
@@ -233,7 +233,9 @@
 fn failing_members(owners: &BTreeMap<u32, Sums>, reporters: usize) -> BTreeSet<u32> {
     let members: BTreeSet<u32> = owners
         .iter()
-        .filter(|(_, (observed, expected))| above(*observed, *expected) > GATE)
+        .filter(|(_, (observed, expected))| {
+            excess_log_likelihood(*observed, *expected) > FAILING_LOG_LIKELIHOOD
+        })
         .map(|(owner, _)| *owner)
         .collect();
     // What most of them see is not their own fault.
@@ -245,10 +247,10 @@
 
 /// Counts by the zone of the workers, without the paths that fail by themselves.
 fn counts_by_zone(
-    by_path: &BTreeMap<(u16, u16), Count>,
+    by_path: &BTreeMap<(u16, u16), ClassCounts>,
     paths: &BTreeSet<(u16, u16)>,
-) -> BTreeMap<u16, Count> {
-    let mut by_zone: BTreeMap<u16, Count> = BTreeMap::new();
+) -> BTreeMap<u16, ClassCounts> {
+    let mut by_zone: BTreeMap<u16, ClassCounts> = BTreeMap::new();
     for (path, count) in by_path.iter().filter(|(path, _)| !paths.contains(path)) {
         let of_zone = by_zone.entry(path.1).or_default();
         for (class, (attempts, failures)) in count {
@@ -261,27 +263,29 @@
 /// The zones in which all workers fail, with how many times more than usual.
 fn failing_zones(sums: &BTreeMap<u16, Sums>) -> BTreeMap<u16, f64> {
     sums.iter()
-        .filter(|(_, (observed, expected))| above(*observed, *expected) > GATE)
+        .filter(|(_, (observed, expected))| {
+            excess_log_likelihood(*observed, *expected) > FAILING_LOG_LIKELIHOOD
+        })
         .map(|(zone, (observed, expected))| (*zone, ((observed + 1.0) / (expected + 1.0)).max(1.0)))
         .collect()
 }
 
 /// Tries by class and worker: those before, decayed, and the new ones.
-fn served_tries(
+fn decayed_attempts(
     before: &BTreeMap<(u8, u32), f64>,
-    by_worker: &BTreeMap<u32, Count>,
+    by_worker: &BTreeMap<u32, ClassCounts>,
 ) -> BTreeMap<(u8, u32), f64> {
-    let mut served: BTreeMap<(u8, u32), f64> = before
+    let mut recent_attempts: BTreeMap<(u8, u32), f64> = before
         .iter()
-        .map(|(key, attempts)| (*key, attempts * SERVED_DECAY))
-        .filter(|(_, attempts)| *attempts > MIN_SERVED)
+        .map(|(key, attempts)| (*key, attempts * ATTEMPTS_DECAY))
+        .filter(|(_, attempts)| *attempts > MIN_DECAYED_ATTEMPTS)
         .collect();
     for (worker, count) in by_worker {
         for (class, (attempts, _)) in count {
-            *served.entry((*class, *worker)).or_default() += f64::from(*attempts);
+            *recent_attempts.entry((*class, *worker)).or_default() += f64::from(*attempts);
         }
     }
-    served
+    recent_attempts
 }
 
 /// The workers that stand out, at most a part of each zone, the worst first.
@@ -291,15 +295,15 @@
         let Some(zone) = zone(*worker) else { continue };
         let (all, candidates) = by_zone.entry(zone).or_default();
         *all += 1;
-        let excess = above(*observed, *expected);
-        if excess > OUTLIER_GATE {
+        let excess = excess_log_likelihood(*observed, *expected);
+        if excess > OUTLIER_LOG_LIKELIHOOD {
             candidates.push((excess, *worker));
         }
     }
     let mut outliers = BTreeSet::new();
     for (all, mut candidates) in by_zone.into_values() {
         candidates.sort_by(|a, b| b.0.total_cmp(&a.0));
-        let max = ((all as f64 * MAX_OUTLIERS) as usize).max(1);
+        let max = ((all as f64 * MAX_OUTLIER_SHARE) as usize).max(1);
         outliers.extend(candidates.into_iter().take(max).map(|(_, worker)| worker));
     }
     outliers
@@ -323,7 +327,9 @@
             .get(to)
             .and_then(|best| best.iter().find(|(_, other)| other != from))
             .map_or(f64::INFINITY, |(ratio, _)| *ratio);
-        best_other.is_finite() && above(*observed, expected * best_other.max(1.0)) > GATE
+        best_other.is_finite()
+            && excess_log_likelihood(*observed, expected * best_other.max(1.0))
+                > FAILING_LOG_LIKELIHOOD
     };
     sums.iter()
         .filter(|(path, sums)| is_failing(path, sums))
@@ -333,23 +339,26 @@
 
 /// Whether enough other workers have been tried with a class for its rate to be known.
 fn has_peers(
-    served: &BTreeMap<(u8, u32), f64>,
-    tried: &BTreeMap<u8, (u32, f64)>,
+    recent_attempts: &BTreeMap<(u8, u32), f64>,
+    attempted: &BTreeMap<u8, (u32, f64)>,
     class: u8,
     worker: u32,
 ) -> bool {
-    let own = served.get(&(class, worker)).copied().unwrap_or(0.0);
-    let (count, all) = tried.get(&class).copied().unwrap_or_default();
+    let own = recent_attempts
+        .get(&(class, worker))
+        .copied()
+        .unwrap_or(0.0);
+    let (count, all) = attempted.get(&class).copied().unwrap_or_default();
     count - u32::from(own >= 0.5) >= MIN_PEERS && all - own >= own
 }
 
 /// By class, how many workers have tried it, and what all of them have served together.
-fn tried(served: &BTreeMap<(u8, u32), f64>) -> BTreeMap<u8, (u32, f64)> {
-    let mut tried: BTreeMap<u8, (u32, f64)> = BTreeMap::new();
-    for ((class, _), attempts) in served {
-        let (count, all) = tried.entry(*class).or_default();
+fn attempted(recent_attempts: &BTreeMap<(u8, u32), f64>) -> BTreeMap<u8, (u32, f64)> {
+    let mut attempted: BTreeMap<u8, (u32, f64)> = BTreeMap::new();
+    for ((class, _), attempts) in recent_attempts {
+        let (count, all) = attempted.entry(*class).or_default();
         *count += u32::from(*attempts >= 0.5);
         *all += attempts;
     }
-    tried
+    attempted
 }
--- a/crates/quarantine/src/classify/rates.rs
+++ b/crates/quarantine/src/classify/rates.rs
@@ -2,19 +2,19 @@
 
 use std::collections::BTreeMap;
 
-use super::GATE;
-use crate::detector::above;
+use super::FAILING_LOG_LIKELIHOOD;
+use crate::detector::excess_log_likelihood;
 
 /// The weight of the rate of all classes in that of one class, in tries.
-const PRIOR: f64 = 50.0;
+const PRIOR_ATTEMPTS: f64 = 50.0;
 
 /// Failures and tries, or failures and those expected.
 pub(super) type Sums = (f64, f64);
 
 /// Tries and failures by class.
-pub(super) type Count = BTreeMap<u8, (u32, u32)>;
+pub(super) type ClassCounts = BTreeMap<u8, (u32, u32)>;
 
-pub(super) fn add(count: &mut Count, class: u8, attempts: u32, failures: u32) {
+pub(super) fn add(count: &mut ClassCounts, class: u8, attempts: u32, failures: u32) {
     let (n, f) = count.entry(class).or_default();
     *n += attempts;
     *f += failures;
@@ -23,7 +23,7 @@
 /// Failure rates by class: those of before, unless those of now are clearly above them.
 pub(super) struct Rates {
     pub(super) rate: Vec<f64>,
-    pub(super) raised: BTreeMap<u8, (f64, f64)>,
+    pub(super) elevated: BTreeMap<u8, (f64, f64)>,
     /// How uncertain each is, as a factor: one deviation of its count.
     pub(super) uncertainty: Vec<f64>,
 }
@@ -31,19 +31,19 @@
 impl Rates {
     pub(super) fn new(long: &[Sums], short: &[Sums]) -> Rates {
         let (f, n) = long.iter().fold((0.0, 0.0), |(f, n), s| (f + s.0, n + s.1));
-        let all = (f + 0.5) / (n + PRIOR);
+        let all = (f + 0.5) / (n + PRIOR_ATTEMPTS);
         let mut rates = Rates {
             rate: Vec::new(),
-            raised: BTreeMap::new(),
+            elevated: BTreeMap::new(),
             uncertainty: Vec::new(),
         };
         for (class, (long, short)) in long.iter().zip(short).enumerate() {
-            let long_rate = (long.0 + PRIOR * all) / (long.1 + PRIOR);
+            let long_rate = (long.0 + PRIOR_ATTEMPTS * all) / (long.1 + PRIOR_ATTEMPTS);
             let now = short.0 / short.1.max(1.0);
-            if above(short.0, long_rate * short.1) > GATE {
-                rates.raised.insert(class as u8, (now, long_rate));
+            if excess_log_likelihood(short.0, long_rate * short.1) > FAILING_LOG_LIKELIHOOD {
+                rates.elevated.insert(class as u8, (now, long_rate));
             }
-            let rate = if rates.raised.contains_key(&(class as u8)) {
+            let rate = if rates.elevated.contains_key(&(class as u8)) {
                 now
             } else {
                 long_rate
@@ -54,7 +54,7 @@
         rates
     }
 
-    pub(super) fn expected(&self, count: &Count) -> f64 {
+    pub(super) fn expected(&self, count: &ClassCounts) -> f64 {
         count
             .iter()
             .map(|(c, (n, _))| f64::from(*n) * self.rate[usize::from(*c)])
@@ -62,14 +62,14 @@
     }
 }
 
-pub(super) fn total_failures(count: &Count) -> u32 {
+pub(super) fn total_failures(count: &ClassCounts) -> u32 {
     count.values().map(|(_, f)| f).sum()
 }
 
 /// Decayed sums with new counts; sums that have decayed to nothing are dropped.
 pub(super) fn decayed<K: Ord + Copy>(
     old: &BTreeMap<K, Sums>,
-    new: &BTreeMap<K, Count>,
+    new: &BTreeMap<K, ClassCounts>,
     decay: f64,
     rates: &Rates,
 ) -> BTreeMap<K, Sums> {
@@ -86,7 +86,12 @@
     sums
 }
 
-pub(super) fn sums(classes: usize, old: &[Sums], new: &Count, decay: f64) -> Vec<Sums> {
+pub(super) fn decayed_by_class(
+    classes: usize,
+    old: &[Sums],
+    new: &ClassCounts,
+    decay: f64,
+) -> Vec<Sums> {
     let each = |c: usize| {
         let (f, n) = old.get(c).copied().unwrap_or_default();
         let (attempts, failures) = new.get(&(c as u8)).copied().unwrap_or_default();
--- a/crates/quarantine/src/classify/samples.rs
+++ b/crates/quarantine/src/classify/samples.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use super::rates::{add, Count};
+use super::rates::{add, ClassCounts};
 use crate::store::{Cell, Cells};
 
 /// One cell of the table: what one member saw of one worker in one class.
@@ -17,7 +17,7 @@
 }
 
 impl Sample<'_> {
-    pub(super) fn add_to(&self, count: &mut Count) {
+    pub(super) fn add_to(&self, count: &mut ClassCounts) {
         add(count, self.class, self.cell.attempts, self.failures);
     }
 
@@ -51,12 +51,12 @@
 }
 
 /// The counts of all samples together, and those by a key.
-pub(super) fn counts<'a, K: Ord>(
+pub(super) fn sum_by<'a, K: Ord>(
     samples: impl Iterator<Item = &'a Sample<'a>>,
     key: impl Fn(&Sample<'a>) -> K,
-) -> (Count, BTreeMap<K, Count>) {
-    let mut all = Count::new();
-    let mut by_key: BTreeMap<K, Count> = BTreeMap::new();
+) -> (ClassCounts, BTreeMap<K, ClassCounts>) {
+    let mut all = ClassCounts::new();
+    let mut by_key: BTreeMap<K, ClassCounts> = BTreeMap::new();
     for sample in samples {
         sample.add_to(&mut all);
         sample.add_to(by_key.entry(key(sample)).or_default());
--- a/crates/quarantine/src/code.rs
+++ b/crates/quarantine/src/code.rs
@@ -30,7 +30,7 @@
 
 /// The names that rows refer to by number: workers and zones by name, classes as in the settings.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Names {
+pub struct NameTable {
     pub(crate) workers: Vec<Arc<str>>,
     pub(crate) zones: Vec<Arc<str>>,
     pub(crate) classes: usize,
@@ -38,10 +38,10 @@
     pub(crate) digest: [u8; 2],
 }
 
-impl Names {
+impl NameTable {
     /// The names of an endpoint list.
     #[must_use]
-    pub fn new(workers: &[Worker], classes: &[Arc<str>], own_zone: &Arc<str>) -> Names {
+    pub fn new(workers: &[Worker], classes: &[Arc<str>], own_zone: &Arc<str>) -> NameTable {
         let mut names: Vec<Arc<str>> = workers.iter().map(|w| w.name.clone()).collect();
         let mut zones: Vec<Arc<str>> = workers.iter().map(|w| w.zone.clone()).collect();
         zones.push(own_zone.clone());
@@ -59,7 +59,7 @@
             hash.update([b"c", class.as_bytes(), &[0]].concat());
         }
         let hash = hash.finalize();
-        Names {
+        NameTable {
             workers: names,
             zones,
             classes: classes.len().clamp(1, MAX_CLASSES),
@@ -83,7 +83,7 @@
 
 /// A decoded row of evidence.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Evidence {
+pub(crate) struct DecodedRow {
     /// 0 or 1: the half of the window.
     pub(crate) half: u32,
     pub(crate) zone: u16,
@@ -95,10 +95,10 @@
 
 /// The rows of tries of one half window: cells in order, counts in units of `2^coarse`.
 pub(crate) fn encode_attempts(
-    names: &Names,
+    names: &NameTable,
     half: u32,
     zone: u16,
-    coarse: u8,
+    unit_bits: u8,
     cells: &[(u32, u32)],
 ) -> Vec<(Vec<u8>, Vec<u32>)> {
     let mut rows = Vec::new();
@@ -120,26 +120,26 @@
             ATTEMPTS_TAG | half as u8,
             names.digest[0],
             names.digest[1],
-            coarse,
+            unit_bits,
         ];
-        push_varint(&mut subject, u32::from(zone));
-        push_varint(&mut subject, chunk as u32);
+        write_varint(&mut subject, u32::from(zone));
+        write_varint(&mut subject, chunk as u32);
         rows.push((subject, counts));
     }
     rows
 }
 
 /// The subject of a cell's row of failures.
-pub(crate) fn fail(names: &Names, half: u32, zone: u16, cell: u32) -> Vec<u8> {
+pub(crate) fn failure_subject(names: &NameTable, half: u32, zone: u16, cell: u32) -> Vec<u8> {
     let mut subject = vec![FAILURES_TAG | half as u8, names.digest[0], names.digest[1]];
-    push_varint(&mut subject, u32::from(zone));
-    push_varint(&mut subject, cell);
+    write_varint(&mut subject, u32::from(zone));
+    write_varint(&mut subject, cell);
     subject
 }
 
 /// A number as a varint (LEB128): seven bits a byte, the lowest first, the high bit where more follow. One byte
 /// for each of the first 128 zones, and no bound below that of the type.
-fn push_varint(subject: &mut Vec<u8>, mut number: u32) {
+fn write_varint(subject: &mut Vec<u8>, mut number: u32) {
     while number >= 0x80 {
         subject.push(number as u8 | 0x80);
         number >>= 7;
@@ -148,12 +148,12 @@
 }
 
 /// Takes a varint from the front; nothing where there is none, or one that is too long.
-fn take_varint(bytes: &mut &[u8]) -> Option<u32> {
+fn read_varint(bytes: &mut &[u8]) -> Option<u32> {
     let mut number = 0_u32;
-    for place in 0..MAX_VARINT_LENGTH {
+    for group in 0..MAX_VARINT_LENGTH {
         let (byte, rest) = bytes.split_first()?;
         *bytes = rest;
-        number |= u32::from(byte & 0x7f).checked_mul(1 << (7 * place))?;
+        number |= u32::from(byte & 0x7f).checked_mul(1 << (7 * group))?;
         if byte & 0x80 == 0 {
             return Some(number);
         }
@@ -162,14 +162,14 @@
 }
 
 /// The bytes of a row as members exchange it: version, table, window, lengths, subject, counts as varints.
-pub(crate) fn cost(subject: &[u8], counts: &[u32]) -> u32 {
+pub(crate) fn encoded_size(subject: &[u8], counts: &[u32]) -> u32 {
     let varint = |number: u32| (32 - number.max(1).leading_zeros()).div_ceil(7);
     let counts: u32 = counts.iter().map(|count| varint(*count)).sum();
     ROW_OVERHEAD + subject.len() as u32 + counts
 }
 
 /// The digest of the names that a row was encoded with; nothing where it is no row of evidence.
-pub(crate) fn digest(subject: &[u8]) -> Option<[u8; 2]> {
+pub(crate) fn names_digest(subject: &[u8]) -> Option<[u8; 2]> {
     match subject {
         [tag, a, b, _, ..] if [ATTEMPTS_TAG, FAILURES_TAG].contains(&(tag & !1)) => Some([*a, *b]),
         _ => None,
@@ -177,29 +177,29 @@
 }
 
 /// Decodes a row of evidence against the names that it was encoded with.
-pub(crate) fn read(names: &Names, subject: &[u8], counts: &[u32]) -> Option<Evidence> {
+pub(crate) fn decode(names: &NameTable, subject: &[u8], counts: &[u32]) -> Option<DecodedRow> {
     let [tag, a, b, rest @ ..] = subject else {
         return None;
     };
     let kind = tag & !1;
-    let (coarse, mut rest) = match (kind, rest) {
-        (ATTEMPTS_TAG, [coarse, rest @ ..]) if *coarse < MAX_UNIT_BITS => (*coarse, rest),
+    let (unit_bits, mut rest) = match (kind, rest) {
+        (ATTEMPTS_TAG, [unit_bits, rest @ ..]) if *unit_bits < MAX_UNIT_BITS => (*unit_bits, rest),
         (FAILURES_TAG, rest) => (0, rest),
         _ => return None,
     };
-    let zone = take_varint(&mut rest)?;
+    let zone = read_varint(&mut rest)?;
     // Of failures the cell; of tries the chunk, which only makes subjects distinct.
-    let number = take_varint(&mut rest)?;
+    let number = read_varint(&mut rest)?;
     if [*a, *b] != names.digest || zone as usize >= names.zones.len() || !rest.is_empty() {
         return None;
     }
     let max_cells = (names.workers.len() * names.classes) as u32;
     let cells = if kind == ATTEMPTS_TAG {
-        decode_attempts(max_cells, coarse, counts)?
+        decode_attempts(max_cells, unit_bits, counts)?
     } else {
         vec![decode_failures(max_cells, number, counts)?]
     };
-    Some(Evidence {
+    Some(DecodedRow {
         half: u32::from(tag & 1),
         zone: u16::try_from(zone).ok()?,
         cells,
@@ -207,7 +207,7 @@
 }
 
 /// Decodes the counts of a row of tries.
-fn decode_attempts(max_cells: u32, coarse: u8, counts: &[u32]) -> Option<Vec<CellCounts>> {
+fn decode_attempts(max_cells: u32, unit_bits: u8, counts: &[u32]) -> Option<Vec<CellCounts>> {
     let mut cells = Vec::new();
     let mut next = 0_u32;
     let mut counts = counts.split_last()?.1.iter();
@@ -215,7 +215,7 @@
         let attempts = if gap & 1 == 1 { *counts.next()? } else { 1 };
         let cell = next.checked_add(gap / 2).filter(|cell| *cell < max_cells)?;
         next = cell + 1;
-        let unit_bits = coarse.min(10);
+        let unit_bits = unit_bits.min(10);
         cells.push((
             cell,
             attempts.min(MAX_COUNT) << unit_bits,
--- a/crates/quarantine/src/counter.rs
+++ b/crates/quarantine/src/counter.rs
@@ -5,40 +5,47 @@
 
 use std::collections::BTreeMap;
 
-use crate::code::{self, Names};
+use crate::code::{self, NameTable};
 use crate::{Config, Micros, Outcome, Worker, WorkerState, FAILURE_KINDS};
 
 /// A row to be raised, as `Rows::raise` takes it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Raise {
+pub struct RowUpdate {
     /// The window of the row.
     pub window: u32,
     /// The subject.
     pub subject: Vec<u8>,
     /// What is added, by index.
-    pub adds: Vec<(usize, u32)>,
+    pub increments: Vec<(usize, u32)>,
 }
 
-impl Raise {
-    pub(crate) fn new(window: u32, subject: Vec<u8>, counts: &[u32]) -> Raise {
-        let adds = counts
+impl RowUpdate {
+    pub(crate) fn new(window: u32, subject: Vec<u8>, counts: &[u32]) -> RowUpdate {
+        let increments = counts
             .iter()
             .copied()
             .enumerate()
             .filter(|(_, c)| *c > 0)
             .collect();
-        Raise {
+        RowUpdate {
             window,
             subject,
-            adds,
+            increments,
         }
     }
 
     /// The counts, as one raise of a new row gives them.
     #[must_use]
     pub fn counts(&self) -> Vec<u32> {
-        let mut counts = vec![0; self.adds.iter().map(|(at, _)| at + 1).max().unwrap_or(0)];
-        for (index, add) in &self.adds {
+        let mut counts = vec![
+            0;
+            self.increments
+                .iter()
+                .map(|(at, _)| at + 1)
+                .max()
+                .unwrap_or(0)
+        ];
+        for (index, add) in &self.increments {
             counts[*index] += add;
         }
         counts
@@ -47,89 +54,103 @@
 
 /// The counts of one member.
 #[derive(Clone, Debug)]
-pub struct Counter {
+pub struct AttemptCounter {
     config: Config,
-    names: Names,
-    ready: BTreeMap<Box<str>, Micros>,
+    names: NameTable,
+    counted_from: BTreeMap<Box<str>, Micros>,
     /// By half window and cell.
     attempts: BTreeMap<u32, BTreeMap<u32, u32>>,
     failures: BTreeMap<(u32, u32), [u32; FAILURE_KINDS]>,
     rng: fastrand::Rng,
     members: u32,
     /// Bytes that may be spent on failures.
-    budget: f64,
+    failure_budget: f64,
     /// When the budget was refilled last.
-    at: Micros,
+    refilled_at: Micros,
     bytes: u64,
-    dropped: u64,
+    dropped_failures: u64,
 }
 
 /// The most half windows of tries that wait.
-const MAX_WAITING: usize = 8;
+const MAX_PENDING_INTERVALS: usize = 8;
 /// How many half windows' budget for failures can be saved.
 const MAX_SAVED_INTERVALS: f64 = 6.0;
 /// The least budget for the tries of a half window, in bytes.
 const MIN_ATTEMPTS_BUDGET: f64 = 32.0;
 /// The coarsest unit of tries is two to the power of this.
-const MAX_COARSE: u8 = 9;
+const MAX_ATTEMPT_UNIT_BITS: u8 = 9;
 
 /// What a member has raised.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Spent {
+pub struct RowTotals {
     /// Bytes of rows.
     pub bytes: u64,
     /// Failures left out, as the budget did not allow them.
-    pub dropped: u64,
+    pub dropped_failures: u64,
 }
 
-impl Counter {
+impl AttemptCounter {
     /// A counter without counts. The seed is for probabilistic rounding.
     #[must_use]
-    pub fn new(config: Config, seed: u64) -> Counter {
-        let names = Names::new(&[], &config.classes, &config.zone);
+    pub fn new(config: Config, seed: u64) -> AttemptCounter {
+        let names = NameTable::new(&[], &config.classes, &config.zone);
         let rng = fastrand::Rng::with_seed(seed);
-        Counter {
+        AttemptCounter {
             config,
             names,
-            ready: BTreeMap::new(),
+            counted_from: BTreeMap::new(),
             attempts: BTreeMap::new(),
             failures: BTreeMap::new(),
             rng,
             members: 1,
-            budget: 0.0,
-            at: 0,
+            failure_budget: 0.0,
+            refilled_at: 0,
             bytes: 0,
-            dropped: 0,
+            dropped_failures: 0,
         }
     }
 
     /// Sets how many members share the budget.
-    pub fn members(&mut self, members: usize) {
+    pub fn set_members(&mut self, members: usize) {
         self.members = u32::try_from(members).unwrap_or(u32::MAX).max(1);
     }
 
     /// Sets the endpoint list. What was counted by the old names must be raised by them first, by
     /// [`Counter::rows`]; what is left is dropped.
-    pub fn workers(&mut self, workers: &[Worker]) {
-        let names = Names::new(workers, &self.config.classes, &self.config.zone);
+    pub fn set_workers(&mut self, workers: &[Worker]) {
+        let names = NameTable::new(workers, &self.config.classes, &self.config.zone);
         if names != self.names {
             self.attempts.clear();
             self.failures.clear();
             self.names = names;
         }
-        let warm = |w: &Worker| {
+        let warm_at = |w: &Worker| {
             w.started
                 .saturating_mul(1_000)
                 .saturating_add(self.config.warmup)
         };
         let ready = workers.iter().filter(|w| w.state == WorkerState::Ready);
-        self.ready = ready.map(|w| (w.name.as_ref().into(), warm(w))).collect();
+        self.counted_from = ready
+            .map(|w| (w.name.as_ref().into(), warm_at(w)))
+            .collect();
     }
 
     /// A try ended. Only first tries count (a poison job fails on any worker), and only on workers that are
     /// neither in slow start nor draining.
-    pub fn seen(&mut self, now: Micros, worker: &str, class: usize, first: bool, outcome: Outcome) {
-        if !first || self.ready.get(worker).is_none_or(|warm| now < *warm) {
+    pub fn record_attempt(
+        &mut self,
+        now: Micros,
+        worker: &str,
+        class: usize,
+        first: bool,
+        outcome: Outcome,
+    ) {
+        if !first
+            || self
+                .counted_from
+                .get(worker)
+                .is_none_or(|warm_at| now < *warm_at)
+        {
             return;
         }
         let Some(cell) = self.names.cell(worker, class) else {
@@ -143,7 +164,7 @@
                 .or_default()
                 .entry(cell)
                 .or_default() += 1;
-            if self.attempts.len() > MAX_WAITING {
+            if self.attempts.len() > MAX_PENDING_INTERVALS {
                 self.attempts.pop_first();
             }
         }
@@ -153,28 +174,28 @@
     }
 
     /// The rows to be raised now.
-    pub fn rows(&mut self, now: Micros) -> Vec<Raise> {
+    pub fn take_updates(&mut self, now: Micros) -> Vec<RowUpdate> {
         let Some(zone) = self.names.zone(&self.config.zone) else {
             return Vec::new();
         };
         self.refill(now);
         let mut rows = self.failure_rows(zone);
-        let running = self.config.interval_at(now);
+        let current = self.config.interval_at(now);
         while let Some((&interval, _)) = self.attempts.first_key_value() {
-            if interval >= running {
+            if interval >= current {
                 break;
             }
             let cells = self.attempts.remove(&interval).unwrap_or_default();
             rows.extend(self.attempt_rows(zone, interval, &cells));
         }
         for row in &rows {
-            self.bytes += u64::from(code::cost(&row.subject, &row.counts()));
+            self.bytes += u64::from(code::encoded_size(&row.subject, &row.counts()));
         }
         rows
     }
 
     /// Half of this member's part of the budget, in bytes a second: one half is for failures, one for tries.
-    fn rate(&self) -> f64 {
+    fn bytes_per_second_each(&self) -> f64 {
         f64::from(self.config.bytes_per_second) / f64::from(self.members) / 2.0
     }
 
@@ -184,75 +205,81 @@
 
     /// Adds to the budget for failures; what was not spent in three windows is lost.
     fn refill(&mut self, now: Micros) {
-        let rate = self.rate();
-        let passed = now.saturating_sub(self.at) as f64 / 1e6;
-        let max_budget = rate * self.interval_s() * MAX_SAVED_INTERVALS;
-        self.at = self.at.max(now);
-        self.budget = (self.budget + rate * passed).min(max_budget);
+        let bytes_per_second = self.bytes_per_second_each();
+        let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1e6;
+        let max_budget = bytes_per_second * self.interval_s() * MAX_SAVED_INTERVALS;
+        self.refilled_at = self.refilled_at.max(now);
+        self.failure_budget = (self.failure_budget + bytes_per_second * elapsed_s).min(max_budget);
     }
 
     /// The rows of failures, one a cell, as far as the budget allows.
-    fn failure_rows(&mut self, zone: u16) -> Vec<Raise> {
+    fn failure_rows(&mut self, zone: u16) -> Vec<RowUpdate> {
         let mut rows = Vec::new();
         for ((interval, cell), kinds) in std::mem::take(&mut self.failures) {
-            let subject = code::fail(&self.names, interval % 2, zone, cell);
-            let cost = f64::from(code::cost(&subject, &kinds));
-            if cost > self.budget {
-                self.dropped += u64::from(kinds.iter().sum::<u32>());
+            let subject = code::failure_subject(&self.names, interval % 2, zone, cell);
+            let cost = f64::from(code::encoded_size(&subject, &kinds));
+            if cost > self.failure_budget {
+                self.dropped_failures += u64::from(kinds.iter().sum::<u32>());
                 continue;
             }
-            self.budget -= cost;
-            rows.push(Raise::new(interval / 2, subject, &kinds));
+            self.failure_budget -= cost;
+            rows.push(RowUpdate::new(interval / 2, subject, &kinds));
         }
         rows
     }
 
     /// The rows of a half window's tries, as coarse as the budget demands.
-    fn attempt_rows(&mut self, zone: u16, interval: u32, cells: &BTreeMap<u32, u32>) -> Vec<Raise> {
-        let budget = (self.rate() * self.interval_s()).max(MIN_ATTEMPTS_BUDGET) as u32;
-        let mut coarse = 0;
+    fn attempt_rows(
+        &mut self,
+        zone: u16,
+        interval: u32,
+        cells: &BTreeMap<u32, u32>,
+    ) -> Vec<RowUpdate> {
+        let budget =
+            (self.bytes_per_second_each() * self.interval_s()).max(MIN_ATTEMPTS_BUDGET) as u32;
+        let mut unit_bits = 0;
         loop {
             let rounded: Vec<(u32, u32)> = cells
                 .iter()
-                .map(|(cell, count)| (*cell, self.round(*count, coarse)))
+                .map(|(cell, count)| (*cell, self.round_to_unit(*count, unit_bits)))
                 .filter(|(_, count)| *count > 0)
                 .collect();
-            let rows = code::encode_attempts(&self.names, interval % 2, zone, coarse, &rounded);
+            let rows = code::encode_attempts(&self.names, interval % 2, zone, unit_bits, &rounded);
             let cost: u32 = rows
                 .iter()
-                .map(|(subject, counts)| code::cost(subject, counts))
+                .map(|(subject, counts)| code::encoded_size(subject, counts))
                 .sum();
-            if cost <= budget || coarse == MAX_COARSE {
+            if cost <= budget || unit_bits == MAX_ATTEMPT_UNIT_BITS {
                 return rows
                     .into_iter()
-                    .map(|(subject, counts)| Raise::new(interval / 2, subject, &counts))
+                    .map(|(subject, counts)| RowUpdate::new(interval / 2, subject, &counts))
                     .collect();
             }
-            coarse += 1;
+            unit_bits += 1;
         }
     }
 
     /// A count in units of `2^coarse`, rounded up or down by chance so that its mean is right.
-    fn round(&mut self, n: u32, coarse: u8) -> u32 {
-        if coarse == 0 {
-            return n;
+    fn round_to_unit(&mut self, count: u32, unit_bits: u8) -> u32 {
+        if unit_bits == 0 {
+            return count;
         }
-        let unit = 1_u32 << coarse;
-        n / unit + u32::from(self.rng.u32(0..unit) < n % unit)
+        let unit = 1_u32 << unit_bits;
+        count / unit + u32::from(self.rng.u32(0..unit) < count % unit)
     }
 
     /// The names in use.
     #[must_use]
-    pub fn names(&self) -> &Names {
+    pub fn names(&self) -> &NameTable {
         &self.names
     }
 
     /// What was raised so far.
     #[must_use]
-    pub fn spent(&self) -> Spent {
-        Spent {
+    pub fn totals(&self) -> RowTotals {
+        RowTotals {
             bytes: self.bytes,
-            dropped: self.dropped,
+            dropped_failures: self.dropped_failures,
         }
     }
 }
--- a/crates/quarantine/src/detector.rs
+++ b/crates/quarantine/src/detector.rs
@@ -11,22 +11,22 @@
 
 /// The logarithm of the mixed e-value of `failures` where `expected` were to be expected.
 pub fn log_evidence(failures: f64, expected: f64) -> f64 {
-    let each = RATIOS
+    let log_values = RATIOS
         .map(|(ratio, weight)| weight.ln() + failures * f64::ln(ratio) - (ratio - 1.0) * expected);
-    let max = each.iter().copied().fold(f64::NEG_INFINITY, f64::max);
-    max + each.iter().map(|e| (e - max).exp()).sum::<f64>().ln()
+    let max = log_values.iter().copied().fold(f64::NEG_INFINITY, f64::max);
+    max + log_values.iter().map(|e| (e - max).exp()).sum::<f64>().ln()
 }
 
 /// The threshold (natural logarithm) for at most one false alarm in so many worker-hours, at so many steps an
 /// hour and worker. By union over workers: each worker's detector has a mean time of at least
 /// `worker_hours` to its false alarm, whatever the number of workers and checks.
 #[must_use]
-pub fn threshold(worker_hours: f64, steps: f64) -> f64 {
-    (worker_hours * steps).max(1.0).ln()
+pub fn threshold(worker_hours: f64, steps_per_hour: f64) -> f64 {
+    (worker_hours * steps_per_hour).max(1.0).ln()
 }
 
 /// How far the observed failures are above the expected ones, as a log likelihood ratio; 0 where they are not.
-pub(crate) fn above(observed: f64, expected: f64) -> f64 {
+pub(crate) fn excess_log_likelihood(observed: f64, expected: f64) -> f64 {
     if observed <= expected {
         return 0.0;
     }
@@ -35,7 +35,7 @@
 
 /// The beginning with the most evidence: its index in `steps` (failures and expected, oldest first) and the
 /// logarithm of its e-value. Nothing where there are no steps.
-pub(crate) fn detect(steps: &[(u32, f64)]) -> Option<(usize, f64)> {
+pub(crate) fn find_onset(steps: &[(u32, f64)]) -> Option<(usize, f64)> {
     let mut failures = 0.0;
     let mut expected = 0.0;
     let mut best: Option<(usize, f64)> = None;
@@ -57,18 +57,18 @@
 /// How many times worse a worker must at least be for a recovery to be detected.
 const RECOVERY_RATIO: f64 = 3.0;
 /// The evidence for a recovery (natural logarithm).
-const RECOVERY_EVIDENCE: f64 = 4.6;
+const RECOVERY_LOG_EVIDENCE: f64 = 4.6;
 
 /// The index from which evidence counts: after the last recovery, a stretch in which a worker three times worse
 /// would have failed a hundred times more likely. Without it, what lies before would count against a worker that
 /// has recovered.
-pub(crate) fn fresh(steps: &[(u32, f64)]) -> usize {
+pub(crate) fn after_last_recovery(steps: &[(u32, f64)]) -> usize {
     let mut log = 0.0_f64;
     let mut from = 0;
     for (at, (failures, expected)) in steps.iter().enumerate() {
         let against = f64::from(*failures) * RECOVERY_RATIO.ln();
         log = (log + against - (RECOVERY_RATIO - 1.0) * expected).min(0.0);
-        if log < -RECOVERY_EVIDENCE {
+        if log < -RECOVERY_LOG_EVIDENCE {
             log = 0.0;
             from = at + 1;
         }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -15,8 +15,8 @@
 
 use std::sync::Arc;
 
-pub use code::Names;
-pub use counter::{Counter, Raise, Spent};
+pub use code::NameTable;
+pub use counter::{AttemptCounter, RowTotals, RowUpdate};
 pub use detector::{log_evidence, threshold};
 pub use machine::Quarantine;
 pub use oakshed_peers::{rows::Owner, Micros};
--- a/crates/quarantine/src/machine/decide.rs
+++ b/crates/quarantine/src/machine/decide.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 
 use super::{Known, Quarantine};
-use crate::attribution::{attribute, Case, NotAttributed};
-use crate::detector::{detect, fresh, threshold};
+use crate::attribution::{attribute, NotAttributed, TotalEvidence};
+use crate::detector::{after_last_recovery, find_onset, threshold};
 use crate::proposals::{responsible, tag, Effect, Reason, Subject};
 use crate::{Micros, Worker, WorkerState};
 
@@ -34,7 +34,7 @@
 /// A worker with enough evidence against it.
 struct Suspect {
     name: Arc<str>,
-    case: Case,
+    evidence: TotalEvidence,
 }
 
 /// A worker's start, as rows name it.
@@ -54,7 +54,7 @@
         self.open.clear();
         for (zone, mut suspects) in self.suspects(range) {
             suspects.sort_by(|a, b| {
-                let by_evidence = b.case.log.total_cmp(&a.case.log);
+                let by_evidence = b.evidence.log_evidence.total_cmp(&a.evidence.log_evidence);
                 by_evidence.then_with(|| a.name.cmp(&b.name))
             });
             let is_own = own_zones.contains(&zone);
@@ -142,7 +142,7 @@
         if known.worker.started & START_BITS != subject.1 {
             return Some(Reason::Restarted);
         }
-        let fresh = fresh(&steps) as u32;
+        let fresh = after_last_recovery(&steps) as u32;
         if fresh > 0 && from + fresh > made + 1 {
             return Some(Reason::Recovered);
         }
@@ -162,36 +162,37 @@
             }
             let from = known.from.max(range.oldest);
             let steps = self.steps(known, from, range.over);
-            let fresh = fresh(&steps);
-            let Some((at, log)) = detect(&steps[fresh..]).filter(|(_, log)| *log >= threshold)
+            let fresh = after_last_recovery(&steps);
+            let Some((at, log)) = find_onset(&steps[fresh..]).filter(|(_, log)| *log >= threshold)
             else {
                 continue;
             };
-            let Some(id) = self.store.workers.find(name) else {
+            let Some(id) = self.store.workers.get(name) else {
                 continue;
             };
             let from = from + (fresh + at) as u32;
             let remaining = threshold * REMAINING_RATIO;
-            let (case, attribution) = attribute(&self.classifications, id, from, log, remaining);
+            let (evidence, attribution) =
+                attribute(&self.classifications, id, from, log, remaining);
             let name = name.clone();
             let why = match attribution {
                 Ok(()) => {
                     let zone = known.worker.zone.clone();
                     let of_zone = suspects.entry(zone).or_default();
-                    of_zone.push(Suspect { name, case });
+                    of_zone.push(Suspect { name, evidence });
                     continue;
                 }
-                Err(NotAttributed::Member) => "one member only",
-                Err(NotAttributed::Path) => "one zone only",
+                Err(NotAttributed::SingleMember) => "one member only",
+                Err(NotAttributed::SingleZone) => "one zone only",
             };
-            self.open.insert(name, (case, why));
+            self.open.insert(name, (evidence, why));
         }
         suspects
     }
 
     /// Failures and expected failures of a worker by half window.
     fn steps(&self, known: &Known, from: u32, over: u32) -> Vec<(u32, f64)> {
-        let id = self.store.workers.find(&known.worker.name);
+        let id = self.store.workers.get(&known.worker.name);
         let evidence = |interval: u32| {
             let classification = self.classifications.get(&interval)?;
             classification.workers.get(&id?)
@@ -224,7 +225,7 @@
                 used += u64::from(worker.capacity);
             }
         }
-        for Suspect { name, case } in suspects {
+        for Suspect { name, evidence } in suspects {
             let Some(worker) = self.workers.get(&name).map(|known| &known.worker) else {
                 continue;
             };
@@ -233,13 +234,15 @@
             }
             let capacity = u64::from(worker.capacity);
             if (used + capacity) as f64 > self.config.max_zone_share * total as f64 {
-                self.open.insert(name, (case, "beyond the zone's share"));
+                self.open
+                    .insert(name, (evidence, "beyond the zone's share"));
                 continue;
             }
             used += capacity;
             if is_own {
                 let started = worker.started;
-                self.proposals.propose(window, &name, started, over, &case);
+                self.proposals
+                    .propose(window, &name, started, over, &evidence);
             }
         }
     }
--- a/crates/quarantine/src/machine/mod.rs
+++ b/crates/quarantine/src/machine/mod.rs
@@ -10,16 +10,16 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use crate::attribution::Case;
+use crate::attribution::TotalEvidence;
 use crate::classify::{self, Classification};
-use crate::code::{self, Names};
-use crate::counter::{Counter, Raise};
+use crate::code::{self, NameTable};
+use crate::counter::{AttemptCounter, RowUpdate};
 use crate::proposals::{tag, Effect, Proposals};
-use crate::store::Store;
+use crate::store::EvidenceStore;
 use crate::{Config, Micros, Outcome, Owner, Worker, WorkerState};
 
 /// The most sets of names that rows may have been written with.
-const MAX_NAME_SETS: usize = 8;
+const MAX_NAME_TABLES: usize = 8;
 /// The most rows that wait for their set of names.
 const MAX_WAITING_ROWS: usize = 4_096;
 
@@ -38,9 +38,9 @@
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     config: Config,
-    counter: Counter,
-    store: Store,
-    names: VecDeque<Names>,
+    counter: AttemptCounter,
+    store: EvidenceStore,
+    names: VecDeque<NameTable>,
     waiting: BTreeMap<WaitingRow, Vec<u32>>,
     workers: BTreeMap<Arc<str>, Known>,
     living: BTreeSet<Owner>,
@@ -49,7 +49,7 @@
     classified: Option<u32>,
     proposals: Proposals,
     /// Workers with evidence and no proposal, and why.
-    open: BTreeMap<Arc<str>, (Case, &'static str)>,
+    open: BTreeMap<Arc<str>, (TotalEvidence, &'static str)>,
     effects: VecDeque<Effect>,
     started_at: Option<Micros>,
     /// Rows that could not be read.
@@ -63,8 +63,8 @@
     #[must_use]
     pub fn new(config: Config, seed: u64) -> Quarantine {
         Quarantine {
-            counter: Counter::new(config.clone(), seed),
-            store: Store::new(config.max_cells),
+            counter: AttemptCounter::new(config.clone(), seed),
+            store: EvidenceStore::new(config.max_cells),
             names: VecDeque::new(),
             waiting: BTreeMap::new(),
             workers: BTreeMap::new(),
@@ -82,18 +82,30 @@
     }
 
     /// A try ended on a worker: `first` where the job had not been tried before.
-    pub fn seen(&mut self, now: Micros, worker: &str, class: usize, first: bool, outcome: Outcome) {
-        self.counter.seen(now, worker, class, first, outcome);
+    pub fn record_attempt(
+        &mut self,
+        now: Micros,
+        worker: &str,
+        class: usize,
+        first: bool,
+        outcome: Outcome,
+    ) {
+        self.counter
+            .record_attempt(now, worker, class, first, outcome);
     }
 
     /// What is to be raised in the shared rows, table [`crate::TABLE`]. Own rows need not be merged.
-    pub fn rows(&mut self, now: Micros) -> Vec<Raise> {
-        let rows = self.counter.rows(now);
+    pub fn take_updates(&mut self, now: Micros) -> Vec<RowUpdate> {
+        let rows = self.counter.take_updates(now);
         let me = self.config.me.clone();
         for row in &rows {
             self.merge_evidence(&me, row.window, &row.subject, &row.counts());
         }
-        self.proposals.rows().into_iter().chain(rows).collect()
+        self.proposals
+            .take_updates()
+            .into_iter()
+            .chain(rows)
+            .collect()
     }
 
     /// Merges a row of any member, in any order, any number of times.
@@ -105,13 +117,13 @@
     }
 
     fn merge_evidence(&mut self, owner: &Owner, window: u32, subject: &[u8], counts: &[u32]) {
-        let Some(digest) = code::digest(subject) else {
+        let Some(digest) = code::names_digest(subject) else {
             return;
         };
         let Some(names) = self.names.iter().find(|names| names.digest == digest) else {
             return self.wait_for_names(owner, window, subject, counts);
         };
-        match code::read(names, subject, counts) {
+        match code::decode(names, subject, counts) {
             Some(evidence) => self.store.merge(owner, window, names, &evidence),
             None => self.unread += 1,
         }
@@ -132,13 +144,13 @@
     }
 
     /// Sets the members that are alive; this one is always among them.
-    pub fn members(&mut self, living: impl IntoIterator<Item = Owner>) {
+    pub fn set_members(&mut self, living: impl IntoIterator<Item = Owner>) {
         self.living = living.into_iter().chain([self.config.me.clone()]).collect();
-        self.counter.members(self.living.len());
+        self.counter.set_members(self.living.len());
     }
 
     /// Sets the endpoint list.
-    pub fn workers(&mut self, now: Micros, workers: &[Worker]) {
+    pub fn set_workers(&mut self, now: Micros, workers: &[Worker]) {
         let interval = self.config.interval_at(now);
         let known = std::mem::take(&mut self.workers);
         for worker in workers {
@@ -147,15 +159,15 @@
             self.workers
                 .insert(worker.name.clone(), Known { worker, from });
         }
-        let names = Names::new(workers, &self.config.classes, &self.config.zone);
+        let names = NameTable::new(workers, &self.config.classes, &self.config.zone);
         if !self.names.contains(&names) {
             self.names.push_front(names);
-            self.names.truncate(MAX_NAME_SETS);
+            self.names.truncate(MAX_NAME_TABLES);
             for ((owner, window, subject), counts) in std::mem::take(&mut self.waiting) {
                 self.merge_evidence(&owner, window, &subject, &counts);
             }
         }
-        self.counter.workers(workers);
+        self.counter.set_workers(workers);
     }
 
     /// The first half window of a worker that counts, as the list has it at this half window.
@@ -187,7 +199,7 @@
             .interval_at(now.saturating_sub(self.config.allowed_lateness))
             .saturating_sub(1);
         let next = self.classified.map_or(oldest, |classified| classified + 1);
-        let first_changed = self.store.changed().unwrap_or(next);
+        let first_changed = self.store.take_first_changed().unwrap_or(next);
         let first = first_changed.min(next).max(oldest);
         if first <= over {
             for interval in first..=over {
@@ -227,16 +239,16 @@
             };
             let zone = known.worker.zone.clone();
             if let Entry::Vacant(new) = zones.entry(*worker) {
-                if let Some(zone) = self.store.zone(&zone) {
+                if let Some(zone) = self.store.zone_number(&zone) {
                     new.insert(zone);
                 }
             }
         }
-        let none = classify::Carry::default();
+        let none = classify::CarriedSums::default();
         let before = interval
             .checked_sub(1)
             .and_then(|interval| self.classifications.get(&interval))
-            .map_or(&none, |classification| &classification.carry);
+            .map_or(&none, |classification| &classification.carried);
         let classes = self.config.classes.len().clamp(1, 32);
         let zone = |worker| zones.get(&worker).copied();
         let classification = classify::classify(before, &cells, classes, zone);
--- a/crates/quarantine/src/machine/table.rs
+++ b/crates/quarantine/src/machine/table.rs
@@ -5,7 +5,7 @@
 impl Quarantine {
     /// Lines for telemetry: proposals, open cases, members, paths, zones and classes that fail, rejected rows.
     #[must_use]
-    pub fn table(&self) -> Vec<String> {
+    pub fn telemetry_lines(&self) -> Vec<String> {
         let mut lines = Vec::new();
         for (subject, number, figures) in self.proposals.list() {
             lines.push(format!(
@@ -19,19 +19,19 @@
                 figures.zones
             ));
         }
-        for (name, (case, why)) in &self.open {
+        for (name, (evidence, why)) in &self.open {
             lines.push(format!(
                 "open worker={name} tries={} failures={} expected={:.2} evidence={:.2} why=\"{why}\"",
-                case.attempts, case.failures, case.expected, case.log
+                evidence.attempts, evidence.failures, evidence.expected, evidence.log_evidence
             ));
         }
         self.add_other_failures(&mut lines);
-        let spent = self.counter.spent();
+        let totals = self.counter.totals();
         let full = self.store.rejected + self.proposals.rejected;
         lines.push(format!(
             "rows reported={} dropped={} unread={} full={full} waiting={}",
-            spent.bytes,
-            spent.dropped,
+            totals.bytes,
+            totals.dropped_failures,
             self.unread,
             self.waiting.len()
         ));
--- a/crates/quarantine/src/proposals.rs
+++ b/crates/quarantine/src/proposals.rs
@@ -7,9 +7,9 @@
 
 use sha2::{Digest, Sha256};
 
-use crate::attribution::Case;
+use crate::attribution::TotalEvidence;
 use crate::code::PROPOSAL_TAG;
-use crate::counter::Raise;
+use crate::counter::RowUpdate;
 use crate::{Owner, FAILURE_KINDS};
 
 mod row;
@@ -48,7 +48,7 @@
     own: BTreeSet<ProposalId>,
     /// The state that was raised in each row.
     raised: BTreeMap<(u32, Vec<u8>), u32>,
-    rows: Vec<Raise>,
+    rows: Vec<RowUpdate>,
     count: usize,
     pub(crate) rejected: u64,
 }
@@ -141,7 +141,7 @@
         name: &str,
         started: u64,
         made: u32,
-        case: &Case,
+        evidence: &TotalEvidence,
     ) {
         let known = self.known.values().flat_map(BTreeMap::keys);
         let numbers = known.map(|proposal| proposal.number);
@@ -150,7 +150,7 @@
         let proposal = Proposal {
             made,
             number: (last + 1).min(0xffff),
-            counts: counts(case, made),
+            counts: counts(evidence, made),
         };
         let subject = (tag(name), started & 0xffff_ffff_ffff);
         self.own.insert(proposal.id(&subject));
@@ -188,18 +188,18 @@
         let counts = &proposal.counts;
         let before = self.raised.insert((window, row.clone()), counts[0]);
         // Within a window only the state grows: counts are added to what was raised.
-        let adds = match before {
+        let increments = match before {
             Some(state) => vec![counts[0].saturating_sub(state)],
             None => counts.clone(),
         };
         self.merge(window, &row, counts);
-        self.rows.push(Raise::new(window, row, &adds));
+        self.rows.push(RowUpdate::new(window, row, &increments));
     }
 
     /// Rows to be raised.
-    pub(crate) fn rows(&mut self) -> Vec<Raise> {
+    pub(crate) fn take_updates(&mut self) -> Vec<RowUpdate> {
         let mut rows = std::mem::take(&mut self.rows);
-        rows.retain(|row| !row.adds.is_empty());
+        rows.retain(|row| !row.increments.is_empty());
         rows
     }
 
--- a/crates/quarantine/src/proposals/row.rs
+++ b/crates/quarantine/src/proposals/row.rs
@@ -3,7 +3,7 @@
 use sha2::{Digest, Sha256};
 
 use super::types::{Figures, Reason};
-use crate::attribution::Case;
+use crate::attribution::TotalEvidence;
 use crate::FAILURE_KINDS;
 
 /// A worker's start: its tag, and its start in milliseconds of Unix time.
@@ -77,19 +77,19 @@
     [start, &Sha256::digest(name)[..TAG_HASH_LENGTH]].concat()
 }
 
-pub(super) fn counts(case: &Case, made: u32) -> Vec<u32> {
+pub(super) fn counts(evidence: &TotalEvidence, made: u32) -> Vec<u32> {
     let hundredths = |figure: f64| ((figure * 100.0).max(0.0) as u32).min(MAX_FIGURE);
     let mut counts = vec![
         STANDING,
-        case.attempts.min(MAX_FIGURE),
-        case.failures.min(MAX_FIGURE),
-        hundredths(case.expected),
-        hundredths(case.log),
-        case.witnesses as u32,
-        case.zones as u32,
-        made.saturating_sub(case.from),
+        evidence.attempts.min(MAX_FIGURE),
+        evidence.failures.min(MAX_FIGURE),
+        hundredths(evidence.expected),
+        hundredths(evidence.log_evidence),
+        evidence.witnesses as u32,
+        evidence.zones as u32,
+        made.saturating_sub(evidence.from),
     ];
-    counts.extend(case.kinds.map(|failures| failures.min(MAX_FIGURE)));
+    counts.extend(evidence.kinds.map(|failures| failures.min(MAX_FIGURE)));
     counts
 }
 
--- a/crates/quarantine/src/store.rs
+++ b/crates/quarantine/src/store.rs
@@ -2,9 +2,10 @@
 //!
 //! Rows are joined: the larger of each count, so that their order does not matter.
 
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
 
-use crate::code::{Evidence, Names};
+use crate::code::{DecodedRow, NameTable};
 use crate::{Owner, FAILURE_KINDS};
 
 /// What one member reported of one worker and class in one half window.
@@ -30,55 +31,55 @@
 
 /// Identifiers of names, which are never reused.
 #[derive(Clone, Debug)]
-pub(crate) struct Ids<T> {
-    of: BTreeMap<T, u32>,
-    back: BTreeMap<u32, T>,
+pub(crate) struct Interner<T> {
+    ids: BTreeMap<T, u32>,
+    names: BTreeMap<u32, T>,
     next: u32,
 }
 
-impl<T: Ord + Clone> Ids<T> {
-    fn new() -> Ids<T> {
-        Ids {
-            of: BTreeMap::new(),
-            back: BTreeMap::new(),
+impl<T: Ord + Clone> Interner<T> {
+    fn new() -> Interner<T> {
+        Interner {
+            ids: BTreeMap::new(),
+            names: BTreeMap::new(),
             next: 0,
         }
     }
 
-    pub(crate) fn id(&mut self, name: &T) -> u32 {
-        if let Some(id) = self.of.get(name) {
+    pub(crate) fn intern(&mut self, name: &T) -> u32 {
+        if let Some(id) = self.ids.get(name) {
             return *id;
         }
         self.next += 1;
-        self.of.insert(name.clone(), self.next);
-        self.back.insert(self.next, name.clone());
+        self.ids.insert(name.clone(), self.next);
+        self.names.insert(self.next, name.clone());
         self.next
     }
 
     pub(crate) fn name(&self, id: u32) -> Option<&T> {
-        self.back.get(&id)
+        self.names.get(&id)
     }
 
     fn retain(&mut self, used: impl Fn(u32) -> bool) {
-        self.of.retain(|_, id| used(*id));
-        self.back.retain(|id, _| used(*id));
+        self.ids.retain(|_, id| used(*id));
+        self.names.retain(|id, _| used(*id));
     }
 }
 
 /// After how many half windows unused identifiers are removed.
-const ID_CLEANUP_INTERVAL: u32 = 64;
+const ID_CLEANUP_PERIOD: u32 = 64;
 
 /// By worker, member, class.
 pub(crate) type Cells = BTreeMap<(u32, u32, u8), Cell>;
 
 /// The evidence.
 #[derive(Clone, Debug)]
-pub(crate) struct Store {
+pub(crate) struct EvidenceStore {
     pub(crate) intervals: BTreeMap<u32, Cells>,
-    pub(crate) workers: Ids<std::sync::Arc<str>>,
-    pub(crate) owners: Ids<Owner>,
-    pub(crate) zones: Vec<std::sync::Arc<str>>,
-    zone_of: BTreeMap<std::sync::Arc<str>, u16>,
+    pub(crate) workers: Interner<Arc<str>>,
+    pub(crate) owners: Interner<Owner>,
+    pub(crate) zones: Vec<Arc<str>>,
+    zone_numbers: BTreeMap<Arc<str>, u16>,
     cells: usize,
     max_cells: usize,
     /// The earliest half window that changed since the last call of [`Store::changed`].
@@ -88,14 +89,14 @@
     oldest: u32,
 }
 
-impl Store {
-    pub(crate) fn new(max_cells: usize) -> Store {
-        Store {
+impl EvidenceStore {
+    pub(crate) fn new(max_cells: usize) -> EvidenceStore {
+        EvidenceStore {
             intervals: BTreeMap::new(),
-            workers: Ids::new(),
-            owners: Ids::new(),
+            workers: Interner::new(),
+            owners: Interner::new(),
             zones: Vec::new(),
-            zone_of: BTreeMap::new(),
+            zone_numbers: BTreeMap::new(),
             cells: 0,
             max_cells,
             first_changed: None,
@@ -106,8 +107,8 @@
 
     /// The number of a zone; nothing where there were more, ever, than there are numbers: evidence must not count
     /// for another zone.
-    pub(crate) fn zone(&mut self, zone: &std::sync::Arc<str>) -> Option<u16> {
-        if let Some(known) = self.zone_of.get(zone) {
+    pub(crate) fn zone_number(&mut self, zone: &Arc<str>) -> Option<u16> {
+        if let Some(known) = self.zone_numbers.get(zone) {
             return Some(*known);
         }
         let Ok(new) = u16::try_from(self.zones.len()) else {
@@ -115,25 +116,31 @@
             return None;
         };
         self.zones.push(zone.clone());
-        self.zone_of.insert(zone.clone(), new);
+        self.zone_numbers.insert(zone.clone(), new);
         Some(new)
     }
 
     /// Merges one member's evidence of a window.
-    pub(crate) fn merge(&mut self, owner: &Owner, window: u32, names: &Names, evidence: &Evidence) {
+    pub(crate) fn merge(
+        &mut self,
+        owner: &Owner,
+        window: u32,
+        names: &NameTable,
+        evidence: &DecodedRow,
+    ) {
         let interval = window.saturating_mul(2).saturating_add(evidence.half);
         if interval < self.oldest {
             return;
         }
-        let Some(zone) = self.zone(&names.zones[usize::from(evidence.zone)]) else {
+        let Some(zone) = self.zone_number(&names.zones[usize::from(evidence.zone)]) else {
             return;
         };
-        let owner = self.owners.id(owner);
+        let owner = self.owners.intern(owner);
         let mut changed = false;
         for (cell, attempts, failures) in &evidence.cells {
             let worker = *cell as usize / names.classes;
             let class = *cell as usize % names.classes;
-            let worker = self.workers.id(&names.workers[worker]);
+            let worker = self.workers.intern(&names.workers[worker]);
             let cells = self.intervals.entry(interval).or_default();
             let key = (worker, owner, class as u8);
             if !cells.contains_key(&key) {
@@ -155,7 +162,7 @@
     }
 
     /// The earliest half window that changed since the last call.
-    pub(crate) fn changed(&mut self) -> Option<u32> {
+    pub(crate) fn take_first_changed(&mut self) -> Option<u32> {
         self.first_changed.take()
     }
 
@@ -168,22 +175,22 @@
         let retained = self.intervals.split_off(&oldest);
         let expired = std::mem::replace(&mut self.intervals, retained);
         self.cells -= expired.values().map(BTreeMap::len).sum::<usize>();
-        if oldest % ID_CLEANUP_INTERVAL == 0 {
-            let used: std::collections::BTreeSet<(u32, u32)> = self
+        if oldest % ID_CLEANUP_PERIOD == 0 {
+            let used: BTreeSet<(u32, u32)> = self
                 .intervals
                 .values()
                 .flat_map(|c| c.keys().map(|(w, o, _)| (*w, *o)))
                 .collect();
-            let owners: std::collections::BTreeSet<u32> = used.iter().map(|(_, o)| *o).collect();
-            let workers: std::collections::BTreeSet<u32> = used.iter().map(|(w, _)| *w).collect();
+            let owners: BTreeSet<u32> = used.iter().map(|(_, o)| *o).collect();
+            let workers: BTreeSet<u32> = used.iter().map(|(w, _)| *w).collect();
             self.owners.retain(|id| owners.contains(&id));
             self.workers.retain(|id| workers.contains(&id));
         }
     }
 }
 
-impl Ids<std::sync::Arc<str>> {
-    pub(crate) fn find(&self, name: &str) -> Option<u32> {
-        self.of.get(name).copied()
+impl Interner<Arc<str>> {
+    pub(crate) fn get(&self, name: &str) -> Option<u32> {
+        self.ids.get(name).copied()
     }
 }
--- a/crates/quarantine/src/trial.rs
+++ b/crates/quarantine/src/trial.rs
@@ -10,7 +10,7 @@
 
 use std::collections::VecDeque;
 
-use crate::{Config, Counter, Effect, Micros, Owner, Quarantine, Raise, Reason, Worker};
+use crate::{AttemptCounter, Config, Effect, Micros, Owner, Quarantine, Reason, RowUpdate, Worker};
 
 /// When the virtual time begins, in seconds of Unix time.
 pub const BEGIN: u64 = 1_700_000_000;
@@ -57,7 +57,7 @@
     /// The mean bytes of rows of the member with the most, by second.
     pub bytes_mean: f64,
     /// Failures left out, as the budget did not allow them.
-    pub dropped: u64,
+    pub dropped_failures: u64,
     /// Which worker is worse.
     pub bad: usize,
 }
@@ -78,7 +78,7 @@
 /// A member that makes proposals, and the rows on their way to it.
 struct Observer {
     machine: Quarantine,
-    in_flight: VecDeque<(u64, Owner, Raise)>,
+    in_flight: VecDeque<(u64, Owner, RowUpdate)>,
     detections: Detections,
     withdrawn: usize,
 }
@@ -86,7 +86,7 @@
 impl Observer {
     fn new(n: usize, world: &World, list: &[Worker], seed: u64) -> Observer {
         let mut machine = Quarantine::new(config(n, world), seed);
-        machine.workers(BEGIN * 1_000_000, list);
+        machine.set_workers(BEGIN * 1_000_000, list);
         Observer {
             machine,
             in_flight: VecDeque::new(),
@@ -105,7 +105,7 @@
         }
         let now = (BEGIN + second) * 1_000_000;
         self.machine.tick(now);
-        self.machine.rows(now);
+        self.machine.take_updates(now);
         while let Some(effect) = self.machine.poll_effect() {
             match effect {
                 Effect::Proposed { worker, .. } => {
@@ -138,7 +138,7 @@
 struct Run {
     plan: Plan,
     world: World,
-    counters: Vec<Counter>,
+    counters: Vec<AttemptCounter>,
     shared: Observer,
     alone: Observer,
     in_a_row: InARow,
@@ -154,10 +154,10 @@
         let list = world.list();
         let mut counters = Vec::new();
         for n in 0..plan.schedulers {
-            let mut counter = Counter::new(config(n, &world), plan.seed ^ (n as u64 + 1));
-            counter.members(plan.schedulers);
-            counter.workers(&list);
-            counter.rows(BEGIN * 1_000_000);
+            let mut counter = AttemptCounter::new(config(n, &world), plan.seed ^ (n as u64 + 1));
+            counter.set_members(plan.schedulers);
+            counter.set_workers(&list);
+            counter.take_updates(BEGIN * 1_000_000);
             counters.push(counter);
         }
         Run {
@@ -181,10 +181,10 @@
         if self.world.second(second) {
             // The list reaches all within the second, after what was in flight.
             let list = self.world.list();
-            self.shared.machine.workers(now, &list);
-            self.alone.machine.workers(now, &list);
+            self.shared.machine.set_workers(now, &list);
+            self.alone.machine.set_workers(now, &list);
             for counter in &mut self.counters {
-                counter.workers(&list);
+                counter.set_workers(&list);
             }
         }
         let counters = &mut self.counters;
@@ -192,7 +192,13 @@
         let deviations = &mut self.deviations;
         self.world.jobs(second, |job| {
             let worker = World::NAMES[job.worker];
-            counters[job.scheduler].seen(now - 1, worker, job.class, job.first, job.outcome);
+            counters[job.scheduler].record_attempt(
+                now - 1,
+                worker,
+                job.class,
+                job.first,
+                job.outcome,
+            );
             in_a_row.seen(second, job.scheduler, job.worker, job.outcome);
             deviations.seen(second, job.worker, job.outcome);
         });
@@ -205,7 +211,7 @@
     fn send_rows(&mut self, second: u64, now: Micros) {
         for (n, counter) in self.counters.iter_mut().enumerate() {
             let owner = member(n);
-            for row in counter.rows(now) {
+            for row in counter.take_updates(now) {
                 let row = (second + 1, owner.clone(), row);
                 if n == 0 {
                     self.alone.in_flight.push_back(row.clone());
@@ -213,16 +219,16 @@
                 self.shared.in_flight.push_back(row);
             }
             if second % 60 == 0 {
-                let spent = counter.spent();
+                let totals = counter.totals();
                 let outcomes = &mut self.outcomes;
-                let in_minute = (spent.bytes - self.bytes[n]) as f64 / 60.0;
+                let in_minute = (totals.bytes - self.bytes[n]) as f64 / 60.0;
                 outcomes.bytes_most = outcomes.bytes_most.max(in_minute);
-                let mean = spent.bytes as f64 / second as f64;
+                let mean = totals.bytes as f64 / second as f64;
                 outcomes.bytes_mean = outcomes.bytes_mean.max(mean);
                 if second + 60 > self.plan.seconds {
-                    outcomes.dropped += spent.dropped;
+                    outcomes.dropped_failures += totals.dropped_failures;
                 }
-                self.bytes[n] = spent.bytes;
+                self.bytes[n] = totals.bytes;
             }
         }
     }
--- a/crates/quarantine/tests/common/mod.rs
+++ b/crates/quarantine/tests/common/mod.rs
@@ -79,7 +79,7 @@
             ..Config::new(owner.clone(), ZONES[n % 2], &["read"])
         };
         let mut machine = Quarantine::new(config, n as u64);
-        machine.workers(now(self.second), &self.list);
+        machine.set_workers(now(self.second), &self.list);
         let rows = Rows::new(
             owner.clone(),
             Limits {
@@ -134,7 +134,7 @@
     pub fn send_list(&mut self) {
         let at = now(self.second);
         for member in &mut self.members {
-            member.machine.workers(at, &self.list);
+            member.machine.set_workers(at, &self.list);
         }
     }
 
@@ -151,7 +151,7 @@
             .filter(|n| self.members[*n].up)
             .collect();
         self.run_jobs(at, &up);
-        self.raise_rows(at, &up);
+        self.publish_rows(at, &up);
         self.exchange_rows(&up);
         self.tick_machines(at, &up);
     }
@@ -170,18 +170,18 @@
             let name = self.list[w].name.clone();
             self.members[n]
                 .machine
-                .seen(at - 1, &name, 0, true, outcome);
+                .record_attempt(at - 1, &name, 0, true, outcome);
         }
     }
 
     /// Each member raises its own rows.
-    fn raise_rows(&mut self, at: Micros, up: &[usize]) {
+    fn publish_rows(&mut self, at: Micros, up: &[usize]) {
         for &n in up {
             let m = &mut self.members[n];
             m.rows.expire(at);
-            for raise in m.machine.rows(at) {
+            for raise in m.machine.take_updates(at) {
                 m.rows
-                    .raise(raise.window, TABLE, &raise.subject, &raise.adds)
+                    .raise(raise.window, TABLE, &raise.subject, &raise.increments)
                     .unwrap();
             }
         }
@@ -238,7 +238,7 @@
     fn tick_machines(&mut self, at: Micros, up: &[usize]) {
         for &n in up {
             let m = &mut self.members[n];
-            m.machine.members(m.rows.alive_owners());
+            m.machine.set_members(m.rows.alive_owners());
             if m.read != m.rows.revision() {
                 m.read = m.rows.revision();
                 m.rows.fold(TABLE, |owner, window, subject, counts| {
@@ -256,7 +256,7 @@
 
     /// The standing proposals of a member, as lines.
     pub fn standing(&self, n: usize) -> Vec<String> {
-        let lines = self.members[n].machine.table();
+        let lines = self.members[n].machine.telemetry_lines();
         lines
             .into_iter()
             .filter(|l| l.starts_with("proposal"))
--- a/crates/quarantine/tests/fleet.rs
+++ b/crates/quarantine/tests/fleet.rs
@@ -156,7 +156,7 @@
     fleet.run(90);
     let made: Vec<String> = fleet.made().into_iter().map(|(_, _, w)| w).collect();
     assert_eq!(made, ["w4"]);
-    let open = fleet.members[0].machine.table();
+    let open = fleet.members[0].machine.telemetry_lines();
     assert!(
         open.iter()
             .any(|l| l.starts_with("open worker=w2 ") && l.contains("share")),
--- a/crates/quarantine/tests/large.rs
+++ b/crates/quarantine/tests/large.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use oakshed_quarantine::{
-    Config, Counter, Effect, Outcome, Owner, Quarantine, Worker, WorkerState,
+    AttemptCounter, Config, Effect, Outcome, Owner, Quarantine, Worker, WorkerState,
 };
 
 const BEGIN: u64 = 1_700_000_000;
@@ -35,11 +35,11 @@
 }
 
 /// The counters of so many members, which know the list.
-fn counters(members: usize, zones: usize, list: &[Worker]) -> Vec<Counter> {
+fn counters(members: usize, zones: usize, list: &[Worker]) -> Vec<AttemptCounter> {
     let counter = |n| {
-        let mut counter = Counter::new(config(n, zones, &["read"]), n as u64);
-        counter.members(members);
-        counter.workers(list);
+        let mut counter = AttemptCounter::new(config(n, zones, &["read"]), n as u64);
+        counter.set_members(members);
+        counter.set_workers(list);
         counter
     };
     (0..members).map(counter).collect()
@@ -51,7 +51,7 @@
     let list = list(zones);
     let mut counters = counters(members, zones, &list);
     let mut machine = Quarantine::new(config(0, zones, &["read"]), 1);
-    machine.workers(BEGIN * 1_000_000, &list);
+    machine.set_workers(BEGIN * 1_000_000, &list);
     let mut effects = Vec::new();
     for second in 0..=100 {
         let now = (BEGIN + second) * 1_000_000;
@@ -64,9 +64,9 @@
                 } else {
                     Outcome::Success
                 };
-                counter.seen(now, &list[worker].name, 0, true, outcome);
+                counter.record_attempt(now, &list[worker].name, 0, true, outcome);
             }
-            for row in counter.rows(now) {
+            for row in counter.take_updates(now) {
                 let owner = Owner::new(&format!("s{n}"), 1);
                 machine.merge(&owner, row.window, &row.subject, &row.counts());
             }
@@ -80,7 +80,7 @@
 
 /// All rows were read, and none was rejected.
 fn assert_all_read(machine: &Quarantine) {
-    let table = machine.table();
+    let table = machine.telemetry_lines();
     let is_complete = |line: &String| line.contains("unread=0 full=0 waiting=0");
     assert!(table.iter().any(is_complete), "{table:?}");
 }
@@ -118,16 +118,16 @@
         bytes_per_second: 1 << 30,
         ..config(n, 16, &classes)
     };
-    let mut counter = Counter::new(large(1), 1);
-    counter.workers(&list);
+    let mut counter = AttemptCounter::new(large(1), 1);
+    counter.set_workers(&list);
     let mut machine = Quarantine::new(large(0), 1);
-    machine.workers(now, &list);
+    machine.set_workers(now, &list);
     for worker in &list {
         for class in 0..32 {
-            counter.seen(now, &worker.name, class, true, Outcome::Success);
+            counter.record_attempt(now, &worker.name, class, true, Outcome::Success);
         }
     }
-    let rows = counter.rows(now + 6_000_000);
+    let rows = counter.take_updates(now + 6_000_000);
     let cells: usize = rows.iter().map(|row| row.counts().len() - 1).sum();
     assert_eq!(cells, MANY * 32);
     let distinct: std::collections::BTreeSet<_> = rows.iter().map(|row| &row.subject).collect();
--- a/crates/quarantine/tests/properties.rs
+++ b/crates/quarantine/tests/properties.rs
@@ -1,7 +1,7 @@
 //! Properties: the order of rows does not matter, the share is never exceeded, no bytes cause a panic.
 
 use oakshed_quarantine::{
-    Config, Counter, Effect, Outcome, Owner, Quarantine, Spent, Worker, WorkerState,
+    AttemptCounter, Config, Effect, Outcome, Owner, Quarantine, RowTotals, Worker, WorkerState,
 };
 use proptest::prelude::*;
 
@@ -34,10 +34,12 @@
     let mut rng = fastrand::Rng::with_seed(seed);
     let list = list(bad.len());
     let mut out = Vec::new();
-    let mut counters: Vec<Counter> = (0..4).map(|n| Counter::new(config(n), seed)).collect();
+    let mut counters: Vec<AttemptCounter> = (0..4)
+        .map(|n| AttemptCounter::new(config(n), seed))
+        .collect();
     for counter in &mut counters {
-        counter.members(4);
-        counter.workers(&list);
+        counter.set_members(4);
+        counter.set_workers(&list);
     }
     for second in 0..=100 {
         let now = (BEGIN + second) * 1_000_000;
@@ -49,9 +51,9 @@
                 } else {
                     Outcome::Success
                 };
-                counter.seen(now, &list[w].name, rng.usize(0..2), true, outcome);
+                counter.record_attempt(now, &list[w].name, rng.usize(0..2), true, outcome);
             }
-            for row in counter.rows(now) {
+            for row in counter.take_updates(now) {
                 out.push((config(n).me, row.window, row.subject.clone(), row.counts()));
             }
         }
@@ -61,14 +63,14 @@
 
 fn run(list: &[Worker], rows: &[Row]) -> (Vec<Effect>, Vec<String>) {
     let mut machine = Quarantine::new(config(0), 1);
-    machine.workers(BEGIN * 1_000_000, list);
+    machine.set_workers(BEGIN * 1_000_000, list);
     for (owner, window, subject, counts) in rows {
         machine.merge(owner, *window, subject, counts);
     }
     machine.tick((BEGIN + 104) * 1_000_000);
     (
         std::iter::from_fn(|| machine.poll_effect()).collect(),
-        machine.table(),
+        machine.telemetry_lines(),
     )
 }
 
@@ -119,9 +121,9 @@
     ) {
         let list = list(6);
         let mut machine = Quarantine::new(config(0), 1);
-        machine.workers(BEGIN * 1_000_000, &list);
-        let names = Counter::new(config(0), 1);
-        prop_assert!(names.spent() == Spent::default());
+        machine.set_workers(BEGIN * 1_000_000, &list);
+        let names = AttemptCounter::new(config(0), 1);
+        prop_assert!(names.totals() == RowTotals::default());
         let window = (BEGIN / 10) as u32;
         // The digest of a row that the fleet would write, so that the bytes after it are read.
         let real = rows(1, &[10; 6])[0].2.clone();
@@ -131,6 +133,6 @@
             machine.merge(&config(1).me, window + ahead, &subject, &counts);
         }
         machine.tick((BEGIN + 30) * 1_000_000);
-        prop_assert!(!machine.table().is_empty());
+        prop_assert!(!machine.telemetry_lines().is_empty());
     }
 }
--- a/crates/quarantine/tests/row_form.rs
+++ b/crates/quarantine/tests/row_form.rs
@@ -3,7 +3,9 @@
 use std::fmt::Write as _;
 use std::sync::Arc;
 
-use oakshed_quarantine::{Config, Counter, Outcome, Owner, Quarantine, Raise, Worker, WorkerState};
+use oakshed_quarantine::{
+    AttemptCounter, Config, Outcome, Owner, Quarantine, RowUpdate, Worker, WorkerState,
+};
 
 const BEGIN: u64 = 1_700_000_000;
 const FIXTURE: &str = include_str!("fixtures/rows-v1.txt");
@@ -37,26 +39,26 @@
     }
 }
 
-fn line(row: &Raise) -> String {
+fn line(row: &RowUpdate) -> String {
     let mut line = format!("{} ", row.window);
     for byte in &row.subject {
         write!(line, "{byte:02x}").expect("writing to memory");
     }
-    format!("{line} {:?}\n", row.adds)
+    format!("{line} {:?}\n", row.increments)
 }
 
 /// The rows of one member's evidence of 12 s, with each outcome.
 fn evidence() -> String {
-    let mut counter = Counter::new(config(1), 1);
-    counter.workers(&workers());
+    let mut counter = AttemptCounter::new(config(1), 1);
+    counter.set_workers(&workers());
     let mut lines = String::new();
     for second in 0..12 {
         let now = (BEGIN + second) * 1_000_000;
         for (n, outcome) in OUTCOMES.into_iter().enumerate() {
             let worker = format!("w{}", (n + second as usize) % 12);
-            counter.seen(now, &worker, n % 2, true, outcome);
+            counter.record_attempt(now, &worker, n % 2, true, outcome);
         }
-        for row in counter.rows(now) {
+        for row in counter.take_updates(now) {
             lines += &line(&row);
         }
     }
@@ -65,12 +67,14 @@
 
 /// The rows of the proposal that members make of one worker that fails.
 fn proposal() -> String {
-    let mut counters: Vec<Counter> = (0..4).map(|n| Counter::new(config(n), n as u64)).collect();
+    let mut counters: Vec<AttemptCounter> = (0..4)
+        .map(|n| AttemptCounter::new(config(n), n as u64))
+        .collect();
     let mut machine = Quarantine::new(config(0), 1);
     let mut lines = String::new();
-    machine.workers(BEGIN * 1_000_000, &workers());
+    machine.set_workers(BEGIN * 1_000_000, &workers());
     for counter in &mut counters {
-        counter.workers(&workers());
+        counter.set_workers(&workers());
     }
     for second in 0..60 {
         let now = (BEGIN + second) * 1_000_000;
@@ -78,15 +82,15 @@
             for worker in 0..12 {
                 let is_failure = worker == 5 && second % 2 == 0;
                 let outcome = OUTCOMES[usize::from(is_failure)];
-                counter.seen(now, &format!("w{worker}"), 0, true, outcome);
+                counter.record_attempt(now, &format!("w{worker}"), 0, true, outcome);
             }
             let owner = Owner::new(&format!("s{n}"), 1);
-            for row in counter.rows(now) {
+            for row in counter.take_updates(now) {
                 machine.merge(&owner, row.window, &row.subject, &row.counts());
             }
         }
         machine.tick(now);
-        for row in machine.rows(now) {
+        for row in machine.take_updates(now) {
             lines += &line(&row);
         }
     }
