--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -20,7 +20,7 @@
 pub use detector::{log_evidence, threshold};
 pub use machine::Quarantine;
 pub use oakshed_peers::{rows::Owner, Micros};
-pub use proposals::{Effect, Figures, Reason};
+pub use proposals::{Effect, EvidenceSummary, Reason};
 
 /// The table of shared rows that holds tries and their ends by worker.
 pub const TABLE: u8 = 2;
--- a/crates/quarantine/src/machine/decide.rs
+++ b/crates/quarantine/src/machine/decide.rs
@@ -3,32 +3,32 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::{Known, Quarantine};
+use super::{ListedWorker, Quarantine};
 use crate::attribution::{attribute, NotAttributed, TotalEvidence};
 use crate::detector::{after_last_recovery, find_onset, threshold};
-use crate::proposals::{responsible, tag, Effect, Reason, Subject};
+use crate::proposals::{responsible, row_name, Effect, Reason, WorkerIncarnation};
 use crate::{Micros, Worker, WorkerState};
 
 /// By how much the threshold is lowered (natural logarithm): see docs/quarantine.md, 'the bound'.
-const SLACK: f64 = 3.0;
+const THRESHOLD_REDUCTION: f64 = 3.0;
 /// The part of the threshold that must be left when the member or zone that saw most is left out.
 const REMAINING_RATIO: f64 = 0.2;
 /// After how many windows a standing proposal is raised again.
-const REFRESH: u32 = 6;
+const REFRESH_WINDOWS: u32 = 6;
 /// After how many half windows a class that fails on all workers is reported again.
-const SHARED_REPORT_INTERVAL: u32 = 12;
+const CLASS_REPORT_INTERVALS: u32 = 12;
 /// By how much the failure rate of a class must have grown to be reported.
-const SHARED_FACTOR: f64 = 2.0;
+const CLASS_REPORT_RATIO: f64 = 2.0;
 /// The bits of a worker's start that proposals have.
-const START_BITS: u64 = 0xffff_ffff_ffff;
+const START_MASK: u64 = 0xffff_ffff_ffff;
 
 /// The half windows that a decision is made on.
 #[derive(Clone, Copy)]
-struct Range {
+struct IntervalRange {
     /// The first that is retained.
     oldest: u32,
     /// The last that is over.
-    over: u32,
+    last_complete: u32,
 }
 
 /// A worker with enough evidence against it.
@@ -38,34 +38,37 @@
 }
 
 /// A worker's start, as rows name it.
-fn subject(worker: &Worker) -> Subject {
-    (tag(&worker.name), worker.started & START_BITS)
+fn incarnation_of(worker: &Worker) -> WorkerIncarnation {
+    (row_name(&worker.name), worker.started & START_MASK)
 }
 
 impl Quarantine {
     /// Withdraws and makes the proposals that this member is responsible for.
-    pub(super) fn decide(&mut self, now: Micros, over: u32, oldest: u32) {
+    pub(super) fn decide(&mut self, now: Micros, last_complete: u32, oldest: u32) {
         let window = u32::try_from(now / self.config.window.max(1)).unwrap_or(u32::MAX);
-        let range = Range { oldest, over };
+        let range = IntervalRange {
+            oldest,
+            last_complete,
+        };
         let own_zones = self.own_zones();
         // Who is responsible for what no zone is.
-        let is_default = self.is_responsible("");
-        self.review_standing(now, window, range, &own_zones, is_default);
-        self.open.clear();
+        let is_fallback = self.is_responsible("");
+        self.review_standing(now, window, range, &own_zones, is_fallback);
+        self.withheld.clear();
         for (zone, mut suspects) in self.suspects(range) {
             suspects.sort_by(|a, b| {
                 let by_evidence = b.evidence.log_evidence.total_cmp(&a.evidence.log_evidence);
                 by_evidence.then_with(|| a.name.cmp(&b.name))
             });
             let is_own = own_zones.contains(&zone);
-            self.propose(window, over, &zone, suspects, is_own);
+            self.propose(window, last_complete, &zone, suspects, is_own);
         }
-        self.report_shared(over, is_default);
+        self.report_degraded_classes(last_complete, is_fallback);
     }
 
     /// Whether this member is responsible for a key.
     fn is_responsible(&self, key: &str) -> bool {
-        responsible(key, self.living.iter()) == Some(&self.config.me)
+        responsible(key, self.alive.iter()) == Some(&self.config.me)
     }
 
     /// The zones of workers that this member is responsible for.
@@ -83,9 +86,9 @@
     }
 
     /// The evidence that a proposal needs.
-    fn evidence_threshold(&self) -> f64 {
+    fn log_evidence_threshold(&self) -> f64 {
         let steps = 3.6e9 / (self.config.window / 2).max(1) as f64;
-        threshold(self.config.worker_hours_per_false_proposal, steps) - SLACK
+        threshold(self.config.worker_hours_per_false_proposal, steps) - THRESHOLD_REDUCTION
     }
 
     /// Withdraws or refreshes the standing proposals.
@@ -93,37 +96,37 @@
         &mut self,
         now: Micros,
         window: u32,
-        range: Range,
+        range: IntervalRange,
         own_zones: &BTreeSet<Arc<str>>,
-        is_default: bool,
+        is_fallback: bool,
     ) {
         let by_tag: BTreeMap<Vec<u8>, Arc<str>> = self
             .workers
             .keys()
-            .map(|name| (tag(name), name.clone()))
+            .map(|name| (row_name(name), name.clone()))
             .collect();
-        let standing: Vec<(Subject, u32)> = self
+        let standing: Vec<(WorkerIncarnation, u32)> = self
             .proposals
             .list()
             .into_iter()
-            .map(|(subject, _, figures)| (subject.clone(), figures.made))
+            .map(|(incarnation, _, summary)| (incarnation.clone(), summary.proposed_in))
             .collect();
         let retention = u64::from(self.config.retained_windows) * self.config.window;
-        let has_full_memory = self.started_at.is_some_and(|at| now >= at + retention);
-        for (subject, made) in &standing {
+        let has_full_history = self.started_at.is_some_and(|at| now >= at + retention);
+        for (incarnation, proposed_in) in &standing {
             let known = by_tag
-                .get(&subject.0)
+                .get(&incarnation.0)
                 .and_then(|name| self.workers.get(name));
             let reason = match known {
-                None if is_default => Some(Reason::Removed),
+                None if is_fallback => Some(Reason::Removed),
                 Some(known) if own_zones.contains(&known.worker.zone) => {
-                    self.withdrawal(known, subject, *made, range, has_full_memory)
+                    self.withdrawal(known, incarnation, *proposed_in, range, has_full_history)
                 }
                 _ => continue,
             };
             match reason {
-                Some(reason) => self.proposals.withdraw(window, subject, reason),
-                None => self.proposals.refresh(window, subject, REFRESH),
+                Some(reason) => self.proposals.withdraw(window, incarnation, reason),
+                None => self.proposals.refresh(window, incarnation, REFRESH_WINDOWS),
             }
         }
     }
@@ -131,51 +134,55 @@
     /// Why a proposal of a listed worker no longer stands, if it does not.
     fn withdrawal(
         &self,
-        known: &Known,
-        subject: &Subject,
-        made: u32,
-        range: Range,
-        has_full_memory: bool,
+        known: &ListedWorker,
+        incarnation: &WorkerIncarnation,
+        proposed_in: u32,
+        range: IntervalRange,
+        has_full_history: bool,
     ) -> Option<Reason> {
-        let from = known.from.max(range.oldest).min(range.over);
-        let steps = self.steps(known, from, range.over);
-        if known.worker.started & START_BITS != subject.1 {
+        let from = known
+            .first_counted
+            .max(range.oldest)
+            .min(range.last_complete);
+        let steps = self.steps(known, from, range.last_complete);
+        if known.worker.started & START_MASK != incarnation.1 {
             return Some(Reason::Restarted);
         }
-        let fresh = after_last_recovery(&steps) as u32;
-        if fresh > 0 && from + fresh > made + 1 {
+        let skipped = after_last_recovery(&steps) as u32;
+        if skipped > 0 && from + skipped > proposed_in + 1 {
             return Some(Reason::Recovered);
         }
         let is_tried = steps.iter().any(|(_, expected)| *expected > 0.0);
-        let may_have_expired = has_full_memory && range.oldest > made;
+        let may_have_expired = has_full_history && range.oldest > proposed_in;
         (!is_tried && may_have_expired).then_some(Reason::Expired)
     }
 
     /// The workers with enough evidence against them, by zone. Those whose failures are not attributed to them
     /// are noted as open.
-    fn suspects(&mut self, range: Range) -> BTreeMap<Arc<str>, Vec<Suspect>> {
-        let threshold = self.evidence_threshold();
+    fn suspects(&mut self, range: IntervalRange) -> BTreeMap<Arc<str>, Vec<Suspect>> {
+        let threshold = self.log_evidence_threshold();
         let mut suspects: BTreeMap<Arc<str>, Vec<Suspect>> = BTreeMap::new();
         for (name, known) in &self.workers {
-            if known.from > range.over {
+            if known.first_counted > range.last_complete {
                 continue;
             }
-            let from = known.from.max(range.oldest);
-            let steps = self.steps(known, from, range.over);
-            let fresh = after_last_recovery(&steps);
-            let Some((at, log)) = find_onset(&steps[fresh..]).filter(|(_, log)| *log >= threshold)
+            let from = known.first_counted.max(range.oldest);
+            let steps = self.steps(known, from, range.last_complete);
+            let skipped = after_last_recovery(&steps);
+            let Some((at, log_evidence)) = find_onset(&steps[skipped..])
+                .filter(|(_, log_evidence)| *log_evidence >= threshold)
             else {
                 continue;
             };
             let Some(id) = self.store.workers.get(name) else {
                 continue;
             };
-            let from = from + (fresh + at) as u32;
+            let onset = from + (skipped + at) as u32;
             let remaining = threshold * REMAINING_RATIO;
             let (evidence, attribution) =
-                attribute(&self.classifications, id, from, log, remaining);
+                attribute(&self.classifications, id, onset, log_evidence, remaining);
             let name = name.clone();
-            let why = match attribution {
+            let reason = match attribution {
                 Ok(()) => {
                     let zone = known.worker.zone.clone();
                     let of_zone = suspects.entry(zone).or_default();
@@ -185,21 +192,22 @@
                 Err(NotAttributed::SingleMember) => "one member only",
                 Err(NotAttributed::SingleZone) => "one zone only",
             };
-            self.open.insert(name, (evidence, why));
+            self.withheld.insert(name, (evidence, reason));
         }
         suspects
     }
 
     /// Failures and expected failures of a worker by half window.
-    fn steps(&self, known: &Known, from: u32, over: u32) -> Vec<(u32, f64)> {
+    fn steps(&self, known: &ListedWorker, from: u32, last_complete: u32) -> Vec<(u32, f64)> {
         let id = self.store.workers.get(&known.worker.name);
         let evidence = |interval: u32| {
             let classification = self.classifications.get(&interval)?;
             classification.workers.get(&id?)
         };
-        (from..=over)
+        (from..=last_complete)
             .map(|interval| {
-                evidence(interval).map_or((0, 0.0), |seen| (seen.failures, seen.expected))
+                evidence(interval)
+                    .map_or((0, 0.0), |evidence| (evidence.failures, evidence.expected))
             })
             .collect()
     }
@@ -208,58 +216,61 @@
     fn propose(
         &mut self,
         window: u32,
-        over: u32,
+        last_complete: u32,
         zone: &Arc<str>,
         suspects: Vec<Suspect>,
         is_own: bool,
     ) {
-        let standing: BTreeSet<Subject> = self.proposals.standing().into_keys().cloned().collect();
-        let mut total = 0;
-        let mut used = 0;
+        let standing: BTreeSet<WorkerIncarnation> =
+            self.proposals.standing().into_keys().cloned().collect();
+        let mut total_capacity = 0;
+        let mut used_capacity = 0;
         for worker in self.workers.values().map(|known| &known.worker) {
             if worker.zone != *zone {
                 continue;
             }
-            total += u64::from(worker.capacity);
-            if worker.state == WorkerState::Excluded || standing.contains(&subject(worker)) {
-                used += u64::from(worker.capacity);
+            total_capacity += u64::from(worker.capacity);
+            if worker.state == WorkerState::Excluded || standing.contains(&incarnation_of(worker)) {
+                used_capacity += u64::from(worker.capacity);
             }
         }
         for Suspect { name, evidence } in suspects {
             let Some(worker) = self.workers.get(&name).map(|known| &known.worker) else {
                 continue;
             };
-            if standing.contains(&subject(worker)) {
+            if standing.contains(&incarnation_of(worker)) {
                 continue;
             }
             let capacity = u64::from(worker.capacity);
-            if (used + capacity) as f64 > self.config.max_zone_share * total as f64 {
-                self.open
+            if (used_capacity + capacity) as f64
+                > self.config.max_zone_share * total_capacity as f64
+            {
+                self.withheld
                     .insert(name, (evidence, "beyond the zone's share"));
                 continue;
             }
-            used += capacity;
+            used_capacity += capacity;
             if is_own {
                 let started = worker.started;
                 self.proposals
-                    .propose(window, &name, started, over, &evidence);
+                    .propose(window, &name, started, last_complete, &evidence);
             }
         }
     }
 
     /// Reports classes that fail more on all workers.
-    fn report_shared(&mut self, over: u32, is_responsible: bool) {
-        let Some(classification) = self.classifications.get(&over) else {
+    fn report_degraded_classes(&mut self, last_complete: u32, is_responsible: bool) {
+        let Some(classification) = self.classifications.get(&last_complete) else {
             return;
         };
         for (class, (rate, before)) in &classification.classes {
-            if *rate <= SHARED_FACTOR * before {
+            if *rate <= CLASS_REPORT_RATIO * before {
                 continue;
             }
-            let last = self.reported.insert(*class, over);
-            let is_new = last.is_none_or(|last| last + SHARED_REPORT_INTERVAL < over);
+            let last = self.class_reported_in.insert(*class, last_complete);
+            let is_new = last.is_none_or(|last| last + CLASS_REPORT_INTERVALS < last_complete);
             if is_new && is_responsible {
-                self.effects.push_back(Effect::Shared {
+                self.effects.push_back(Effect::ClassDegraded {
                     class: usize::from(*class),
                     rate: *rate,
                     before: *before,
--- a/crates/quarantine/src/machine/mod.rs
+++ b/crates/quarantine/src/machine/mod.rs
@@ -14,25 +14,25 @@
 use crate::classify::{self, Classification};
 use crate::code::{self, NameTable};
 use crate::counter::{AttemptCounter, RowUpdate};
-use crate::proposals::{tag, Effect, Proposals};
+use crate::proposals::{row_name, Effect, Proposals};
 use crate::store::EvidenceStore;
 use crate::{Config, Micros, Outcome, Owner, Worker, WorkerState};
 
 /// The most sets of names that rows may have been written with.
 const MAX_NAME_TABLES: usize = 8;
 /// The most rows that wait for their set of names.
-const MAX_WAITING_ROWS: usize = 4_096;
+const MAX_UNDECODED_ROWS: usize = 4_096;
 
 /// A worker of the endpoint list.
 #[derive(Clone, Debug)]
-struct Known {
+struct ListedWorker {
     worker: Worker,
     /// The first half window that counts.
-    from: u32,
+    first_counted: u32,
 }
 
 /// A row of evidence whose set of names is not known yet.
-type WaitingRow = (Owner, u32, Vec<u8>);
+type UndecodedRow = (Owner, u32, Vec<u8>);
 
 /// The quarantine proposals of one member.
 #[derive(Clone, Debug)]
@@ -40,22 +40,22 @@
     config: Config,
     counter: AttemptCounter,
     store: EvidenceStore,
-    names: VecDeque<NameTable>,
-    waiting: BTreeMap<WaitingRow, Vec<u32>>,
-    workers: BTreeMap<Arc<str>, Known>,
-    living: BTreeSet<Owner>,
+    name_tables: VecDeque<NameTable>,
+    undecoded: BTreeMap<UndecodedRow, Vec<u32>>,
+    workers: BTreeMap<Arc<str>, ListedWorker>,
+    alive: BTreeSet<Owner>,
     classifications: BTreeMap<u32, Classification>,
     /// The last half window that was classified.
-    classified: Option<u32>,
+    last_classified: Option<u32>,
     proposals: Proposals,
     /// Workers with evidence and no proposal, and why.
-    open: BTreeMap<Arc<str>, (TotalEvidence, &'static str)>,
+    withheld: BTreeMap<Arc<str>, (TotalEvidence, &'static str)>,
     effects: VecDeque<Effect>,
     started_at: Option<Micros>,
     /// Rows that could not be read.
-    unread: u64,
+    unread_rows: u64,
     /// When each class that fails on all workers was reported last.
-    reported: BTreeMap<u8, u32>,
+    class_reported_in: BTreeMap<u8, u32>,
 }
 
 impl Quarantine {
@@ -65,18 +65,18 @@
         Quarantine {
             counter: AttemptCounter::new(config.clone(), seed),
             store: EvidenceStore::new(config.max_cells),
-            names: VecDeque::new(),
-            waiting: BTreeMap::new(),
+            name_tables: VecDeque::new(),
+            undecoded: BTreeMap::new(),
             workers: BTreeMap::new(),
-            living: BTreeSet::from([config.me.clone()]),
+            alive: BTreeSet::from([config.me.clone()]),
             classifications: BTreeMap::new(),
-            classified: None,
+            last_classified: None,
             proposals: Proposals::default(),
-            open: BTreeMap::new(),
+            withheld: BTreeMap::new(),
             effects: VecDeque::new(),
             started_at: None,
-            unread: 0,
-            reported: BTreeMap::new(),
+            unread_rows: 0,
+            class_reported_in: BTreeMap::new(),
             config,
         }
     }
@@ -120,23 +120,23 @@
         let Some(digest) = code::names_digest(subject) else {
             return;
         };
-        let Some(names) = self.names.iter().find(|names| names.digest == digest) else {
-            return self.wait_for_names(owner, window, subject, counts);
+        let Some(names) = self.name_tables.iter().find(|names| names.digest == digest) else {
+            return self.hold_until_named(owner, window, subject, counts);
         };
         match code::decode(names, subject, counts) {
             Some(evidence) => self.store.merge(owner, window, names, &evidence),
-            None => self.unread += 1,
+            None => self.unread_rows += 1,
         }
     }
 
     /// Retains a row until its set of names is known.
-    fn wait_for_names(&mut self, owner: &Owner, window: u32, subject: &[u8], counts: &[u32]) {
+    fn hold_until_named(&mut self, owner: &Owner, window: u32, subject: &[u8], counts: &[u32]) {
         let key = (owner.clone(), window, subject.to_vec());
-        if self.waiting.len() >= MAX_WAITING_ROWS && !self.waiting.contains_key(&key) {
-            self.unread += 1;
+        if self.undecoded.len() >= MAX_UNDECODED_ROWS && !self.undecoded.contains_key(&key) {
+            self.unread_rows += 1;
             return;
         }
-        let joined = self.waiting.entry(key).or_default();
+        let joined = self.undecoded.entry(key).or_default();
         joined.resize(joined.len().max(counts.len()), 0);
         for (joined, count) in joined.iter_mut().zip(counts) {
             *joined = (*joined).max(*count);
@@ -144,9 +144,9 @@
     }
 
     /// Sets the members that are alive; this one is always among them.
-    pub fn set_members(&mut self, living: impl IntoIterator<Item = Owner>) {
-        self.living = living.into_iter().chain([self.config.me.clone()]).collect();
-        self.counter.set_members(self.living.len());
+    pub fn set_members(&mut self, alive: impl IntoIterator<Item = Owner>) {
+        self.alive = alive.into_iter().chain([self.config.me.clone()]).collect();
+        self.counter.set_members(self.alive.len());
     }
 
     /// Sets the endpoint list.
@@ -154,16 +154,21 @@
         let interval = self.config.interval_at(now);
         let known = std::mem::take(&mut self.workers);
         for worker in workers {
-            let from = self.counts_from(worker, known.get(&worker.name), interval);
+            let first_counted = self.first_counted(worker, known.get(&worker.name), interval);
             let worker = worker.clone();
-            self.workers
-                .insert(worker.name.clone(), Known { worker, from });
+            self.workers.insert(
+                worker.name.clone(),
+                ListedWorker {
+                    worker,
+                    first_counted,
+                },
+            );
         }
         let names = NameTable::new(workers, &self.config.classes, &self.config.zone);
-        if !self.names.contains(&names) {
-            self.names.push_front(names);
-            self.names.truncate(MAX_NAME_TABLES);
-            for ((owner, window, subject), counts) in std::mem::take(&mut self.waiting) {
+        if !self.name_tables.contains(&names) {
+            self.name_tables.push_front(names);
+            self.name_tables.truncate(MAX_NAME_TABLES);
+            for ((owner, window, subject), counts) in std::mem::take(&mut self.undecoded) {
                 self.merge_evidence(&owner, window, &subject, &counts);
             }
         }
@@ -171,19 +176,21 @@
     }
 
     /// The first half window of a worker that counts, as the list has it at this half window.
-    fn counts_from(&self, worker: &Worker, known: Option<&Known>, interval: u32) -> u32 {
+    fn first_counted(&self, worker: &Worker, known: Option<&ListedWorker>, interval: u32) -> u32 {
         if worker.state != WorkerState::Ready {
             return u32::MAX;
         }
         let started = worker.started.saturating_mul(1_000);
-        let warm = started.saturating_add(self.config.warmup);
-        let warm = self.config.interval_at(warm).saturating_add(1);
+        let warm_at = started.saturating_add(self.config.warmup);
+        let warm_at = self.config.interval_at(warm_at).saturating_add(1);
         match known {
-            None => warm,
-            Some(known) if known.worker.started == worker.started && known.from != u32::MAX => {
-                known.from
+            None => warm_at,
+            Some(known)
+                if known.worker.started == worker.started && known.first_counted != u32::MAX =>
+            {
+                known.first_counted
             }
-            Some(_) => warm.max(interval + 1),
+            Some(_) => warm_at.max(interval + 1),
         }
     }
 
@@ -194,22 +201,29 @@
         let oldest = (self.config.interval_at(now) + 1).saturating_sub(retained);
         self.expire(oldest);
         // The last half window that is over, and whose rows have come.
-        let over = self
+        let last_complete = self
             .config
             .interval_at(now.saturating_sub(self.config.allowed_lateness))
             .saturating_sub(1);
-        let next = self.classified.map_or(oldest, |classified| classified + 1);
+        let next = self
+            .last_classified
+            .map_or(oldest, |last_classified| last_classified + 1);
         let first_changed = self.store.take_first_changed().unwrap_or(next);
         let first = first_changed.min(next).max(oldest);
-        if first <= over {
-            for interval in first..=over {
+        if first <= last_complete {
+            for interval in first..=last_complete {
                 self.classify(interval);
             }
-            self.classified = Some(over);
-            self.decide(now, over, oldest);
+            self.last_classified = Some(last_complete);
+            self.decide(now, last_complete, oldest);
         }
         let workers = &self.workers;
-        let name = |tagged: &[u8]| workers.keys().find(|name| tag(name) == tagged).cloned();
+        let name = |tagged: &[u8]| {
+            workers
+                .keys()
+                .find(|name| row_name(name) == tagged)
+                .cloned()
+        };
         let effects = self.proposals.effects(name);
         self.effects.extend(effects);
     }
@@ -218,7 +232,7 @@
         self.store.expire(oldest);
         self.classifications = self.classifications.split_off(&oldest);
         self.proposals.expire(oldest / 2);
-        self.waiting
+        self.undecoded
             .retain(|(_, window, _), _| *window >= oldest / 2);
     }
 
@@ -234,7 +248,7 @@
         for (worker, _, _) in cells.keys() {
             let name = self.store.workers.name(*worker);
             let known = name.and_then(|name| self.workers.get(name));
-            let Some(known) = known.filter(|known| known.from <= interval) else {
+            let Some(known) = known.filter(|known| known.first_counted <= interval) else {
                 continue;
             };
             let zone = known.worker.zone.clone();
--- a/crates/quarantine/src/machine/table.rs
+++ b/crates/quarantine/src/machine/table.rs
@@ -7,21 +7,21 @@
     #[must_use]
     pub fn telemetry_lines(&self) -> Vec<String> {
         let mut lines = Vec::new();
-        for (subject, number, figures) in self.proposals.list() {
+        for (subject, number, summary) in self.proposals.list() {
             lines.push(format!(
                 "proposal {number} worker={} tries={} failures={} expected={:.2} evidence={:.2} witnesses={} zones={}",
                 String::from_utf8_lossy(&subject.0),
-                figures.attempts,
-                figures.failures,
-                figures.expected,
-                figures.evidence,
-                figures.witnesses,
-                figures.zones
+                summary.attempts,
+                summary.failures,
+                summary.expected,
+                summary.evidence,
+                summary.witnesses,
+                summary.zones
             ));
         }
-        for (name, (evidence, why)) in &self.open {
+        for (name, (evidence, reason)) in &self.withheld {
             lines.push(format!(
-                "open worker={name} tries={} failures={} expected={:.2} evidence={:.2} why=\"{why}\"",
+                "open worker={name} tries={} failures={} expected={:.2} evidence={:.2} why=\"{reason}\"",
                 evidence.attempts, evidence.failures, evidence.expected, evidence.log_evidence
             ));
         }
@@ -32,8 +32,8 @@
             "rows reported={} dropped={} unread={} full={full} waiting={}",
             totals.bytes,
             totals.dropped_failures,
-            self.unread,
-            self.waiting.len()
+            self.unread_rows,
+            self.undecoded.len()
         ));
         lines
     }
--- a/crates/quarantine/src/proposals.rs
+++ b/crates/quarantine/src/proposals.rs
@@ -16,11 +16,11 @@
 mod types;
 
 use row::{
-    counts, number, reason, state, ProposalId, Withdrawal, FIRST_KIND, STANDING,
-    SUBJECT_HEADER_LENGTH,
+    big_endian, encode_counts, withdrawal_reason, withdrawal_state, ProposalId, Withdrawal,
+    FIRST_FAILURE_KIND, STANDING, SUBJECT_HEADER_LENGTH,
 };
-pub(crate) use row::{tag, Proposal, Subject};
-pub use types::{Effect, Figures, Reason};
+pub(crate) use row::{row_name, Proposal, WorkerIncarnation};
+pub use types::{Effect, EvidenceSummary, Reason};
 
 /// The most proposals that are stored, whatever rows say.
 const MAX_PROPOSALS: usize = 1_024;
@@ -28,9 +28,9 @@
 /// name-based mappings to increase hit rates', IEEE/ACM ToN 1998).
 pub(crate) fn responsible<'a>(
     key: &str,
-    living: impl Iterator<Item = &'a Owner>,
+    alive: impl Iterator<Item = &'a Owner>,
 ) -> Option<&'a Owner> {
-    living.max_by_key(|owner| {
+    alive.max_by_key(|owner| {
         let hash = Sha256::digest([key.as_bytes(), &[0], owner.name.as_bytes()].concat());
         (hash, (*owner).clone())
     })
@@ -40,15 +40,15 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Proposals {
     /// All proposals, with the last window of the rows of each.
-    known: BTreeMap<Subject, BTreeMap<Proposal, u32>>,
+    known: BTreeMap<WorkerIncarnation, BTreeMap<Proposal, u32>>,
     withdrawn: BTreeMap<ProposalId, Withdrawal>,
     /// What the caller was notified of.
-    shown: BTreeMap<Subject, Proposal>,
+    announced: BTreeMap<WorkerIncarnation, Proposal>,
     /// Made or withdrawn by this member.
     own: BTreeSet<ProposalId>,
     /// The state that was raised in each row.
-    raised: BTreeMap<(u32, Vec<u8>), u32>,
-    rows: Vec<RowUpdate>,
+    published_states: BTreeMap<(u32, Vec<u8>), u32>,
+    updates: Vec<RowUpdate>,
     count: usize,
     pub(crate) rejected: u64,
 }
@@ -59,7 +59,7 @@
         let [PROPOSAL_TAG, rest @ ..] = subject else {
             return;
         };
-        let max_counts = FIRST_KIND + FAILURE_KINDS;
+        let max_counts = FIRST_FAILURE_KIND + FAILURE_KINDS;
         if rest.len() < SUBJECT_HEADER_LENGTH
             || counts.is_empty()
             || counts.len() > max_counts
@@ -68,10 +68,10 @@
             return;
         }
         let (header, name) = rest.split_at(SUBJECT_HEADER_LENGTH);
-        let subject = (name.to_vec(), number(&header[6..]));
+        let subject = (name.to_vec(), big_endian(&header[6..]));
         let mut proposal = Proposal {
-            made: number(&header[..4]) as u32,
-            number: number(&header[4..6]) as u32,
+            proposed_in: big_endian(&header[..4]) as u32,
+            number: big_endian(&header[4..6]) as u32,
             counts: counts.to_vec(),
         };
         if counts[0] > STANDING {
@@ -100,7 +100,7 @@
         }
         let withdrawal = self.withdrawn.entry(id).or_default();
         withdrawal.state = withdrawal.state.max(state);
-        withdrawal.last = withdrawal.last.max(window);
+        withdrawal.last_window = withdrawal.last_window.max(window);
     }
 
     /// Removes what no row since a window has.
@@ -111,14 +111,15 @@
         });
         self.count = self.known.values().map(BTreeMap::len).sum();
         self.withdrawn
-            .retain(|_, withdrawal| withdrawal.last >= oldest);
-        self.raised.retain(|(window, _), _| *window >= oldest);
+            .retain(|_, withdrawal| withdrawal.last_window >= oldest);
+        self.published_states
+            .retain(|(window, _), _| *window >= oldest);
         let known = &self.known;
         self.own.retain(|(subject, ..)| known.contains_key(subject));
     }
 
     /// The standing proposals: of each worker and start the earliest that was not withdrawn.
-    pub(crate) fn standing(&self) -> BTreeMap<&Subject, &Proposal> {
+    pub(crate) fn standing(&self) -> BTreeMap<&WorkerIncarnation, &Proposal> {
         self.known
             .keys()
             .filter_map(|subject| Some((subject, self.standing_of(subject)?)))
@@ -126,7 +127,7 @@
     }
 
     /// The standing proposal of one worker and start.
-    fn standing_of(&self, subject: &Subject) -> Option<&Proposal> {
+    fn standing_of(&self, subject: &WorkerIncarnation) -> Option<&Proposal> {
         let is_withdrawn = |proposal: &Proposal| self.withdrawn.contains_key(&proposal.id(subject));
         self.known
             .get(subject)?
@@ -140,7 +141,7 @@
         window: u32,
         name: &str,
         started: u64,
-        made: u32,
+        proposed_in: u32,
         evidence: &TotalEvidence,
     ) {
         let known = self.known.values().flat_map(BTreeMap::keys);
@@ -148,74 +149,77 @@
         let withdrawn = self.withdrawn.keys().map(|(_, _, number)| *number);
         let last = numbers.chain(withdrawn).max().unwrap_or(0);
         let proposal = Proposal {
-            made,
+            proposed_in,
             number: (last + 1).min(0xffff),
-            counts: counts(evidence, made),
+            counts: encode_counts(evidence, proposed_in),
         };
-        let subject = (tag(name), started & 0xffff_ffff_ffff);
+        let subject = (row_name(name), started & 0xffff_ffff_ffff);
         self.own.insert(proposal.id(&subject));
-        self.raise(window, &subject, &proposal);
+        self.push_update(window, &subject, &proposal);
     }
 
     /// Withdraws a standing proposal.
-    pub(crate) fn withdraw(&mut self, window: u32, subject: &Subject, why: Reason) {
+    pub(crate) fn withdraw(&mut self, window: u32, subject: &WorkerIncarnation, reason: Reason) {
         let Some(mut proposal) = self.standing_of(subject).cloned() else {
             return;
         };
-        proposal.counts[0] = state(why);
+        proposal.counts[0] = withdrawal_state(reason);
         self.own.insert(proposal.id(subject));
-        self.raise(window, subject, &proposal);
+        self.push_update(window, subject, &proposal);
     }
 
     /// Raises a standing proposal again where no row of it came for some windows, so that it does not expire.
-    pub(crate) fn refresh(&mut self, window: u32, subject: &Subject, every: u32) {
+    pub(crate) fn refresh(&mut self, window: u32, subject: &WorkerIncarnation, max_age: u32) {
         let Some(proposal) = self.standing_of(subject).cloned() else {
             return;
         };
         let proposals = self.known.get(subject);
         let last = proposals.and_then(|proposals| proposals.get(&proposal));
-        if last.copied().unwrap_or(0) + every <= window {
-            self.raise(window, subject, &proposal);
+        if last.copied().unwrap_or(0) + max_age <= window {
+            self.push_update(window, subject, &proposal);
         }
     }
 
-    fn raise(&mut self, window: u32, subject: &Subject, proposal: &Proposal) {
-        let mut row = vec![PROPOSAL_TAG];
-        row.extend(proposal.made.to_be_bytes());
-        row.extend((proposal.number as u16).to_be_bytes());
-        row.extend(&subject.1.to_be_bytes()[2..]);
-        row.extend(&subject.0);
+    fn push_update(&mut self, window: u32, subject: &WorkerIncarnation, proposal: &Proposal) {
+        let mut row_subject = vec![PROPOSAL_TAG];
+        row_subject.extend(proposal.proposed_in.to_be_bytes());
+        row_subject.extend((proposal.number as u16).to_be_bytes());
+        row_subject.extend(&subject.1.to_be_bytes()[2..]);
+        row_subject.extend(&subject.0);
         let counts = &proposal.counts;
-        let before = self.raised.insert((window, row.clone()), counts[0]);
+        let before = self
+            .published_states
+            .insert((window, row_subject.clone()), counts[0]);
         // Within a window only the state grows: counts are added to what was raised.
         let increments = match before {
             Some(state) => vec![counts[0].saturating_sub(state)],
             None => counts.clone(),
         };
-        self.merge(window, &row, counts);
-        self.rows.push(RowUpdate::new(window, row, &increments));
+        self.merge(window, &row_subject, counts);
+        self.updates
+            .push(RowUpdate::new(window, row_subject, &increments));
     }
 
     /// Rows to be raised.
     pub(crate) fn take_updates(&mut self) -> Vec<RowUpdate> {
-        let mut rows = std::mem::take(&mut self.rows);
-        rows.retain(|row| !row.increments.is_empty());
-        rows
+        let mut updates = std::mem::take(&mut self.updates);
+        updates.retain(|update| !update.increments.is_empty());
+        updates
     }
 
     /// What changed since the last call. `name` returns a worker's name by its tag.
     pub(crate) fn effects(&mut self, name: impl Fn(&[u8]) -> Option<Arc<str>>) -> Vec<Effect> {
-        let standing: BTreeMap<Subject, Proposal> = self
+        let standing: BTreeMap<WorkerIncarnation, Proposal> = self
             .standing()
             .into_iter()
             .map(|(subject, proposal)| (subject.clone(), proposal.clone()))
             .collect();
-        let name = |tag: &[u8]| match name(tag) {
+        let name = |row_name: &[u8]| match name(row_name) {
             Some(name) => name.to_string(),
-            None => String::from_utf8_lossy(tag).into_owned(),
+            None => String::from_utf8_lossy(row_name).into_owned(),
         };
         let mut effects = Vec::new();
-        for (subject, proposal) in &self.shown {
+        for (subject, proposal) in &self.announced {
             if standing.get(subject) != Some(proposal) {
                 let is_superseded = standing.contains_key(subject);
                 let worker = name(&subject.0);
@@ -223,31 +227,31 @@
             }
         }
         for (subject, proposal) in &standing {
-            if self.shown.get(subject) != Some(proposal) {
+            if self.announced.get(subject) != Some(proposal) {
                 effects.push(Effect::Proposed {
                     worker: name(&subject.0),
                     started: subject.1,
                     number: proposal.number,
-                    figures: proposal.figures(),
-                    here: self.own.contains(&proposal.id(subject)),
+                    summary: proposal.summary(),
+                    by_this_member: self.own.contains(&proposal.id(subject)),
                 });
             }
         }
-        self.shown = standing;
+        self.announced = standing;
         effects
     }
 
     fn withdrawn_effect(
         &self,
         worker: String,
-        subject: &Subject,
+        subject: &WorkerIncarnation,
         proposal: &Proposal,
         is_superseded: bool,
     ) -> Effect {
         let id = proposal.id(subject);
         let withdrawal = self.withdrawn.get(&id);
         let reason = match withdrawal {
-            Some(withdrawal) => reason(withdrawal.state),
+            Some(withdrawal) => withdrawal_reason(withdrawal.state),
             None if is_superseded => Reason::Superseded,
             None => Reason::Expired,
         };
@@ -256,15 +260,15 @@
             started: subject.1,
             number: proposal.number,
             reason,
-            here: withdrawal.is_some() && self.own.contains(&id),
+            by_this_member: withdrawal.is_some() && self.own.contains(&id),
         }
     }
 
     /// The standing proposals: subject, number and figures.
-    pub(crate) fn list(&self) -> Vec<(&Subject, u32, Figures)> {
+    pub(crate) fn list(&self) -> Vec<(&WorkerIncarnation, u32, EvidenceSummary)> {
         self.standing()
             .into_iter()
-            .map(|(subject, proposal)| (subject, proposal.number, proposal.figures()))
+            .map(|(subject, proposal)| (subject, proposal.number, proposal.summary()))
             .collect()
     }
 }
--- a/crates/quarantine/src/proposals/row.rs
+++ b/crates/quarantine/src/proposals/row.rs
@@ -2,39 +2,39 @@
 
 use sha2::{Digest, Sha256};
 
-use super::types::{Figures, Reason};
+use super::types::{EvidenceSummary, Reason};
 use crate::attribution::TotalEvidence;
 use crate::FAILURE_KINDS;
 
 /// A worker's start: its tag, and its start in milliseconds of Unix time.
-pub(crate) type Subject = (Vec<u8>, u64);
+pub(crate) type WorkerIncarnation = (Vec<u8>, u64);
 
 /// A proposal as rows have it. The earliest counts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Proposal {
     /// The half window in which it was made.
-    pub(super) made: u32,
+    pub(super) proposed_in: u32,
     pub(super) number: u32,
     pub(super) counts: Vec<u32>,
 }
 
 /// What identifies a proposal of a subject, whatever its counts are.
-pub(super) type ProposalId = (Subject, u32, u32);
+pub(super) type ProposalId = (WorkerIncarnation, u32, u32);
 
 impl Proposal {
-    pub(super) fn id(&self, subject: &Subject) -> ProposalId {
-        (subject.clone(), self.made, self.number)
+    pub(super) fn id(&self, subject: &WorkerIncarnation) -> ProposalId {
+        (subject.clone(), self.proposed_in, self.number)
     }
 
-    pub(super) fn figures(&self) -> Figures {
+    pub(super) fn summary(&self) -> EvidenceSummary {
         let count = |index: usize| self.counts.get(index).copied().unwrap_or(0);
         let mut kinds = [0; FAILURE_KINDS];
         for (index, kind) in kinds.iter_mut().enumerate() {
-            *kind = count(FIRST_KIND + index);
+            *kind = count(FIRST_FAILURE_KIND + index);
         }
-        Figures {
-            made: self.made,
-            since: self.made.saturating_sub(count(7)),
+        EvidenceSummary {
+            proposed_in: self.proposed_in,
+            since: self.proposed_in.saturating_sub(count(7)),
             attempts: count(1),
             failures: count(2),
             expected: f64::from(count(3)) / 100.0,
@@ -52,32 +52,32 @@
     /// The first count of its row.
     pub(super) state: u32,
     /// The last window of its rows.
-    pub(super) last: u32,
+    pub(super) last_window: u32,
 }
 
 /// The longest tag, in bytes.
-const MAX_TAG_LENGTH: usize = 51;
+const MAX_NAME_LENGTH: usize = 51;
 /// Bytes of a hash at the end of a long name's tag.
-const TAG_HASH_LENGTH: usize = 16;
+const NAME_HASH_LENGTH: usize = 16;
 /// Bytes of a row's subject before the tag: when it was made, its number, the worker's start.
 pub(super) const SUBJECT_HEADER_LENGTH: usize = 12;
 /// The index of the first count of failures by kind.
-pub(super) const FIRST_KIND: usize = 8;
+pub(super) const FIRST_FAILURE_KIND: usize = 8;
 /// The state of a proposal that stands.
 pub(super) const STANDING: u32 = 1;
 /// The highest value of a figure.
 const MAX_FIGURE: u32 = 999_999;
 
 /// A worker's name as rows have it: long ones end in a hash.
-pub(crate) fn tag(name: &str) -> Vec<u8> {
-    if name.len() <= MAX_TAG_LENGTH {
+pub(crate) fn row_name(name: &str) -> Vec<u8> {
+    if name.len() <= MAX_NAME_LENGTH {
         return name.as_bytes().to_vec();
     }
-    let start = &name.as_bytes()[..MAX_TAG_LENGTH - TAG_HASH_LENGTH];
-    [start, &Sha256::digest(name)[..TAG_HASH_LENGTH]].concat()
+    let start = &name.as_bytes()[..MAX_NAME_LENGTH - NAME_HASH_LENGTH];
+    [start, &Sha256::digest(name)[..NAME_HASH_LENGTH]].concat()
 }
 
-pub(super) fn counts(evidence: &TotalEvidence, made: u32) -> Vec<u32> {
+pub(super) fn encode_counts(evidence: &TotalEvidence, proposed_in: u32) -> Vec<u32> {
     let hundredths = |figure: f64| ((figure * 100.0).max(0.0) as u32).min(MAX_FIGURE);
     let mut counts = vec![
         STANDING,
@@ -87,14 +87,14 @@
         hundredths(evidence.log_evidence),
         evidence.witnesses as u32,
         evidence.zones as u32,
-        made.saturating_sub(evidence.from),
+        proposed_in.saturating_sub(evidence.from),
     ];
     counts.extend(evidence.kinds.map(|failures| failures.min(MAX_FIGURE)));
     counts
 }
 
 /// The state of a withdrawn proposal's row.
-pub(super) fn state(reason: Reason) -> u32 {
+pub(super) fn withdrawal_state(reason: Reason) -> u32 {
     match reason {
         Reason::Recovered | Reason::Superseded => 2,
         Reason::Expired => 3,
@@ -103,7 +103,7 @@
     }
 }
 
-pub(super) fn reason(state: u32) -> Reason {
+pub(super) fn withdrawal_reason(state: u32) -> Reason {
     match state {
         0..=2 => Reason::Recovered,
         3 => Reason::Expired,
@@ -113,7 +113,7 @@
 }
 
 /// The number of big-endian bytes.
-pub(super) fn number(bytes: &[u8]) -> u64 {
+pub(super) fn big_endian(bytes: &[u8]) -> u64 {
     bytes
         .iter()
         .fold(0, |number, byte| number << 8 | u64::from(*byte))
--- a/crates/quarantine/src/proposals/types.rs
+++ b/crates/quarantine/src/proposals/types.rs
@@ -19,9 +19,9 @@
 
 /// The evidence against a worker, the same on every member.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Figures {
+pub struct EvidenceSummary {
     /// The half window in which it was proposed.
-    pub made: u32,
+    pub proposed_in: u32,
     /// The half window from which on it was worse.
     pub since: u32,
     /// First tries that ended since, without what others explain.
@@ -52,9 +52,9 @@
         /// The number of the proposal: the fleet's next.
         number: u32,
         /// The evidence against it.
-        figures: Figures,
+        summary: EvidenceSummary,
         /// Whether this member made it: one log line for the fleet.
-        here: bool,
+        by_this_member: bool,
     },
     /// A proposal no longer stands.
     Withdrawn {
@@ -67,10 +67,10 @@
         /// Why.
         reason: Reason,
         /// Whether this member withdrew it.
-        here: bool,
+        by_this_member: bool,
     },
     /// A class fails more than before on all workers: no worker is proposed for that.
-    Shared {
+    ClassDegraded {
         /// The class by number.
         class: usize,
         /// The part of its tries that fails now.
--- a/crates/quarantine/tests/common/mod.rs
+++ b/crates/quarantine/tests/common/mod.rs
@@ -267,7 +267,9 @@
     pub fn made(&self) -> Vec<(u64, usize, String)> {
         let made = |(at, n, e): &(u64, usize, Effect)| match e {
             Effect::Proposed {
-                worker, here: true, ..
+                worker,
+                by_this_member: true,
+                ..
             } => Some((*at, *n, worker.clone())),
             _ => None,
         };
@@ -281,15 +283,15 @@
         Effect::Proposed {
             worker,
             number,
-            here,
+            by_this_member,
             ..
         } => {
             format!(
                 "{} {number} {worker}",
-                if *here { "propose" } else { "show" }
+                if *by_this_member { "propose" } else { "show" }
             )
         }
         Effect::Withdrawn { worker, reason, .. } => format!("drop {worker} {reason:?}"),
-        Effect::Shared { class, .. } => format!("shared class {class}"),
+        Effect::ClassDegraded { class, .. } => format!("shared class {class}"),
     }
 }
--- a/crates/quarantine/tests/large.rs
+++ b/crates/quarantine/tests/large.rs
@@ -87,12 +87,12 @@
 
 fn proposed_worker(effect: Effect) -> Option<String> {
     let Effect::Proposed {
-        worker, figures, ..
+        worker, summary, ..
     } = effect
     else {
         return None;
     };
-    assert!(figures.zones > 1 && figures.witnesses > 2, "{figures:?}");
+    assert!(summary.zones > 1 && summary.witnesses > 2, "{summary:?}");
     Some(worker)
 }
 
