--- a/crates/quarantine/src/bin/oakshed-quarantine-trial.rs
+++ b/crates/quarantine/src/bin/oakshed-quarantine-trial.rs
@@ -1,10 +1,10 @@
 //! Runs simulations in virtual time, and prints how long proposals take and how many are false.
 
 use argh::FromArgs;
-use oakshed_quarantine::trial::{run, Detections, Fault, Outcomes, Plan};
+use oakshed_quarantine::trial::{run, Detections, Fault, RunResult, Scenario};
 
 /// The reports of one detector.
-type Detector = fn(&Outcomes) -> &Detections;
+type Detector = fn(&RunResult) -> &Detections;
 
 /// Evaluate quarantine proposals in virtual time: 60 workers in 3 zones.
 #[derive(FromArgs)]
@@ -40,19 +40,19 @@
     let found = Fault::ALL.iter().find(|(name, _)| *name == args.trouble);
     let (_, fault) = *found.ok_or_else(|| format!("no such trouble: {}", args.trouble))?;
     let seeds = args.seed..args.seed + args.runs;
-    let runs: Vec<(Plan, Outcomes)> = seeds
+    let runs: Vec<(Scenario, RunResult)> = seeds
         .map(|seed| {
-            let plan = plan(&args, fault, seed);
-            let outcomes = run(&plan);
-            (plan, outcomes)
+            let scenario = scenario(&args, fault, seed);
+            let result = run(&scenario);
+            (scenario, result)
         })
         .collect();
     print_bytes(&args, &runs);
     let detectors: [(&str, Detector); 4] = [
-        ("shared", |outcomes| &outcomes.shared),
-        ("alone", |outcomes| &outcomes.alone),
-        ("in a row", |outcomes| &outcomes.in_a_row),
-        ("deviations", |outcomes| &outcomes.deviations),
+        ("shared", |result| &result.shared),
+        ("alone", |result| &result.single_member),
+        ("in a row", |result| &result.consecutive_failures),
+        ("deviations", |result| &result.success_rate_outliers),
     ];
     for (name, detector) in detectors {
         match args.worse {
@@ -63,35 +63,32 @@
     Ok(())
 }
 
-fn plan(args: &Args, fault: Fault, seed: u64) -> Plan {
+fn scenario(args: &Args, fault: Fault, seed: u64) -> Scenario {
     let seconds = if args.worse.is_some() {
         900
     } else {
         (args.hours * 60.0) as u64
     };
-    Plan {
+    Scenario {
         schedulers: args.schedulers,
         rate: args.rate,
         fault,
-        worse: args.worse.map(|times| (times, 300 + seed % 5)),
+        degraded: args.worse.map(|times| (times, 300 + seed % 5)),
         seconds,
         until_found: args.worse.is_some(),
-        bound: args.bound,
+        worker_hours_per_false_proposal: args.bound,
         seed,
     }
 }
 
-fn print_bytes(args: &Args, runs: &[(Plan, Outcomes)]) {
-    let max = |figure: fn(&Outcomes) -> f64| {
-        let figures = runs.iter().map(|(_, outcomes)| figure(outcomes));
+fn print_bytes(args: &Args, runs: &[(Scenario, RunResult)]) {
+    let max = |figure: fn(&RunResult) -> f64| {
+        let figures = runs.iter().map(|(_, result)| figure(result));
         figures.fold(0.0, f64::max)
     };
-    let most = max(|outcomes| outcomes.bytes_most);
-    let mean = max(|outcomes| outcomes.bytes_mean);
-    let dropped: u64 = runs
-        .iter()
-        .map(|(_, outcomes)| outcomes.dropped_failures)
-        .sum();
+    let most = max(|result| result.max_bytes_per_second);
+    let mean = max(|result| result.mean_bytes_per_second);
+    let dropped: u64 = runs.iter().map(|(_, result)| result.dropped_failures).sum();
     println!(
         "schedulers {} trouble {} worse {:?} runs {} seeds {}..: bytes/s a member: {most:.1} in the worst \
          minute, {mean:.1} mean; failures left out {dropped}",
@@ -100,30 +97,27 @@
 }
 
 /// Prints how many workers a detector reported falsely.
-fn print_false(name: &str, detector: Detector, args: &Args, runs: &[(Plan, Outcomes)]) {
-    let count: usize = runs
-        .iter()
-        .map(|(_, outcomes)| detector(outcomes).len())
-        .sum();
+fn print_false(name: &str, detector: Detector, args: &Args, runs: &[(Scenario, RunResult)]) {
+    let count: usize = runs.iter().map(|(_, result)| detector(result).len()).sum();
     let hours = args.hours * args.runs as f64;
     let rate = count as f64 * 1_000.0 / hours;
     println!("  {name:<10} {count} false in {hours} worker-hours: {rate:.2} in 1,000");
 }
 
 /// Prints how long a detector needed to find the worse worker, and how many others it reported.
-fn print_delays(name: &str, times: f64, detector: Detector, runs: &[(Plan, Outcomes)]) {
+fn print_delays(name: &str, times: f64, detector: Detector, runs: &[(Scenario, RunResult)]) {
     let mut delays: Vec<f64> = Vec::new();
     let mut others = 0;
-    for (plan, outcomes) in runs {
-        let from = plan.worse.map_or(0, |(_, from)| from);
-        let detections = detector(outcomes);
+    for (scenario, result) in runs {
+        let from = scenario.degraded.map_or(0, |(_, from)| from);
+        let detections = detector(result);
         let found = detections
             .iter()
-            .find(|(at, worker)| *worker == outcomes.bad && *at >= from);
+            .find(|(at, worker)| *worker == result.bad_worker && *at >= from);
         delays.push(found.map_or(f64::INFINITY, |(at, _)| (at - from) as f64));
         others += detections
             .iter()
-            .filter(|(_, worker)| *worker != outcomes.bad)
+            .filter(|(_, worker)| *worker != result.bad_worker)
             .count();
     }
     delays.sort_by(f64::total_cmp);
--- a/crates/quarantine/src/trial.rs
+++ b/crates/quarantine/src/trial.rs
@@ -5,8 +5,8 @@
 mod plain;
 mod world;
 
-pub use plain::{Deviations, InARow};
-pub use world::{Fault, World};
+pub use plain::{ConsecutiveFailures, SuccessRateOutliers};
+pub use world::{Fault, SimulatedFleet};
 
 use std::collections::VecDeque;
 
@@ -17,7 +17,7 @@
 
 /// The plan of a run.
 #[derive(Clone, Debug)]
-pub struct Plan {
+pub struct Scenario {
     /// How many schedulers share the load.
     pub schedulers: usize,
     /// How many jobs a second the fleet has.
@@ -25,13 +25,13 @@
     /// The fault; no worker is the cause of it.
     pub fault: Fault,
     /// A worker that fails so many times more often, and the second from which on it does.
-    pub worse: Option<(f64, u64)>,
+    pub degraded: Option<(f64, u64)>,
     /// The length, in seconds.
     pub seconds: u64,
     /// Whether the run ends as soon as the detectors have found the worse worker.
     pub until_found: bool,
     /// The bound to be held: worker-hours to a false proposal.
-    pub bound: f64,
+    pub worker_hours_per_false_proposal: f64,
     /// The seed of all chance.
     pub seed: u64,
 }
@@ -41,36 +41,40 @@
 
 /// The outcome of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Outcomes {
+pub struct RunResult {
     /// The shared proposals.
     pub shared: Detections,
     /// The proposals of the first scheduler by its own evidence alone.
-    pub alone: Detections,
+    pub single_member: Detections,
     /// Five failures in a row between any scheduler and a worker.
-    pub in_a_row: Detections,
+    pub consecutive_failures: Detections,
     /// Mean less 1.9 deviations over the workers, with the fleet's counts of 30 s.
-    pub deviations: Detections,
+    pub success_rate_outliers: Detections,
     /// Shared proposals withdrawn because the worker recovered.
     pub withdrawn: usize,
     /// The most bytes of rows that a member raised in a minute, by second.
-    pub bytes_most: f64,
+    pub max_bytes_per_second: f64,
     /// The mean bytes of rows of the member with the most, by second.
-    pub bytes_mean: f64,
+    pub mean_bytes_per_second: f64,
     /// Failures left out, as the budget did not allow them.
     pub dropped_failures: u64,
     /// Which worker is worse.
-    pub bad: usize,
+    pub bad_worker: usize,
 }
 
 fn member(n: usize) -> Owner {
     Owner::new(&format!("s{n:03}"), BEGIN * 1_000 - 3_600_000)
 }
 
-fn config(n: usize, world: &World) -> Config {
+fn config(n: usize, fleet: &SimulatedFleet) -> Config {
     let classes = ["read", "write", "audit"];
-    let config = Config::new(member(n), &world.zone_name(n % World::ZONES), &classes);
+    let config = Config::new(
+        member(n),
+        &fleet.zone_name(n % SimulatedFleet::ZONES),
+        &classes,
+    );
     Config {
-        worker_hours_per_false_proposal: world.plan().bound,
+        worker_hours_per_false_proposal: fleet.scenario().worker_hours_per_false_proposal,
         ..config
     }
 }
@@ -84,8 +88,8 @@
 }
 
 impl Observer {
-    fn new(n: usize, world: &World, list: &[Worker], seed: u64) -> Observer {
-        let mut machine = Quarantine::new(config(n, world), seed);
+    fn new(n: usize, fleet: &SimulatedFleet, list: &[Worker], seed: u64) -> Observer {
+        let mut machine = Quarantine::new(config(n, fleet), seed);
         machine.set_workers(BEGIN * 1_000_000, list);
         Observer {
             machine,
@@ -95,7 +99,7 @@
         }
     }
 
-    fn second(&mut self, second: u64) {
+    fn advance(&mut self, second: u64) {
         while self.in_flight.front().is_some_and(|(at, ..)| *at <= second) {
             let Some((_, owner, row)) = self.in_flight.pop_front() else {
                 break;
@@ -109,7 +113,8 @@
         while let Some(effect) = self.machine.poll_effect() {
             match effect {
                 Effect::Proposed { worker, .. } => {
-                    self.detections.push((second, World::number(&worker)));
+                    self.detections
+                        .push((second, SimulatedFleet::number(&worker)));
                 }
                 Effect::Withdrawn {
                     reason: Reason::Recovered,
@@ -123,75 +128,76 @@
 
 /// Runs a plan.
 #[must_use]
-pub fn run(plan: &Plan) -> Outcomes {
-    let mut run = Run::new(plan);
-    for second in 1..=plan.seconds {
-        run.second(second);
-        if plan.until_found && run.is_found() {
+pub fn run(scenario: &Scenario) -> RunResult {
+    let mut run = Run::new(scenario);
+    for second in 1..=scenario.seconds {
+        run.advance(second);
+        if scenario.until_found && run.is_found() {
             break;
         }
     }
-    run.outcomes()
+    run.into_result()
 }
 
 /// A run under way.
 struct Run {
-    plan: Plan,
-    world: World,
+    scenario: Scenario,
+    fleet: SimulatedFleet,
     counters: Vec<AttemptCounter>,
     shared: Observer,
-    alone: Observer,
-    in_a_row: InARow,
-    deviations: Deviations,
-    outcomes: Outcomes,
+    single_member: Observer,
+    consecutive_failures: ConsecutiveFailures,
+    success_rate_outliers: SuccessRateOutliers,
+    result: RunResult,
     /// Bytes that each member has raised until the last full minute.
     bytes: Vec<u64>,
 }
 
 impl Run {
-    fn new(plan: &Plan) -> Run {
-        let world = World::new(plan);
-        let list = world.list();
+    fn new(scenario: &Scenario) -> Run {
+        let fleet = SimulatedFleet::new(scenario);
+        let list = fleet.list();
         let mut counters = Vec::new();
-        for n in 0..plan.schedulers {
-            let mut counter = AttemptCounter::new(config(n, &world), plan.seed ^ (n as u64 + 1));
-            counter.set_members(plan.schedulers);
+        for n in 0..scenario.schedulers {
+            let mut counter =
+                AttemptCounter::new(config(n, &fleet), scenario.seed ^ (n as u64 + 1));
+            counter.set_members(scenario.schedulers);
             counter.set_workers(&list);
             counter.take_updates(BEGIN * 1_000_000);
             counters.push(counter);
         }
         Run {
             counters,
-            shared: Observer::new(0, &world, &list, plan.seed),
-            alone: Observer::new(0, &world, &list, plan.seed),
-            in_a_row: InARow::default(),
-            deviations: Deviations::default(),
-            outcomes: Outcomes {
-                bad: world.bad(),
-                ..Outcomes::default()
+            shared: Observer::new(0, &fleet, &list, scenario.seed),
+            single_member: Observer::new(0, &fleet, &list, scenario.seed),
+            consecutive_failures: ConsecutiveFailures::default(),
+            success_rate_outliers: SuccessRateOutliers::default(),
+            result: RunResult {
+                bad_worker: fleet.bad_worker(),
+                ..RunResult::default()
             },
-            bytes: vec![0; plan.schedulers],
-            plan: plan.clone(),
-            world,
+            bytes: vec![0; scenario.schedulers],
+            scenario: scenario.clone(),
+            fleet,
         }
     }
 
-    fn second(&mut self, second: u64) {
+    fn advance(&mut self, second: u64) {
         let now = (BEGIN + second) * 1_000_000;
-        if self.world.second(second) {
+        if self.fleet.advance(second) {
             // The list reaches all within the second, after what was in flight.
-            let list = self.world.list();
+            let list = self.fleet.list();
             self.shared.machine.set_workers(now, &list);
-            self.alone.machine.set_workers(now, &list);
+            self.single_member.machine.set_workers(now, &list);
             for counter in &mut self.counters {
                 counter.set_workers(&list);
             }
         }
         let counters = &mut self.counters;
-        let in_a_row = &mut self.in_a_row;
-        let deviations = &mut self.deviations;
-        self.world.jobs(second, |job| {
-            let worker = World::NAMES[job.worker];
+        let consecutive_failures = &mut self.consecutive_failures;
+        let success_rate_outliers = &mut self.success_rate_outliers;
+        self.fleet.jobs(second, |job| {
+            let worker = SimulatedFleet::NAMES[job.worker];
             counters[job.scheduler].record_attempt(
                 now - 1,
                 worker,
@@ -199,12 +205,12 @@
                 job.first,
                 job.outcome,
             );
-            in_a_row.seen(second, job.scheduler, job.worker, job.outcome);
-            deviations.seen(second, job.worker, job.outcome);
+            consecutive_failures.record_attempt(second, job.scheduler, job.worker, job.outcome);
+            success_rate_outliers.record_attempt(second, job.worker, job.outcome);
         });
         self.send_rows(second, now);
-        self.shared.second(second);
-        self.alone.second(second);
+        self.shared.advance(second);
+        self.single_member.advance(second);
     }
 
     /// Sends the rows of all members, which arrive one second later.
@@ -214,19 +220,19 @@
             for row in counter.take_updates(now) {
                 let row = (second + 1, owner.clone(), row);
                 if n == 0 {
-                    self.alone.in_flight.push_back(row.clone());
+                    self.single_member.in_flight.push_back(row.clone());
                 }
                 self.shared.in_flight.push_back(row);
             }
             if second % 60 == 0 {
                 let totals = counter.totals();
-                let outcomes = &mut self.outcomes;
+                let result = &mut self.result;
                 let in_minute = (totals.bytes - self.bytes[n]) as f64 / 60.0;
-                outcomes.bytes_most = outcomes.bytes_most.max(in_minute);
+                result.max_bytes_per_second = result.max_bytes_per_second.max(in_minute);
                 let mean = totals.bytes as f64 / second as f64;
-                outcomes.bytes_mean = outcomes.bytes_mean.max(mean);
-                if second + 60 > self.plan.seconds {
-                    outcomes.dropped_failures += totals.dropped_failures;
+                result.mean_bytes_per_second = result.mean_bytes_per_second.max(mean);
+                if second + 60 > self.scenario.seconds {
+                    result.dropped_failures += totals.dropped_failures;
                 }
                 self.bytes[n] = totals.bytes;
             }
@@ -235,24 +241,24 @@
 
     /// Whether the worse worker was found, by shared evidence and alone.
     fn is_found(&self) -> bool {
-        let since = self.plan.worse.map_or(u64::MAX, |(_, from)| from);
-        let bad = self.world.bad();
+        let since = self.scenario.degraded.map_or(u64::MAX, |(_, from)| from);
+        let bad_worker = self.fleet.bad_worker();
         let is_found = |detections: &Detections| {
             detections
                 .iter()
-                .any(|(at, worker)| *at >= since && *worker == bad)
+                .any(|(at, worker)| *at >= since && *worker == bad_worker)
         };
-        is_found(&self.shared.detections) && is_found(&self.alone.detections)
+        is_found(&self.shared.detections) && is_found(&self.single_member.detections)
     }
 
-    fn outcomes(self) -> Outcomes {
-        Outcomes {
+    fn into_result(self) -> RunResult {
+        RunResult {
             withdrawn: self.shared.withdrawn,
             shared: self.shared.detections,
-            alone: self.alone.detections,
-            in_a_row: self.in_a_row.detections,
-            deviations: self.deviations.detections,
-            ..self.outcomes
+            single_member: self.single_member.detections,
+            consecutive_failures: self.consecutive_failures.detections,
+            success_rate_outliers: self.success_rate_outliers.detections,
+            ..self.result
         }
     }
 }
--- a/crates/quarantine/src/trial/plain.rs
+++ b/crates/quarantine/src/trial/plain.rs
@@ -6,13 +6,13 @@
 use crate::Outcome;
 
 /// For how long a detector reports a worker once only, in seconds.
-const REPEAT_INTERVAL: u64 = 600;
+const REPEAT_INTERVAL_S: u64 = 600;
 
 fn report(detections: &mut Detections, second: u64, worker: usize) {
     if !detections
         .iter()
         .rev()
-        .any(|(at, w)| *w == worker && second < at + REPEAT_INTERVAL)
+        .any(|(at, w)| *w == worker && second < at + REPEAT_INTERVAL_S)
     {
         detections.push((second, worker));
     }
@@ -20,15 +20,21 @@
 
 /// Failures in a row, as Envoy's `consecutive_5xx` (default 5), by each scheduler.
 #[derive(Debug, Default)]
-pub struct InARow {
+pub struct ConsecutiveFailures {
     runs: BTreeMap<(usize, usize), u32>,
     /// What it reported.
     pub detections: Detections,
 }
 
-impl InARow {
+impl ConsecutiveFailures {
     /// A try ended.
-    pub fn seen(&mut self, second: u64, scheduler: usize, worker: usize, outcome: Outcome) {
+    pub fn record_attempt(
+        &mut self,
+        second: u64,
+        scheduler: usize,
+        worker: usize,
+        outcome: Outcome,
+    ) {
         let run = self.runs.entry((scheduler, worker)).or_default();
         *run = if outcome == Outcome::Success {
             0
@@ -46,19 +52,19 @@
 /// of at least 100 tries), but with the whole fleet's counts and over 30 s: with Envoy's 10 s no worker here
 /// would have its 100 tries.
 #[derive(Debug, Default)]
-pub struct Deviations {
+pub struct SuccessRateOutliers {
     counts: BTreeMap<usize, (u32, u32)>,
-    until: u64,
+    window_end: u64,
     /// What it reported.
     pub detections: Detections,
 }
 
-impl Deviations {
+impl SuccessRateOutliers {
     /// A try ended.
-    pub fn seen(&mut self, second: u64, worker: usize, outcome: Outcome) {
-        if second >= self.until {
-            self.detect(self.until);
-            self.until = second + 30;
+    pub fn record_attempt(&mut self, second: u64, worker: usize, outcome: Outcome) {
+        if second >= self.window_end {
+            self.detect(self.window_end);
+            self.window_end = second + 30;
         }
         let (attempts, answered) = self.counts.entry(worker).or_default();
         *attempts += 1;
--- a/crates/quarantine/src/trial/world.rs
+++ b/crates/quarantine/src/trial/world.rs
@@ -4,7 +4,7 @@
 
 use std::sync::Arc;
 
-use super::{Plan, BEGIN};
+use super::{Scenario, BEGIN};
 use crate::{Outcome, Worker, WorkerState};
 
 /// The fault of a world, in minutes 3 to 6 of every ten; no worker is the cause of any.
@@ -68,31 +68,31 @@
 
 /// The world.
 #[derive(Debug)]
-pub struct World {
-    plan: Plan,
+pub struct SimulatedFleet {
+    scenario: Scenario,
     rng: fastrand::Rng,
-    bad: usize,
+    bad_worker: usize,
     /// When each worker started, in seconds of Unix time.
     started: Vec<u64>,
     /// The state of each worker in the list.
     states: Vec<WorkerState>,
     /// The next state of each worker, and the second of the change.
-    next: Vec<Option<(u64, WorkerState)>>,
+    next_states: Vec<Option<(u64, WorkerState)>>,
 }
 
 /// The shares of the classes and how often each fails: 1% in all.
 const CLASSES: [(f64, f64); 3] = [(0.6, 0.008), (0.3, 0.01), (0.1, 0.022)];
 
 /// Of the third class so much goes to the first workers.
-const OWN_SHARE: f64 = 0.7;
+const CONCENTRATED_SHARE: f64 = 0.7;
 /// How many workers these are.
-const OWN_WORKERS: usize = 12;
+const CONCENTRATED_WORKERS: usize = 12;
 /// How often a job is retried.
 const RETRIES: usize = 3;
 /// The worker that retries of poison jobs go to.
 const POISONED_WORKER: usize = 7;
 
-impl World {
+impl SimulatedFleet {
     /// Zones, of schedulers and workers in turn.
     pub const ZONES: usize = 3;
     /// Workers.
@@ -108,29 +108,29 @@
 
     /// A world as planned.
     #[must_use]
-    pub fn new(plan: &Plan) -> World {
-        let mut rng = fastrand::Rng::with_seed(plan.seed);
-        let bad = rng.usize(0..Self::WORKERS);
-        World {
-            plan: plan.clone(),
+    pub fn new(scenario: &Scenario) -> SimulatedFleet {
+        let mut rng = fastrand::Rng::with_seed(scenario.seed);
+        let bad_worker = rng.usize(0..Self::WORKERS);
+        SimulatedFleet {
+            scenario: scenario.clone(),
             rng,
-            bad,
+            bad_worker,
             started: vec![BEGIN - 3_600; Self::WORKERS],
             states: vec![WorkerState::Ready; Self::WORKERS],
-            next: vec![None; Self::WORKERS],
+            next_states: vec![None; Self::WORKERS],
         }
     }
 
     /// What was planned.
     #[must_use]
-    pub fn plan(&self) -> &Plan {
-        &self.plan
+    pub fn scenario(&self) -> &Scenario {
+        &self.scenario
     }
 
     /// The worker that is worse, if one is.
     #[must_use]
-    pub fn bad(&self) -> usize {
-        self.bad
+    pub fn bad_worker(&self) -> usize {
+        self.bad_worker
     }
 
     /// A zone's name.
@@ -166,31 +166,31 @@
     }
 
     /// Begins a second; returns whether the list changed.
-    pub fn second(&mut self, second: u64) -> bool {
+    pub fn advance(&mut self, second: u64) -> bool {
         let mut changed = false;
         for n in 0..Self::WORKERS {
-            if let Some((_, state)) = self.next[n].filter(|(at, _)| *at <= second) {
+            if let Some((_, state)) = self.next_states[n].filter(|(at, _)| *at <= second) {
                 if self.states[n] == WorkerState::Draining {
                     self.started[n] = BEGIN + second;
                 }
                 self.states[n] = state;
-                self.next[n] = None;
+                self.next_states[n] = None;
                 changed = true;
             }
         }
         if self.cycle(second).is_some() && second % 20 == 0 {
             let n = self.rng.usize(0..Self::WORKERS);
-            let is_free = self.states[n] == WorkerState::Ready && self.next[n].is_none();
-            match self.plan.fault {
+            let is_free = self.states[n] == WorkerState::Ready && self.next_states[n].is_none();
+            match self.scenario.fault {
                 Fault::Cold if is_free => {
                     self.started[n] = BEGIN + second;
                     self.states[n] = WorkerState::SlowStart;
-                    self.next[n] = Some((second + 20, WorkerState::Ready));
+                    self.next_states[n] = Some((second + 20, WorkerState::Ready));
                     changed = true;
                 }
                 Fault::Drain if is_free => {
                     self.states[n] = WorkerState::Draining;
-                    self.next[n] = Some((second + 30, WorkerState::Ready));
+                    self.next_states[n] = Some((second + 30, WorkerState::Ready));
                     changed = true;
                 }
                 _ => {}
@@ -199,14 +199,20 @@
         changed
     }
 
-    fn fails(&self, second: u64, scheduler: usize, worker: usize, class: usize) -> (f64, Outcome) {
+    fn failure_of(
+        &self,
+        second: u64,
+        scheduler: usize,
+        worker: usize,
+        class: usize,
+    ) -> (f64, Outcome) {
         let zone = scheduler % Self::ZONES;
         let worker_zone = worker % Self::ZONES;
         let mut base = CLASSES[class].1;
         if let Some((times, _)) = self
-            .plan
-            .worse
-            .filter(|(_, from)| second >= *from && worker == self.bad)
+            .scenario
+            .degraded
+            .filter(|(_, from)| second >= *from && worker == self.bad_worker)
         {
             base = (base * times).min(1.0);
         }
@@ -214,11 +220,11 @@
         let Some(cycle) = self.cycle(second) else {
             return regular;
         };
-        let away = (cycle + 1) % Self::ZONES;
-        match self.plan.fault {
+        let target_zone = (cycle + 1) % Self::ZONES;
+        match self.scenario.fault {
             Fault::Class if class == 2 => (0.4, Outcome::Error),
-            Fault::Member if scheduler == cycle % self.plan.schedulers => (0.5, Outcome::Reset),
-            Fault::Path if zone == cycle % Self::ZONES && worker_zone == away => {
+            Fault::Member if scheduler == cycle % self.scenario.schedulers => (0.5, Outcome::Reset),
+            Fault::Path if zone == cycle % Self::ZONES && worker_zone == target_zone => {
                 (0.5, Outcome::Timeout)
             }
             Fault::Cold
@@ -228,13 +234,13 @@
                 (0.2, Outcome::LateStart)
             }
             Fault::Drain if self.states[worker] == WorkerState::Draining => (0.5, Outcome::Reset),
-            Fault::Partition if worker_zone == away && zone != worker_zone => {
+            Fault::Partition if worker_zone == target_zone && zone != worker_zone => {
                 (1.0, Outcome::ConnectFailed)
             }
             Fault::Lone if worker == cycle * 7 % Self::WORKERS && zone != worker_zone => {
                 (1.0, Outcome::ConnectFailed)
             }
-            Fault::Link if worker == cycle * 7 % Self::WORKERS && zone == away => {
+            Fault::Link if worker == cycle * 7 % Self::WORKERS && zone == target_zone => {
                 (1.0, Outcome::ConnectFailed)
             }
             Fault::All => (0.08, Outcome::Error),
@@ -243,26 +249,30 @@
     }
 
     /// Runs the jobs of a second; `ended` is called for each try.
-    pub fn jobs(&mut self, second: u64, mut ended: impl FnMut(Job)) {
+    pub fn jobs(&mut self, second: u64, mut on_end: impl FnMut(Job)) {
         let mut at = 0.0;
         loop {
-            at -= (1.0 - self.rng.f64()).ln() / self.plan.rate;
+            at -= (1.0 - self.rng.f64()).ln() / self.scenario.rate;
             if at >= 1.0 {
                 return;
             }
-            self.job(second, &mut ended);
+            self.job(second, &mut on_end);
         }
     }
 
     /// Runs one job: its first try, and up to three retries where that fails.
-    fn job(&mut self, second: u64, ended: &mut impl FnMut(Job)) {
-        let scheduler = self.rng.usize(0..self.plan.schedulers);
+    fn job(&mut self, second: u64, on_end: &mut impl FnMut(Job)) {
+        let scheduler = self.rng.usize(0..self.scenario.schedulers);
         let class = self.draw_class();
         // The first workers get most of the third class.
-        let is_own = class == 2 && self.rng.f64() < OWN_SHARE;
-        let candidates = if is_own { OWN_WORKERS } else { Self::WORKERS };
+        let is_concentrated = class == 2 && self.rng.f64() < CONCENTRATED_SHARE;
+        let candidates = if is_concentrated {
+            CONCENTRATED_WORKERS
+        } else {
+            Self::WORKERS
+        };
         let worker = self.rng.usize(0..candidates);
-        let is_poison = self.plan.fault == Fault::Poison
+        let is_poison = self.scenario.fault == Fault::Poison
             && self.cycle(second).is_some()
             && self.rng.u32(0..100) == 0;
         let mut job = Job {
@@ -273,7 +283,7 @@
             outcome: Outcome::Success,
         };
         job.outcome = self.draw_outcome(second, job, is_poison);
-        ended(job);
+        on_end(job);
         for _ in 0..RETRIES {
             if job.outcome == Outcome::Success {
                 return;
@@ -285,7 +295,7 @@
                 self.rng.usize(0..Self::WORKERS)
             };
             job.outcome = self.draw_outcome(second, job, is_poison);
-            ended(job);
+            on_end(job);
         }
     }
 
@@ -298,7 +308,7 @@
     }
 
     fn draw_outcome(&mut self, second: u64, job: Job, is_poison: bool) -> Outcome {
-        let (probability, failure) = self.fails(second, job.scheduler, job.worker, job.class);
+        let (probability, failure) = self.failure_of(second, job.scheduler, job.worker, job.class);
         if is_poison || self.rng.f64() < probability {
             failure
         } else {
--- a/crates/quarantine/tests/faults.rs
+++ b/crates/quarantine/tests/faults.rs
@@ -2,25 +2,31 @@
 //!
 //! The long form is the program `oakshed-quarantine-trial`; its figures are in docs/quarantine.md.
 
-use oakshed_quarantine::trial::{run, Fault, Outcomes, Plan};
+use oakshed_quarantine::trial::{run, Fault, RunResult, Scenario};
 
-fn plan(fault: Fault, worse: Option<f64>, schedulers: usize, seconds: u64, seed: u64) -> Plan {
-    let worse = worse.map(|times| (times, 300));
-    Plan {
+fn scenario(
+    fault: Fault,
+    worse: Option<f64>,
+    schedulers: usize,
+    seconds: u64,
+    seed: u64,
+) -> Scenario {
+    let degraded = worse.map(|times| (times, 300));
+    Scenario {
         schedulers,
         rate: 320.0,
         fault,
-        worse,
+        degraded,
         seconds,
         until_found: false,
-        bound: 1_000.0,
+        worker_hours_per_false_proposal: 1_000.0,
         seed,
     }
 }
 
 /// One cycle of a fault: it runs from second 180 to second 360.
-fn fault(fault: Fault, schedulers: usize) -> Outcomes {
-    run(&plan(fault, None, schedulers, 600, 5))
+fn fault(fault: Fault, schedulers: usize) -> RunResult {
+    run(&scenario(fault, None, schedulers, 600, 5))
 }
 
 #[test]
@@ -38,12 +44,12 @@
 
 #[test]
 fn plain_detectors_report_workers_for_failing_paths_and_classes() {
-    let plain = fault(Fault::Partition, 3).in_a_row;
+    let plain = fault(Fault::Partition, 3).consecutive_failures;
     assert!(
         plain.len() >= 10,
         "failures in a row report the workers behind a partition: {plain:?}"
     );
-    let plain = fault(Fault::Class, 30).deviations;
+    let plain = fault(Fault::Class, 30).success_rate_outliers;
     assert!(
         plain.len() >= 8,
         "deviations report the workers that get the class that fails: {plain:?}"
@@ -53,26 +59,26 @@
 #[test]
 fn a_worse_worker_is_found_by_any_number_of_schedulers_together() {
     for schedulers in [3, 30, 300] {
-        let out = run(&plan(Fault::None, Some(20.0), schedulers, 480, 9));
-        let at = out.shared.first().copied();
+        let result = run(&scenario(Fault::None, Some(20.0), schedulers, 480, 9));
+        let at = result.shared.first().copied();
         assert!(
-            matches!(at, Some((300..=345, w)) if w == out.bad),
+            matches!(at, Some((300..=345, w)) if w == result.bad_worker),
             "{schedulers}: {at:?}, bad {}",
-            out.bad
+            result.bad_worker
         );
         assert!(
-            out.shared.iter().all(|(_, w)| *w == out.bad),
+            result.shared.iter().all(|(_, w)| *w == result.bad_worker),
             "{schedulers}: {:?}",
-            out.shared
+            result.shared
         );
         assert!(
-            out.bytes_most * schedulers as f64 <= 4_096.0,
+            result.max_bytes_per_second * schedulers as f64 <= 4_096.0,
             "{schedulers}: {} B/s each",
-            out.bytes_most
+            result.max_bytes_per_second
         );
         if schedulers == 300 {
             assert!(
-                out.alone.is_empty(),
+                result.single_member.is_empty(),
                 "a scheduler of 300 sees one job of a worker a minute"
             );
         }
@@ -82,24 +88,29 @@
 #[test]
 fn a_worse_worker_is_found_during_other_faults() {
     for which in [Fault::Class, Fault::Member, Fault::Drain, Fault::Poison] {
-        let out = run(&plan(which, Some(20.0), 30, 480, 12));
-        let at = out.shared.iter().find(|(_, w)| *w == out.bad);
+        let result = run(&scenario(which, Some(20.0), 30, 480, 12));
+        let at = result.shared.iter().find(|(_, w)| *w == result.bad_worker);
         assert!(
             at.is_some_and(|(at, _)| (300..400).contains(at)),
             "{which:?}: {:?}",
-            out.shared
+            result.shared
         );
         assert!(
-            out.shared.iter().all(|(_, w)| *w == out.bad),
+            result.shared.iter().all(|(_, w)| *w == result.bad_worker),
             "{which:?}: {:?}, bad {}",
-            out.shared,
-            out.bad
+            result.shared,
+            result.bad_worker
         );
     }
 }
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
-    let run = || format!("{:?}", run(&plan(Fault::Member, Some(20.0), 30, 400, 3)));
+    let run = || {
+        format!(
+            "{:?}",
+            run(&scenario(Fault::Member, Some(20.0), 30, 400, 3))
+        )
+    };
     assert_eq!(run(), run());
 }
