--- a/crates/quarantine/src/counter.rs
+++ b/crates/quarantine/src/counter.rs
@@ -1,21 +1,22 @@
-//! The counts of this member: tries and their ends by worker and class, until they are raised as rows.
+//! Counts this member's attempts and failures by worker and class until they are published as rows.
 //!
-//! Failures are raised at once, tries when their half window is over, more coarsely where there are many. A member
-//! stays within its part of the budget of bytes.
+//! Failures are published at once, attempts at the end of their interval. Each member keeps within an equal part of
+//! the budget for rows: attempts are counted in larger units until their rows fit, and failures that do not fit are
+//! left out and counted in [`RowTotals::dropped_failures`].
 
 use std::collections::BTreeMap;
 
 use crate::code::{self, NameTable};
 use crate::{Config, Micros, Outcome, Worker, WorkerState, FAILURE_KINDS};
 
-/// A row to be raised, as `Rows::raise` takes it.
+/// An update of an own row, in the arguments of `Rows::raise`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowUpdate {
-    /// The window of the row.
+    /// The row's window.
     pub window: u32,
-    /// The subject.
+    /// The row's subject.
     pub subject: Vec<u8>,
-    /// What is added, by index.
+    /// The indices of counts, and what is added to each.
     pub increments: Vec<(usize, u32)>,
 }
 
@@ -34,7 +35,7 @@
         }
     }
 
-    /// The counts, as one raise of a new row gives them.
+    /// The counts of a new row after this update.
     #[must_use]
     pub fn counts(&self) -> Vec<u32> {
         let mut counts = vec![
@@ -52,45 +53,47 @@
     }
 }
 
-/// The counts of one member.
+/// The attempts and failures of one member that have not been published yet.
 #[derive(Clone, Debug)]
 pub struct AttemptCounter {
     config: Config,
     names: NameTable,
+    /// The ready workers, each with the end of its warm-up.
     counted_from: BTreeMap<Box<str>, Micros>,
-    /// By half window and cell.
+    /// By interval and cell.
     attempts: BTreeMap<u32, BTreeMap<u32, u32>>,
+    /// By interval and cell, then by kind.
     failures: BTreeMap<(u32, u32), [u32; FAILURE_KINDS]>,
     rng: fastrand::Rng,
     members: u32,
-    /// Bytes that may be spent on failures.
+    /// The bytes that rows of failures may take now.
     failure_budget: f64,
-    /// When the budget was refilled last.
+    /// When `failure_budget` was last refilled.
     refilled_at: Micros,
     bytes: u64,
     dropped_failures: u64,
 }
 
-/// The most half windows of tries that wait.
+/// The maximum number of intervals with unpublished attempts.
 const MAX_PENDING_INTERVALS: usize = 8;
-/// How many half windows' budget for failures can be saved.
+/// The largest budget for failures that can be saved up, in intervals.
 const MAX_SAVED_INTERVALS: f64 = 6.0;
-/// The least budget for the tries of a half window, in bytes.
+/// The smallest budget for the attempts of an interval, in bytes.
 const MIN_ATTEMPTS_BUDGET: f64 = 32.0;
-/// The coarsest unit of tries is two to the power of this.
+/// The binary logarithm of the largest unit of attempts.
 const MAX_ATTEMPT_UNIT_BITS: u8 = 9;
 
-/// What a member has raised.
+/// Totals of what a member has published.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RowTotals {
-    /// Bytes of rows.
+    /// The bytes of all rows, as members exchange them.
     pub bytes: u64,
-    /// Failures left out, as the budget did not allow them.
+    /// Failures that were left out because the budget was used up.
     pub dropped_failures: u64,
 }
 
 impl AttemptCounter {
-    /// A counter without counts. The seed is for probabilistic rounding.
+    /// Creates an empty counter. The seed is for probabilistic rounding.
     #[must_use]
     pub fn new(config: Config, seed: u64) -> AttemptCounter {
         let names = NameTable::new(&[], &config.classes, &config.zone);
@@ -110,13 +113,13 @@
         }
     }
 
-    /// Sets how many members share the budget.
+    /// Sets the number of members that share the budget.
     pub fn set_members(&mut self, members: usize) {
         self.members = u32::try_from(members).unwrap_or(u32::MAX).max(1);
     }
 
-    /// Sets the endpoint list. What was counted by the old names must be raised by them first, by
-    /// [`Counter::rows`]; what is left is dropped.
+    /// Sets the endpoint list. If the names change, counts that have not been published are dropped: call
+    /// [`AttemptCounter::take_updates`] first.
     pub fn set_workers(&mut self, workers: &[Worker]) {
         let names = NameTable::new(workers, &self.config.classes, &self.config.zone);
         if names != self.names {
@@ -135,8 +138,8 @@
             .collect();
     }
 
-    /// A try ended. Only first tries count (a poison job fails on any worker), and only on workers that are
-    /// neither in slow start nor draining.
+    /// Records the outcome of an attempt. Only the first attempt of a job counts, as a poison job fails on any
+    /// worker, and only on workers that are ready and past their warm-up.
     pub fn record_attempt(
         &mut self,
         now: Micros,
@@ -173,7 +176,7 @@
         }
     }
 
-    /// The rows to be raised now.
+    /// Returns the updates of rows to publish now.
     pub fn take_updates(&mut self, now: Micros) -> Vec<RowUpdate> {
         let Some(zone) = self.names.zone(&self.config.zone) else {
             return Vec::new();
@@ -194,16 +197,17 @@
         rows
     }
 
-    /// Half of this member's part of the budget, in bytes a second: one half is for failures, one for tries.
+    /// Half of this member's part of the budget: failures and attempts have one half each.
     fn bytes_per_second_each(&self) -> f64 {
         f64::from(self.config.bytes_per_second) / f64::from(self.members) / 2.0
     }
 
+    /// The length of an interval, in seconds.
     fn interval_s(&self) -> f64 {
         (self.config.window / 2) as f64 / 1e6
     }
 
-    /// Adds to the budget for failures; what was not spent in three windows is lost.
+    /// Adds to the budget for failures. What is not used within three windows is lost.
     fn refill(&mut self, now: Micros) {
         let bytes_per_second = self.bytes_per_second_each();
         let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1e6;
@@ -212,7 +216,7 @@
         self.failure_budget = (self.failure_budget + bytes_per_second * elapsed_s).min(max_budget);
     }
 
-    /// The rows of failures, one a cell, as far as the budget allows.
+    /// The rows of failures, one for each cell, as far as the budget allows.
     fn failure_rows(&mut self, zone: u16) -> Vec<RowUpdate> {
         let mut rows = Vec::new();
         for ((interval, cell), kinds) in std::mem::take(&mut self.failures) {
@@ -228,7 +232,7 @@
         rows
     }
 
-    /// The rows of a half window's tries, as coarse as the budget demands.
+    /// The rows of an interval's attempts, in the smallest unit that fits into the budget.
     fn attempt_rows(
         &mut self,
         zone: u16,
@@ -259,7 +263,7 @@
         }
     }
 
-    /// A count in units of `2^coarse`, rounded up or down by chance so that its mean is right.
+    /// Converts a count to units of `2^unit_bits`, rounded up or down at random so that the expected value is exact.
     fn round_to_unit(&mut self, count: u32, unit_bits: u8) -> u32 {
         if unit_bits == 0 {
             return count;
@@ -268,13 +272,13 @@
         count / unit + u32::from(self.rng.u32(0..unit) < count % unit)
     }
 
-    /// The names in use.
+    /// The name table that cells are numbered by.
     #[must_use]
     pub fn names(&self) -> &NameTable {
         &self.names
     }
 
-    /// What was raised so far.
+    /// The totals of what was published so far.
     #[must_use]
     pub fn totals(&self) -> RowTotals {
         RowTotals {
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,7 +1,11 @@
-//! Quarantine proposals: workers whose jobs fail more often than their peers'.
+//! Detects workers whose jobs fail more often than those of their peers, and proposes them for quarantine.
 //!
-//! The crate collects evidence and makes proposals; staff exclude a worker, or do not. Time (microseconds of Unix
-//! time) and the seed are passed in; rows and effects are returned as values.
+//! Each scheduler counts the outcomes of its own attempts and shares the counts as rows. From the rows of all
+//! members every member computes the same evidence, in intervals of half a window. The crate only proposes:
+//! operators decide whether a worker is excluded.
+//!
+//! The crate does no I/O. Time, in microseconds of Unix time, and the seed are passed in; row updates and effects
+//! are returned as values.
 
 mod attribution;
 mod classify;
@@ -22,33 +26,33 @@
 pub use oakshed_peers::{rows::Owner, Micros};
 pub use proposals::{Effect, EvidenceSummary, Reason};
 
-/// The table of shared rows that holds tries and their ends by worker.
+/// The table of the shared rows that holds attempts, failures and proposals.
 pub const TABLE: u8 = 2;
 
-/// How many kinds of failure there are.
+/// The number of failure kinds: the outcomes other than a success.
 pub const FAILURE_KINDS: usize = 6;
 
-/// How a job's first try on a worker ended.
+/// The outcome of an attempt on a worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered.
+    /// The worker returned a result.
     Success,
     /// The worker reported a failure.
     Error,
-    /// The connection broke with the job on it.
+    /// The connection was reset while the job was on it.
     Reset,
-    /// No answer in time.
+    /// No response arrived in time.
     Timeout,
-    /// No connection could be made.
+    /// No connection could be established.
     ConnectFailed,
     /// The worker started the job too late.
     LateStart,
-    /// A second answer came for a job that had ended: a failure without a try of its own.
+    /// A second response arrived for a job that had ended. It counts as a failure, but not as another attempt.
     DuplicateResponse,
 }
 
 impl Outcome {
-    /// The index among the kinds of failure; nothing for an answer.
+    /// The index of the failure kind, or `None` for a success.
     #[must_use]
     pub fn failure_kind(self) -> Option<usize> {
         match self {
@@ -63,63 +67,64 @@
     }
 }
 
-/// The state of a worker, by the endpoint list and staff.
+/// The state of a worker, from the endpoint list and the operators' exclusions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkerState {
-    /// In slow start.
+    /// In slow start, with a reduced share of the load.
     SlowStart,
-    /// In full use: the only state in which its failures are evidence.
+    /// In full use. Failures are evidence only in this state.
     Ready,
-    /// Draining.
+    /// Finishes its jobs and gets no new ones.
     Draining,
-    /// Excluded by staff.
+    /// Excluded by an operator.
     Excluded,
 }
 
-/// A worker as the endpoint list has it.
+/// A worker as it stands in the endpoint list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Worker {
-    /// Its name in the list.
+    /// The name in the list.
     pub name: Arc<str>,
-    /// Its zone.
+    /// The zone that it runs in.
     pub zone: Arc<str>,
-    /// How many jobs it takes at a time.
+    /// The number of jobs that it runs at a time.
     pub capacity: u32,
     /// When it started, in milliseconds of Unix time.
     pub started: u64,
-    /// Its state.
+    /// Its current state.
     pub state: WorkerState,
 }
 
-/// The settings; the same on every member except `me` and `zone`.
+/// The settings. All members must have the same values, except for `me` and `zone`.
 #[derive(Clone, Debug)]
 pub struct Config {
-    /// This incarnation of this member.
+    /// This member, in its current incarnation.
     pub me: Owner,
     /// This member's zone.
     pub zone: Arc<str>,
-    /// The classes by name, at most 32, in the settings' order.
+    /// The names of the classes, at most 32, in the order of the configuration.
     pub classes: Vec<Arc<str>>,
-    /// The length of a window of the shared rows, in microseconds. Evidence is taken in halves of it.
+    /// The length of a window of the shared rows, in microseconds. An interval, the step in which evidence is
+    /// evaluated, is half of it.
     pub window: Micros,
-    /// How many windows are retained.
+    /// The number of windows for which rows and evidence are retained.
     pub retained_windows: u32,
-    /// How long rows of a half that ended are waited for, in microseconds.
+    /// How long after the end of an interval its rows may arrive before it is evaluated, in microseconds.
     pub allowed_lateness: Micros,
-    /// How long after its start a worker counts as cold whatever its state says, in microseconds.
+    /// How long after its start a worker's failures are ignored, whatever its state is, in microseconds.
     pub warmup: Micros,
-    /// At most one false proposal in this many worker-hours.
+    /// The bound on false proposals: at most one in this many worker-hours.
     pub worker_hours_per_false_proposal: f64,
-    /// Proposals and exclusions stay at or under this share of a zone's capacity.
+    /// The largest share of a zone's capacity that proposed and excluded workers may have together.
     pub max_zone_share: f64,
-    /// The budget of the rows of all members, in bytes a second into each member.
+    /// The budget for the rows of all members, in bytes per second that each member receives.
     pub bytes_per_second: u32,
-    /// The most cells of evidence (a cell: half window, worker, member, class).
+    /// The maximum number of stored cells. A cell is identified by interval, worker, member and class.
     pub max_cells: usize,
 }
 
 impl Config {
-    /// The defaults for a member.
+    /// The default settings for a member.
     #[must_use]
     pub fn new(me: Owner, zone: &str, classes: &[&str]) -> Config {
         Config {
@@ -137,7 +142,7 @@
         }
     }
 
-    /// The half window (slot) that contains this time.
+    /// The number of the interval that contains `at`.
     #[must_use]
     pub fn interval_at(&self, at: Micros) -> u32 {
         u32::try_from(at / (self.window / 2).max(1)).unwrap_or(u32::MAX)
--- a/crates/quarantine/src/store.rs
+++ b/crates/quarantine/src/store.rs
@@ -1,6 +1,6 @@
-//! The evidence of all members, by half window, worker, member and class.
+//! Stores the evidence of all members by interval, worker, member and class.
 //!
-//! Rows are joined: the larger of each count, so that their order does not matter.
+//! Merging keeps the larger of each count, so rows may arrive in any order and any number of times.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -8,16 +8,18 @@
 use crate::code::{DecodedRow, NameTable};
 use crate::{Owner, FAILURE_KINDS};
 
-/// What one member reported of one worker and class in one half window.
+/// What one member reported of one worker and class in one interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Cell {
+    /// The number of the member's zone.
     pub(crate) zone: u16,
     pub(crate) attempts: u32,
+    /// By kind.
     pub(crate) failures: [u32; FAILURE_KINDS],
 }
 
 impl Cell {
-    /// Joins a row with this cell; returns whether that changes it.
+    /// Merges a row's counts into this cell. Returns whether that changes it.
     fn join(&mut self, zone: u16, attempts: u32, failures: &[u32; FAILURE_KINDS]) -> bool {
         let before = *self;
         self.zone = zone;
@@ -29,7 +31,7 @@
     }
 }
 
-/// Identifiers of names, which are never reused.
+/// An interner, which numbers names. Numbers are never reused.
 #[derive(Clone, Debug)]
 pub(crate) struct Interner<T> {
     ids: BTreeMap<T, u32>,
@@ -46,6 +48,7 @@
         }
     }
 
+    /// The number of a name, which is assigned on first use.
     pub(crate) fn intern(&mut self, name: &T) -> u32 {
         if let Some(id) = self.ids.get(name) {
             return *id;
@@ -60,19 +63,20 @@
         self.names.get(&id)
     }
 
+    /// Removes the names whose number is not in use.
     fn retain(&mut self, used: impl Fn(u32) -> bool) {
         self.ids.retain(|_, id| used(*id));
         self.names.retain(|id, _| used(*id));
     }
 }
 
-/// After how many half windows unused identifiers are removed.
+/// The period, in intervals, after which unused numbers are removed.
 const ID_CLEANUP_PERIOD: u32 = 64;
 
-/// By worker, member, class.
+/// Cells by worker, member and class.
 pub(crate) type Cells = BTreeMap<(u32, u32, u8), Cell>;
 
-/// The evidence.
+/// The retained evidence of all members.
 #[derive(Clone, Debug)]
 pub(crate) struct EvidenceStore {
     pub(crate) intervals: BTreeMap<u32, Cells>,
@@ -82,10 +86,11 @@
     zone_numbers: BTreeMap<Arc<str>, u16>,
     cells: usize,
     max_cells: usize,
-    /// The earliest half window that changed since the last call of [`Store::changed`].
+    /// The earliest interval that changed since the last call of [`EvidenceStore::take_first_changed`].
     first_changed: Option<u32>,
+    /// How often evidence was rejected because the store has reached a limit.
     pub(crate) rejected: u64,
-    /// The first half window that is retained.
+    /// The first interval that is retained.
     oldest: u32,
 }
 
@@ -105,8 +110,8 @@
         }
     }
 
-    /// The number of a zone; nothing where there were more, ever, than there are numbers: evidence must not count
-    /// for another zone.
+    /// The number of a zone, or `None` once all numbers are taken: a number is never used for a second zone, as its
+    /// evidence would count for the first.
     pub(crate) fn zone_number(&mut self, zone: &Arc<str>) -> Option<u16> {
         if let Some(known) = self.zone_numbers.get(zone) {
             return Some(*known);
@@ -120,7 +125,7 @@
         Some(new)
     }
 
-    /// Merges one member's evidence of a window.
+    /// Merges a row of one member's evidence.
     pub(crate) fn merge(
         &mut self,
         owner: &Owner,
@@ -161,12 +166,12 @@
         }
     }
 
-    /// The earliest half window that changed since the last call.
+    /// The earliest interval that changed since the last call.
     pub(crate) fn take_first_changed(&mut self) -> Option<u32> {
         self.first_changed.take()
     }
 
-    /// Removes what is older than a half window.
+    /// Removes the evidence of intervals before `oldest`.
     pub(crate) fn expire(&mut self, oldest: u32) {
         if oldest <= self.oldest {
             return;
@@ -190,6 +195,7 @@
 }
 
 impl Interner<Arc<str>> {
+    /// The number of a name, if it has one.
     pub(crate) fn get(&self, name: &str) -> Option<u32> {
         self.ids.get(name).copied()
     }
