--- a/crates/quarantine/src/attribution.rs
+++ b/crates/quarantine/src/attribution.rs
@@ -1,7 +1,7 @@
-//! Attribution: whether the failures on a worker are the worker's, by witnesses in several zones.
+//! Decides whether failures on a worker are attributed to the worker itself.
 //!
-//! It is the last check before a proposal: what only one member or one zone of members sees is not attributed to
-//! the worker.
+//! Before a proposal is made, its evidence must come from several members and zones. Failures that only one member, or
+//! the members of one zone, observe have their cause more likely there or on the path.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,14 +9,14 @@
 use crate::detector::log_evidence;
 use crate::FAILURE_KINDS;
 
-/// A worker this many times worse than its peers fails so often that one failure alone is no sign of it.
+/// Above this ratio to the peers' failure rate a worker fails so often that a single failure may be chance.
 const LARGE_RATIO: f64 = 10.0;
-/// How many witnesses are needed, where as many members report.
+/// The number of members that must have observed failures, if as many report.
 const MIN_WITNESSES: usize = 3;
-/// In how many zones witnesses are needed, where members of as many report.
+/// The number of zones in which members must have observed failures, if members of as many report.
 const MIN_ZONES: usize = 2;
 
-/// The evidence against a worker since `from`.
+/// The evidence against a worker, summed from interval `from` on.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct TotalEvidence {
     pub(crate) from: u32,
@@ -24,22 +24,25 @@
     pub(crate) log_evidence: f64,
     pub(crate) attempts: u32,
     pub(crate) failures: u32,
+    /// The failures to be expected at the peers' rate.
     pub(crate) expected: f64,
     pub(crate) kinds: [u32; FAILURE_KINDS],
+    /// The number of members that observed failures.
     pub(crate) witnesses: usize,
+    /// The number of zones of these members.
     pub(crate) zones: usize,
 }
 
-/// Why there is no proposal although there is evidence.
+/// Why failures are not attributed to the worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum NotAttributed {
-    /// Too few members saw it, or one saw nearly all of it.
+    /// Too few members observed them, or one observed nearly all.
     SingleMember,
-    /// One zone of members saw nearly all of it, or the failures in one zone fit the peers' rate.
+    /// The members of one zone observed nearly all, or the failures in one zone fit the peers' rate.
     SingleZone,
 }
 
-/// What one member saw of the worker.
+/// What one member observed of the worker.
 #[derive(Clone, Copy, Default)]
 struct Witness {
     zone: u16,
@@ -47,14 +50,14 @@
     failures: u32,
 }
 
-/// Failures, and those to be expected, in one zone of members.
+/// Observed and expected failures, summed over the members of a zone.
 #[derive(Clone, Copy, Default)]
 struct ZoneSums {
     failures: u32,
     expected: f64,
 }
 
-/// All evidence of a worker, by zone and member.
+/// The evidence against a worker, in total and by the zones and members that observed it.
 struct ObservedEvidence {
     total: TotalEvidence,
     zones: BTreeMap<u16, ZoneSums>,
@@ -63,8 +66,8 @@
     reporters: BTreeMap<u32, u16>,
 }
 
-/// Attributes the evidence against a worker from half window `from` on. `remaining` is the evidence that must be
-/// left when the member, or the zone, that saw the most is left out.
+/// Sums the evidence against a worker from interval `from` on and decides whether to attribute it. `remaining` is the
+/// log evidence that must be left without any one member or zone.
 pub(crate) fn attribute(
     classifications: &BTreeMap<u32, Classification>,
     worker: u32,
@@ -114,21 +117,21 @@
                 self.reporters.insert(*member, *zone);
             }
         }
-        let Some(seen) = classification.workers.get(&worker) else {
+        let Some(evidence) = classification.workers.get(&worker) else {
             return;
         };
-        self.total.attempts += seen.attempts;
-        self.total.failures += seen.failures;
-        self.total.expected += seen.expected;
-        for (sum, kind) in self.total.kinds.iter_mut().zip(seen.kinds) {
+        self.total.attempts += evidence.attempts;
+        self.total.failures += evidence.failures;
+        self.total.expected += evidence.expected;
+        for (sum, kind) in self.total.kinds.iter_mut().zip(evidence.kinds) {
             *sum += kind;
         }
-        for (zone, (failures, expected)) in &seen.zones {
+        for (zone, (failures, expected)) in &evidence.zones {
             let sums = self.zones.entry(*zone).or_default();
             sums.failures += failures;
             sums.expected += expected;
         }
-        for (member, (zone, attempts, failures)) in &seen.witnesses {
+        for (member, (zone, attempts, failures)) in &evidence.witnesses {
             let witness = self.witnesses.entry(*member).or_default();
             witness.zone = *zone;
             witness.attempts += attempts;
@@ -136,6 +139,7 @@
         }
     }
 
+    /// Whether enough members and zones agree.
     fn check(&self, remaining: f64) -> Result<(), NotAttributed> {
         let reporters = self.reporters.len();
         let zones: BTreeSet<u16> = self.reporters.values().copied().collect();
@@ -163,15 +167,16 @@
         Ok(())
     }
 
-    /// The evidence without that of one member or zone.
+    /// The log evidence without the failures and expected failures of one member or zone.
     fn log_evidence_without(&self, failures: u32, expected: f64) -> f64 {
         let failures = f64::from(self.total.failures - failures);
         log_evidence(failures, (self.total.expected - expected).max(0.0))
     }
 
-    /// Whether the failures in a zone fit the peers' rate better than the worker's. Where the two lie far apart,
-    /// one failure less: it may be chance. Where they are near, the mean of both is the mark, as a zone with few
-    /// tries would otherwise outweigh what the others show. A zone that hardly tries the worker does not count.
+    /// Whether the failures in a zone fit the peers' rate better than the worker's. If the two rates lie far apart, one
+    /// failure is not counted, as it may be chance. If they are near, the zone is compared with their geometric mean:
+    /// a zone with few attempts would otherwise outweigh the others. A zone with hardly any attempts on the worker is
+    /// ignored.
     fn fits_peers(&self, sums: ZoneSums, zones: usize) -> bool {
         let ratio = (f64::from(self.total.failures) / self.total.expected.max(1e-9)).max(1.1);
         let min_expected = self.total.expected / (4 * zones.max(1)) as f64;
--- a/crates/quarantine/src/classify.rs
+++ b/crates/quarantine/src/classify.rs
@@ -1,9 +1,12 @@
-//! Classification of a half window: the failures to be expected of each worker, and what else explains them.
+//! Separates the failures of an interval by cause: classes, members, paths between zones, zones, and workers.
 //!
-//! It is a two-way table of workers and members: rates by class from all other workers, members that fail on all
-//! workers, paths between zones that fail, zones that do. All sums are of whole numbers in the order of names, so
-//! that every member with the same rows gets the same result. It takes away what others explain; what is left is
-//! attributed elsewhere.
+//! The failures to be expected of a worker come from the failure rate of each class, computed without outlying workers
+//! and without members that fail on all workers. Attempts of these members, and on failing paths, are no evidence
+//! against a worker, and more failures are expected in zones that fail as a whole. [`crate::attribution`] decides
+//! whether the remaining failures are the worker's own.
+//!
+//! Counts are whole numbers and are summed in the order of names, so that all members get the same result from the
+//! same rows.
 
 mod rates;
 mod samples;
@@ -17,50 +20,53 @@
 use rates::{add, decayed, decayed_by_class, total_failures, ClassCounts, Rates, Sums};
 use samples::{samples, sum_by, Sample};
 
-/// The part of the sums for rates that is retained from one half window to the next.
+/// The factor by which the sums for long-term rates decay with each interval.
 const RATE_DECAY: f64 = 0.97;
-/// The same for the rates of now.
+/// The decay of the sums for current rates.
 const SHORT_RATE_DECAY: f64 = 0.5;
-/// The same for workers.
+/// The decay of the sums of workers.
 const WORKER_DECAY: f64 = 0.85;
-/// The same for members, paths and zones.
+/// The decay of the sums of members, paths and zones.
 const OTHERS_DECAY: f64 = 0.7;
-/// The same for the tries that show who has peers.
+/// The decay of attempts by class and worker.
 const ATTEMPTS_DECAY: f64 = 0.95;
-/// Fewer tries than this are dropped.
+/// Decayed attempts at or below this are dropped.
 const MIN_DECAYED_ATTEMPTS: f64 = 0.01;
-/// The log likelihood ratio beyond which a class, member, path or zone is classified as failing by itself.
+/// The log likelihood ratio above which a class, member, path or zone is classified as failing.
 const FAILING_LOG_LIKELIHOOD: f64 = 3.0;
-/// The same for a worker that is left out of what the others are measured by.
+/// The log likelihood ratio above which a worker is an outlier, and left out of the rates of its peers.
 const OUTLIER_LOG_LIKELIHOOD: f64 = 4.0;
-/// The most workers of a zone that are left out, as a part of them.
+/// The largest share of a zone's workers that may be outliers.
 const MAX_OUTLIER_SHARE: f64 = 0.2;
-/// How many other workers must have been tried with a class.
+/// How many other workers must have had attempts of a class for its rate to be known.
 const MIN_PEERS: u32 = 3;
 
-/// What is carried from one half window to the next.
+/// The decaying sums that are carried from one interval to the next.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct CarriedSums {
+    /// Failures and attempts by class, for the long-term rates.
     long: Vec<Sums>,
+    /// Failures and attempts by class, for the current rates.
     short: Vec<Sums>,
+    /// Observed and expected failures of each worker; likewise for owners, paths and zones.
     workers: BTreeMap<u32, Sums>,
     owners: BTreeMap<u32, Sums>,
     paths: BTreeMap<(u16, u16), Sums>,
     zones: BTreeMap<u16, Sums>,
-    /// Tries by class and worker, which show who has peers.
+    /// Attempts by class and worker, which tell whether a worker has peers.
     recent_attempts: BTreeMap<(u8, u32), f64>,
 }
 
-/// The evidence of one half window on one worker, without what others explain.
+/// The evidence of one interval on one worker, without attempts of failing members and on failing paths.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct WorkerEvidence {
     pub(crate) attempts: u32,
     pub(crate) kinds: [u32; FAILURE_KINDS],
     pub(crate) failures: u32,
     pub(crate) expected: f64,
-    /// By zone of the members: failures, expected.
+    /// Observed and expected failures, by the zone of the members.
     pub(crate) zones: BTreeMap<u16, (u32, f64)>,
-    /// Members that saw failures: the zone, tries, failures.
+    /// The members that observed failures, each with its zone, attempts and failures.
     pub(crate) witnesses: BTreeMap<u32, (u16, u32, u32)>,
 }
 
@@ -82,8 +88,8 @@
         }
     }
 
-    /// Sets the failures to be expected, in each zone of the members and in all. `times`: how many times more
-    /// than its class the worker's zone fails.
+    /// Sets the expected failures, by zone of the members and in total. `factor` is the ratio of the failure rate in
+    /// the worker's zone to the rate of the class.
     fn set_expected(&mut self, by_zone: BTreeMap<u16, ClassCounts>, rates: &Rates, factor: f64) {
         let expected = |count: &ClassCounts| -> f64 {
             let each = |(class, (attempts, _)): (&u8, &(u32, u32))| {
@@ -105,24 +111,26 @@
     }
 }
 
-/// The result for one half window.
+/// The causes of failures in one interval.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Classification {
     pub(crate) workers: BTreeMap<u32, WorkerEvidence>,
-    /// Members that fail on all workers.
+    /// The members that fail on all workers.
     pub(crate) members: BTreeSet<u32>,
-    /// Paths (zone of members, zone of workers) that fail.
+    /// The failing paths, from the zone of members to the zone of workers.
     pub(crate) paths: BTreeSet<(u16, u16)>,
-    /// Zones in which all workers fail, with how many times more than usual.
+    /// The zones in which all workers fail, with the ratio to the expected rate.
     pub(crate) zones: BTreeMap<u16, f64>,
-    /// Classes that fail more than they did, on all workers: the rate, the rate before.
+    /// The classes that fail more than before on all workers, with the current and the long-term rate.
     pub(crate) classes: BTreeMap<u8, (f64, f64)>,
-    /// All members that reported anything, with their zones.
+    /// The members that reported any attempts, with their zones.
     pub(crate) reporters: BTreeMap<u32, u16>,
+    /// The sums for the next interval.
     pub(crate) carried: CarriedSums,
 }
 
-/// Classifies a half window. `zone` returns a worker's zone; workers without one (removed) are no evidence.
+/// Classifies an interval. `zone` returns a worker's zone, or `None` for workers that do not count, such as removed
+/// ones.
 pub(crate) fn classify(
     before: &CarriedSums,
     cells: &Cells,
@@ -131,18 +139,18 @@
 ) -> Classification {
     let samples = samples(cells, classes, &zone);
     let reporters: BTreeMap<u32, u16> = samples.iter().map(|s| (s.owner, s.cell.zone)).collect();
-    // By the sums of all: which workers are left out of what the others are measured by.
+    // Outliers are found by the rates over all workers and left out of the following rates.
     let (all, by_worker) = sum_by(samples.iter(), |sample| sample.worker);
     let rates = before.rates(classes, &all).rates;
     let workers = decayed(&before.workers, &by_worker, WORKER_DECAY, &rates);
     let outliers = outliers(&workers, &zone);
-    // Members that fail on all workers.
+    // Failing members are found by the rates without outliers.
     let remaining = samples.iter().filter(|s| !outliers.contains(&s.worker));
     let (rest, by_owner) = sum_by(remaining, |sample| sample.owner);
     let rates = before.rates(classes, &rest).rates;
     let owners = decayed(&before.owners, &by_owner, OTHERS_DECAY, &rates);
     let members = failing_members(&owners, reporters.len());
-    // Paths between zones, and zones, without those members.
+    // Failing paths and zones are found without outliers and without failing members.
     let remaining = samples
         .iter()
         .filter(|s| !outliers.contains(&s.worker) && !members.contains(&s.owner));
@@ -173,7 +181,7 @@
     classification
 }
 
-/// The rates by class, and the sums that they are made of.
+/// The rates by class, and the decayed sums that they are computed from.
 struct RatesAndSums {
     long: Vec<Sums>,
     short: Vec<Sums>,
@@ -181,7 +189,7 @@
 }
 
 impl CarriedSums {
-    /// The rates by class with new counts.
+    /// Adds new counts and computes the rates by class.
     fn rates(&self, classes: usize, new: &ClassCounts) -> RatesAndSums {
         let long = decayed_by_class(classes, &self.long, new, RATE_DECAY);
         let short = decayed_by_class(classes, &self.short, new, SHORT_RATE_DECAY);
@@ -191,7 +199,7 @@
 }
 
 impl Classification {
-    /// Adds the evidence of each worker that neither members nor paths explain.
+    /// Adds the evidence against each worker, without failing members and paths.
     fn add_own_evidence(
         &mut self,
         samples: &[Sample<'_>],
@@ -208,8 +216,8 @@
         }
     }
 
-    /// Enters each worker's own tries and failures, and returns them by the zone of the members. Left out is what
-    /// members and paths explain, and classes in which a worker has no peers.
+    /// Adds each worker's attempts and failures to its evidence, and returns them by the zone of the members. Failing
+    /// members and paths are left out, and classes in which the worker has no peers.
     fn own_counts(&mut self, samples: &[Sample<'_>]) -> BTreeMap<u32, BTreeMap<u16, ClassCounts>> {
         let recent_attempts = &self.carried.recent_attempts;
         let attempted = attempted(recent_attempts);
@@ -229,7 +237,7 @@
     }
 }
 
-/// The members that fail on all workers, of so many that reported anything.
+/// The members that fail on all workers. `reporters` is the number of members that reported any attempts.
 fn failing_members(owners: &BTreeMap<u32, Sums>, reporters: usize) -> BTreeSet<u32> {
     let members: BTreeSet<u32> = owners
         .iter()
@@ -238,14 +246,14 @@
         })
         .map(|(owner, _)| *owner)
         .collect();
-    // What most of them see is not their own fault.
+    // Failures that most members observe are not caused by the members.
     if members.len() * 2 > reporters || reporters < 2 {
         return BTreeSet::new();
     }
     members
 }
 
-/// Counts by the zone of the workers, without the paths that fail by themselves.
+/// Counts by the zone of the workers, without failing paths.
 fn counts_by_zone(
     by_path: &BTreeMap<(u16, u16), ClassCounts>,
     paths: &BTreeSet<(u16, u16)>,
@@ -260,7 +268,7 @@
     by_zone
 }
 
-/// The zones in which all workers fail, with how many times more than usual.
+/// The zones in which all workers fail, with the ratio to the expected rate.
 fn failing_zones(sums: &BTreeMap<u16, Sums>) -> BTreeMap<u16, f64> {
     sums.iter()
         .filter(|(_, (observed, expected))| {
@@ -270,7 +278,7 @@
         .collect()
 }
 
-/// Tries by class and worker: those before, decayed, and the new ones.
+/// Adds new attempts by class and worker to the decayed earlier ones.
 fn decayed_attempts(
     before: &BTreeMap<(u8, u32), f64>,
     by_worker: &BTreeMap<u32, ClassCounts>,
@@ -288,7 +296,7 @@
     recent_attempts
 }
 
-/// The workers that stand out, at most a part of each zone, the worst first.
+/// The workers that fail most above expectation, up to the maximum share of each zone.
 fn outliers(workers: &BTreeMap<u32, Sums>, zone: impl Fn(u32) -> Option<u16>) -> BTreeSet<u32> {
     let mut by_zone: BTreeMap<u16, (usize, Vec<(f64, u32)>)> = BTreeMap::new();
     for (worker, (observed, expected)) in workers {
@@ -309,9 +317,9 @@
     outliers
 }
 
-/// The paths that fail more than the best other path to the same zone of workers.
+/// The paths that fail more than the best of the other paths to the same zone.
 fn failing_paths(sums: &BTreeMap<(u16, u16), Sums>) -> BTreeSet<(u16, u16)> {
-    // Of each zone of workers the two best paths, once: with hundreds of zones there are as many paths to each.
+    // The two best paths to each zone are found in one pass: with hundreds of zones there are as many paths to each.
     let mut best_two: BTreeMap<u16, [(f64, u16); 2]> = BTreeMap::new();
     for ((from, to), (observed, expected)) in sums {
         let ratio = (observed + 1.0) / (expected + 1.0);
@@ -337,7 +345,8 @@
         .collect()
 }
 
-/// Whether enough other workers have been tried with a class for its rate to be known.
+/// Whether enough other workers have had attempts of a class, and together at least as many as this worker, for the
+/// class's rate to be known without it.
 fn has_peers(
     recent_attempts: &BTreeMap<(u8, u32), f64>,
     attempted: &BTreeMap<u8, (u32, f64)>,
@@ -352,7 +361,7 @@
     count - u32::from(own >= 0.5) >= MIN_PEERS && all - own >= own
 }
 
-/// By class, how many workers have tried it, and what all of them have served together.
+/// By class, the number of workers with attempts and the attempts on all of them.
 fn attempted(recent_attempts: &BTreeMap<(u8, u32), f64>) -> BTreeMap<u8, (u32, f64)> {
     let mut attempted: BTreeMap<u8, (u32, f64)> = BTreeMap::new();
     for ((class, _), attempts) in recent_attempts {
--- a/crates/quarantine/src/classify/rates.rs
+++ b/crates/quarantine/src/classify/rates.rs
@@ -1,17 +1,17 @@
-//! The arithmetic of counts by class, decaying sums, and the failure rate to be expected of a class.
+//! Counts by class, decaying sums, and the expected failure rate of each class.
 
 use std::collections::BTreeMap;
 
 use super::FAILING_LOG_LIKELIHOOD;
 use crate::detector::excess_log_likelihood;
 
-/// The weight of the rate of all classes in that of one class, in tries.
+/// The weight of the rate over all classes in the rate of one class, in attempts.
 const PRIOR_ATTEMPTS: f64 = 50.0;
 
-/// Failures and tries, or failures and those expected.
+/// Decayed failures and attempts, or observed and expected failures.
 pub(super) type Sums = (f64, f64);
 
-/// Tries and failures by class.
+/// Attempts and failures by class.
 pub(super) type ClassCounts = BTreeMap<u8, (u32, u32)>;
 
 pub(super) fn add(count: &mut ClassCounts, class: u8, attempts: u32, failures: u32) {
@@ -20,11 +20,12 @@
     *f += failures;
 }
 
-/// Failure rates by class: those of before, unless those of now are clearly above them.
+/// Failure rates by class: the long-term rate, or the current rate of classes that fail clearly more than before.
 pub(super) struct Rates {
     pub(super) rate: Vec<f64>,
+    /// The classes with an elevated rate: the current and the long-term rate.
     pub(super) elevated: BTreeMap<u8, (f64, f64)>,
-    /// How uncertain each is, as a factor: one deviation of its count.
+    /// By class, the factor by which the rate may be too low: one standard deviation of the failure count.
     pub(super) uncertainty: Vec<f64>,
 }
 
@@ -54,6 +55,7 @@
         rates
     }
 
+    /// The failures to be expected of so many attempts.
     pub(super) fn expected(&self, count: &ClassCounts) -> f64 {
         count
             .iter()
@@ -66,7 +68,7 @@
     count.values().map(|(_, f)| f).sum()
 }
 
-/// Decayed sums with new counts; sums that have decayed to nothing are dropped.
+/// Decays observed and expected failures and adds new counts. Sums that have decayed to almost zero are dropped.
 pub(super) fn decayed<K: Ord + Copy>(
     old: &BTreeMap<K, Sums>,
     new: &BTreeMap<K, ClassCounts>,
@@ -86,6 +88,7 @@
     sums
 }
 
+/// Decays failures and attempts by class and adds new counts.
 pub(super) fn decayed_by_class(
     classes: usize,
     old: &[Sums],
--- a/crates/quarantine/src/classify/samples.rs
+++ b/crates/quarantine/src/classify/samples.rs
@@ -1,16 +1,16 @@
-//! The cells of a half window as samples, and their counts.
+//! The cells of an interval as samples, and sums over them.
 
 use std::collections::BTreeMap;
 
 use super::rates::{add, ClassCounts};
 use crate::store::{Cell, Cells};
 
-/// One cell of the table: what one member saw of one worker in one class.
+/// What one member observed of one worker in one class.
 pub(super) struct Sample<'a> {
     pub(super) worker: u32,
     pub(super) owner: u32,
     pub(super) class: u8,
-    /// The zone of the worker; that of the member is in the cell.
+    /// The zone of the worker. That of the member is in the cell.
     zone: u16,
     pub(super) cell: &'a Cell,
     pub(super) failures: u32,
@@ -21,12 +21,13 @@
         add(count, self.class, self.cell.attempts, self.failures);
     }
 
+    /// The zone of the member and the zone of the worker.
     pub(super) fn path(&self) -> (u16, u16) {
         (self.cell.zone, self.zone)
     }
 }
 
-/// The cells of known classes and of workers that have a zone.
+/// The samples of an interval, without unknown classes and without workers that have no zone.
 pub(super) fn samples<'a>(
     cells: &'a Cells,
     classes: usize,
@@ -50,7 +51,7 @@
     samples
 }
 
-/// The counts of all samples together, and those by a key.
+/// Sums samples in total and by a key.
 pub(super) fn sum_by<'a, K: Ord>(
     samples: impl Iterator<Item = &'a Sample<'a>>,
     key: impl Fn(&Sample<'a>) -> K,
