--- a/crates/quarantine/src/machine/decide.rs
+++ b/crates/quarantine/src/machine/decide.rs
@@ -1,4 +1,4 @@
-//! The decisions once half windows are classified: which proposals are withdrawn, and which are made.
+//! Decides, after intervals were classified, which proposals are withdrawn and which are made.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -9,25 +9,25 @@
 use crate::proposals::{responsible, row_name, Effect, Reason, WorkerIncarnation};
 use crate::{Micros, Worker, WorkerState};
 
-/// By how much the threshold is lowered (natural logarithm): see docs/quarantine.md, 'the bound'.
+/// The amount by which the threshold is lowered, as a natural logarithm. See docs/quarantine.md, 'the bound'.
 const THRESHOLD_REDUCTION: f64 = 3.0;
-/// The part of the threshold that must be left when the member or zone that saw most is left out.
+/// The part of the threshold that the evidence must still reach without any one member or zone.
 const REMAINING_RATIO: f64 = 0.2;
-/// After how many windows a standing proposal is raised again.
+/// After how many windows a standing proposal is published again.
 const REFRESH_WINDOWS: u32 = 6;
-/// After how many half windows a class that fails on all workers is reported again.
+/// For how many intervals a class must not have been degraded to be reported again.
 const CLASS_REPORT_INTERVALS: u32 = 12;
-/// By how much the failure rate of a class must have grown to be reported.
+/// The ratio of current to long-term failure rate above which a class is reported.
 const CLASS_REPORT_RATIO: f64 = 2.0;
-/// The bits of a worker's start that proposals have.
+/// The bits of a worker's start time that fit into a proposal's row.
 const START_MASK: u64 = 0xffff_ffff_ffff;
 
-/// The half windows that a decision is made on.
+/// The intervals that a decision is based on.
 #[derive(Clone, Copy)]
 struct IntervalRange {
-    /// The first that is retained.
+    /// The first retained interval.
     oldest: u32,
-    /// The last that is over.
+    /// The last interval that is complete.
     last_complete: u32,
 }
 
@@ -37,13 +37,13 @@
     evidence: TotalEvidence,
 }
 
-/// A worker's start, as rows name it.
+/// The incarnation of a worker, as rows name it.
 fn incarnation_of(worker: &Worker) -> WorkerIncarnation {
     (row_name(&worker.name), worker.started & START_MASK)
 }
 
 impl Quarantine {
-    /// Withdraws and makes the proposals that this member is responsible for.
+    /// Withdraws and makes proposals in the zones that this member is responsible for.
     pub(super) fn decide(&mut self, now: Micros, last_complete: u32, oldest: u32) {
         let window = u32::try_from(now / self.config.window.max(1)).unwrap_or(u32::MAX);
         let range = IntervalRange {
@@ -51,7 +51,7 @@
             last_complete,
         };
         let own_zones = self.own_zones();
-        // Who is responsible for what no zone is.
+        // Whether this member is responsible for what belongs to no zone.
         let is_fallback = self.is_responsible("");
         self.review_standing(now, window, range, &own_zones, is_fallback);
         self.withheld.clear();
@@ -85,13 +85,13 @@
             .collect()
     }
 
-    /// The evidence that a proposal needs.
+    /// The log evidence that a proposal needs.
     fn log_evidence_threshold(&self) -> f64 {
         let steps = 3.6e9 / (self.config.window / 2).max(1) as f64;
         threshold(self.config.worker_hours_per_false_proposal, steps) - THRESHOLD_REDUCTION
     }
 
-    /// Withdraws or refreshes the standing proposals.
+    /// Withdraws or refreshes the standing proposals that this member is responsible for.
     fn review_standing(
         &mut self,
         now: Micros,
@@ -100,7 +100,7 @@
         own_zones: &BTreeSet<Arc<str>>,
         is_fallback: bool,
     ) {
-        let by_tag: BTreeMap<Vec<u8>, Arc<str>> = self
+        let by_row_name: BTreeMap<Vec<u8>, Arc<str>> = self
             .workers
             .keys()
             .map(|name| (row_name(name), name.clone()))
@@ -114,7 +114,7 @@
         let retention = u64::from(self.config.retained_windows) * self.config.window;
         let has_full_history = self.started_at.is_some_and(|at| now >= at + retention);
         for (incarnation, proposed_in) in &standing {
-            let known = by_tag
+            let known = by_row_name
                 .get(&incarnation.0)
                 .and_then(|name| self.workers.get(name));
             let reason = match known {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Why a proposal of a listed worker no longer stands, if it does not.
+    /// The reason to withdraw the proposal of a listed worker, if there is one.
     fn withdrawal(
         &self,
         known: &ListedWorker,
@@ -152,13 +152,13 @@
         if skipped > 0 && from + skipped > proposed_in + 1 {
             return Some(Reason::Recovered);
         }
-        let is_tried = steps.iter().any(|(_, expected)| *expected > 0.0);
+        let has_attempts = steps.iter().any(|(_, expected)| *expected > 0.0);
         let may_have_expired = has_full_history && range.oldest > proposed_in;
-        (!is_tried && may_have_expired).then_some(Reason::Expired)
+        (!has_attempts && may_have_expired).then_some(Reason::Expired)
     }
 
-    /// The workers with enough evidence against them, by zone. Those whose failures are not attributed to them
-    /// are noted as open.
+    /// The workers with enough evidence against them, by zone. Workers whose failures are not attributed to them are
+    /// entered in `withheld`.
     fn suspects(&mut self, range: IntervalRange) -> BTreeMap<Arc<str>, Vec<Suspect>> {
         let threshold = self.log_evidence_threshold();
         let mut suspects: BTreeMap<Arc<str>, Vec<Suspect>> = BTreeMap::new();
@@ -197,7 +197,7 @@
         suspects
     }
 
-    /// Failures and expected failures of a worker by half window.
+    /// Observed and expected failures of a worker by interval.
     fn steps(&self, known: &ListedWorker, from: u32, last_complete: u32) -> Vec<(u32, f64)> {
         let id = self.store.workers.get(&known.worker.name);
         let evidence = |interval: u32| {
@@ -212,7 +212,7 @@
             .collect()
     }
 
-    /// Proposes the worst first, within the share of the zone's capacity.
+    /// Proposes suspects in the given order, within the maximum share of the zone's capacity.
     fn propose(
         &mut self,
         window: u32,
@@ -258,7 +258,7 @@
         }
     }
 
-    /// Reports classes that fail more on all workers.
+    /// Reports the classes that fail more than before on all workers.
     fn report_degraded_classes(&mut self, last_complete: u32, is_responsible: bool) {
         let Some(classification) = self.classifications.get(&last_complete) else {
             return;
@@ -267,7 +267,7 @@
             if *rate <= CLASS_REPORT_RATIO * before {
                 continue;
             }
-            let last = self.class_reported_in.insert(*class, last_complete);
+            let last = self.class_degraded_in.insert(*class, last_complete);
             let is_new = last.is_none_or(|last| last + CLASS_REPORT_INTERVALS < last_complete);
             if is_new && is_responsible {
                 self.effects.push_back(Effect::ClassDegraded {
--- a/crates/quarantine/src/machine/mod.rs
+++ b/crates/quarantine/src/machine/mod.rs
@@ -1,7 +1,8 @@
-//! The state machine of one member: evidence in, proposals out.
+//! The state machine of one member, which turns evidence into proposals.
 //!
-//! It decides when a half window is classified and whose failures count. It acts on no worker, and proposes only
-//! where this member is responsible.
+//! It collects the rows of all members, and classifies an interval once it has ended and its rows have had time to
+//! arrive. When late rows change an interval, it and those after it are classified again. Only the responsible member
+//! publishes a proposal, so that the fleet makes one.
 
 mod decide;
 mod table;
@@ -18,48 +19,51 @@
 use crate::store::EvidenceStore;
 use crate::{Config, Micros, Outcome, Owner, Worker, WorkerState};
 
-/// The most sets of names that rows may have been written with.
+/// The maximum number of name tables that rows are decoded with, the latest first.
 const MAX_NAME_TABLES: usize = 8;
-/// The most rows that wait for their set of names.
+/// The maximum number of rows that are held until their name table is known.
 const MAX_UNDECODED_ROWS: usize = 4_096;
 
 /// A worker of the endpoint list.
 #[derive(Clone, Debug)]
 struct ListedWorker {
     worker: Worker,
-    /// The first half window that counts.
+    /// The first interval whose failures count.
     first_counted: u32,
 }
 
-/// A row of evidence whose set of names is not known yet.
+/// The owner, window and subject of a row whose name table is not known yet.
 type UndecodedRow = (Owner, u32, Vec<u8>);
 
-/// The quarantine proposals of one member.
+/// The state machine of one member.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     config: Config,
     counter: AttemptCounter,
     store: EvidenceStore,
     name_tables: VecDeque<NameTable>,
+    /// Rows that are held until their name table is known.
     undecoded: BTreeMap<UndecodedRow, Vec<u32>>,
     workers: BTreeMap<Arc<str>, ListedWorker>,
+    /// The members that are alive.
     alive: BTreeSet<Owner>,
     classifications: BTreeMap<u32, Classification>,
-    /// The last half window that was classified.
+    /// The last interval that was classified.
     last_classified: Option<u32>,
     proposals: Proposals,
-    /// Workers with evidence and no proposal, and why.
+    /// Workers with enough evidence but no proposal, and the reason.
     withheld: BTreeMap<Arc<str>, (TotalEvidence, &'static str)>,
     effects: VecDeque<Effect>,
+    /// When the first tick came.
     started_at: Option<Micros>,
-    /// Rows that could not be read.
+    /// The number of rows that were malformed, or could not be held.
     unread_rows: u64,
-    /// When each class that fails on all workers was reported last.
-    class_reported_in: BTreeMap<u8, u32>,
+    /// The interval in which each degraded class was last found so.
+    class_degraded_in: BTreeMap<u8, u32>,
 }
 
 impl Quarantine {
-    /// A member without evidence. The seed is for probabilistic rounding.
+    /// Creates the state of a member without evidence. The seed is for probabilistic rounding.
     #[must_use]
     pub fn new(config: Config, seed: u64) -> Quarantine {
         Quarantine {
@@ -76,12 +80,12 @@
             effects: VecDeque::new(),
             started_at: None,
             unread_rows: 0,
-            class_reported_in: BTreeMap::new(),
+            class_degraded_in: BTreeMap::new(),
             config,
         }
     }
 
-    /// A try ended on a worker: `first` where the job had not been tried before.
+    /// Records the outcome of an attempt. `first` is whether it was the job's first attempt.
     pub fn record_attempt(
         &mut self,
         now: Micros,
@@ -94,7 +98,8 @@
             .record_attempt(now, worker, class, first, outcome);
     }
 
-    /// What is to be raised in the shared rows, table [`crate::TABLE`]. Own rows need not be merged.
+    /// Returns the updates of rows to publish, in table [`crate::TABLE`]. Own rows need not be passed to
+    /// [`Quarantine::merge`].
     pub fn take_updates(&mut self, now: Micros) -> Vec<RowUpdate> {
         let rows = self.counter.take_updates(now);
         let me = self.config.me.clone();
@@ -108,7 +113,7 @@
             .collect()
     }
 
-    /// Merges a row of any member, in any order, any number of times.
+    /// Merges a row of any member. Rows may arrive in any order and any number of times.
     pub fn merge(&mut self, owner: &Owner, window: u32, subject: &[u8], counts: &[u32]) {
         match subject.first() {
             Some(&code::PROPOSAL_TAG) => self.proposals.merge(window, subject, counts),
@@ -129,7 +134,7 @@
         }
     }
 
-    /// Retains a row until its set of names is known.
+    /// Holds a row until its name table is known.
     fn hold_until_named(&mut self, owner: &Owner, window: u32, subject: &[u8], counts: &[u32]) {
         let key = (owner.clone(), window, subject.to_vec());
         if self.undecoded.len() >= MAX_UNDECODED_ROWS && !self.undecoded.contains_key(&key) {
@@ -143,13 +148,13 @@
         }
     }
 
-    /// Sets the members that are alive; this one is always among them.
+    /// Sets the members that are alive. This member is always among them.
     pub fn set_members(&mut self, alive: impl IntoIterator<Item = Owner>) {
         self.alive = alive.into_iter().chain([self.config.me.clone()]).collect();
         self.counter.set_members(self.alive.len());
     }
 
-    /// Sets the endpoint list.
+    /// Sets the endpoint list, and decodes held rows if it has new names.
     pub fn set_workers(&mut self, now: Micros, workers: &[Worker]) {
         let interval = self.config.interval_at(now);
         let known = std::mem::take(&mut self.workers);
@@ -175,7 +180,8 @@
         self.counter.set_workers(workers);
     }
 
-    /// The first half window of a worker that counts, as the list has it at this half window.
+    /// The first interval in which a listed worker's failures count: after its warm-up, and after the current interval
+    /// if it restarted or became ready again.
     fn first_counted(&self, worker: &Worker, known: Option<&ListedWorker>, interval: u32) -> u32 {
         if worker.state != WorkerState::Ready {
             return u32::MAX;
@@ -194,13 +200,14 @@
         }
     }
 
-    /// Sets the time; to be called at least once a second.
+    /// Advances the time, which must be done at least once a second: classifies intervals, decides on proposals and
+    /// queues effects.
     pub fn tick(&mut self, now: Micros) {
         self.started_at.get_or_insert(now);
         let retained = self.config.retained_windows.saturating_mul(2);
         let oldest = (self.config.interval_at(now) + 1).saturating_sub(retained);
         self.expire(oldest);
-        // The last half window that is over, and whose rows have come.
+        // The last interval that has ended and whose rows have had time to arrive.
         let last_complete = self
             .config
             .interval_at(now.saturating_sub(self.config.allowed_lateness))
@@ -218,16 +225,17 @@
             self.decide(now, last_complete, oldest);
         }
         let workers = &self.workers;
-        let name = |tagged: &[u8]| {
+        let name = |wanted: &[u8]| {
             workers
                 .keys()
-                .find(|name| row_name(name) == tagged)
+                .find(|name| row_name(name) == wanted)
                 .cloned()
         };
         let effects = self.proposals.effects(name);
         self.effects.extend(effects);
     }
 
+    /// Removes evidence and proposals from before an interval.
     fn expire(&mut self, oldest: u32) {
         self.store.expire(oldest);
         self.classifications = self.classifications.split_off(&oldest);
@@ -236,7 +244,7 @@
             .retain(|(_, window, _), _| *window >= oldest / 2);
     }
 
-    /// Classifies the evidence of a half window.
+    /// Classifies the evidence of an interval.
     fn classify(&mut self, interval: u32) {
         let cells = self
             .store
@@ -269,7 +277,7 @@
         self.classifications.insert(interval, classification);
     }
 
-    /// The next effect, in order.
+    /// Takes the next effect, in the order in which they occurred.
     pub fn poll_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
--- a/crates/quarantine/src/machine/table.rs
+++ b/crates/quarantine/src/machine/table.rs
@@ -1,9 +1,10 @@
-//! The telemetry lines of a member.
+//! Formats a member's state as telemetry lines.
 
 use super::Quarantine;
 
 impl Quarantine {
-    /// Lines for telemetry: proposals, open cases, members, paths, zones and classes that fail, rejected rows.
+    /// Lines for telemetry: standing proposals, workers with evidence but no proposal, failing members, paths, zones
+    /// and classes, and totals of rows.
     #[must_use]
     pub fn telemetry_lines(&self) -> Vec<String> {
         let mut lines = Vec::new();
@@ -38,7 +39,7 @@
         lines
     }
 
-    /// What fails by itself in the last half window.
+    /// Adds the members, paths, zones and classes that fail in the last interval.
     fn add_other_failures(&self, lines: &mut Vec<String>) {
         let Some((_, last)) = self.classifications.last_key_value() else {
             return;
--- a/crates/quarantine/src/proposals.rs
+++ b/crates/quarantine/src/proposals.rs
@@ -1,6 +1,7 @@
-//! The fleet's proposals, as rows have them: one for a worker and start, the earliest where two were made.
+//! The proposals of the fleet, read from the rows of all members.
 //!
-//! Which proposals stand is a function of the rows alone, whatever their order.
+//! Each incarnation of a worker has at most one standing proposal: the earliest that was not withdrawn, as both sides
+//! of a partition may make one. Which proposals stand depends on the rows alone and not on their order.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -22,10 +23,11 @@
 pub(crate) use row::{row_name, Proposal, WorkerIncarnation};
 pub use types::{Effect, EvidenceSummary, Reason};
 
-/// The most proposals that are stored, whatever rows say.
+/// The maximum number of stored proposals, and of stored withdrawals.
 const MAX_PROPOSALS: usize = 1_024;
-/// The member responsible for a key: the highest hash of both (rendezvous; Thaler and Ravishankar, 'Using
-/// name-based mappings to increase hit rates', IEEE/ACM ToN 1998).
+
+/// The member responsible for a key: the one with the highest hash of the key and its name (rendezvous hashing; Thaler
+/// and Ravishankar, 'Using name-based mappings to increase hit rates', IEEE/ACM ToN 1998).
 pub(crate) fn responsible<'a>(
     key: &str,
     alive: impl Iterator<Item = &'a Owner>,
@@ -39,14 +41,14 @@
 /// The proposals of the fleet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Proposals {
-    /// All proposals, with the last window of the rows of each.
+    /// All proposals, each with the last window of its rows.
     known: BTreeMap<WorkerIncarnation, BTreeMap<Proposal, u32>>,
     withdrawn: BTreeMap<ProposalId, Withdrawal>,
-    /// What the caller was notified of.
+    /// The standing proposals that the caller was notified of.
     announced: BTreeMap<WorkerIncarnation, Proposal>,
-    /// Made or withdrawn by this member.
+    /// The proposals that this member made or withdrew.
     own: BTreeSet<ProposalId>,
-    /// The state that was raised in each row.
+    /// The state that was published in each row, by window and subject.
     published_states: BTreeMap<(u32, Vec<u8>), u32>,
     updates: Vec<RowUpdate>,
     count: usize,
@@ -54,7 +56,7 @@
 }
 
 impl Proposals {
-    /// Merges a row of a proposal; own ones too.
+    /// Merges a row of a proposal, of this or another member.
     pub(crate) fn merge(&mut self, window: u32, subject: &[u8], counts: &[u32]) {
         let [PROPOSAL_TAG, rest @ ..] = subject else {
             return;
@@ -78,7 +80,7 @@
             self.merge_withdrawal(window, proposal.id(&subject), counts[0]);
         }
         proposal.counts[0] = STANDING;
-        // Rows omit zeros at the end; the same proposal must look the same with them.
+        // Rows omit zeros at the end. Without them here too, equal proposals compare as equal.
         while proposal.counts.last() == Some(&0) {
             proposal.counts.pop();
         }
@@ -103,7 +105,7 @@
         withdrawal.last_window = withdrawal.last_window.max(window);
     }
 
-    /// Removes what no row since a window has.
+    /// Removes proposals and withdrawals without a row since window `oldest`.
     pub(crate) fn expire(&mut self, oldest: u32) {
         self.known.retain(|_, proposals| {
             proposals.retain(|_, last| *last >= oldest);
@@ -118,7 +120,7 @@
         self.own.retain(|(subject, ..)| known.contains_key(subject));
     }
 
-    /// The standing proposals: of each worker and start the earliest that was not withdrawn.
+    /// The standing proposals: the earliest that was not withdrawn of each incarnation of a worker.
     pub(crate) fn standing(&self) -> BTreeMap<&WorkerIncarnation, &Proposal> {
         self.known
             .keys()
@@ -126,7 +128,7 @@
             .collect()
     }
 
-    /// The standing proposal of one worker and start.
+    /// The standing proposal of one incarnation of a worker.
     fn standing_of(&self, subject: &WorkerIncarnation) -> Option<&Proposal> {
         let is_withdrawn = |proposal: &Proposal| self.withdrawn.contains_key(&proposal.id(subject));
         self.known
@@ -135,7 +137,7 @@
             .find(|proposal| !is_withdrawn(proposal))
     }
 
-    /// Makes a proposal in a window, with the next number.
+    /// Makes a proposal with the next number, published in `window`.
     pub(crate) fn propose(
         &mut self,
         window: u32,
@@ -168,7 +170,7 @@
         self.push_update(window, subject, &proposal);
     }
 
-    /// Raises a standing proposal again where no row of it came for some windows, so that it does not expire.
+    /// Publishes a standing proposal again if its last row is `max_age` windows old, so that it does not expire.
     pub(crate) fn refresh(&mut self, window: u32, subject: &WorkerIncarnation, max_age: u32) {
         let Some(proposal) = self.standing_of(subject).cloned() else {
             return;
@@ -190,7 +192,7 @@
         let before = self
             .published_states
             .insert((window, row_subject.clone()), counts[0]);
-        // Within a window only the state grows: counts are added to what was raised.
+        // Updates add to the row's counts. Within a window only the state grows, so only its increase is published.
         let increments = match before {
             Some(state) => vec![counts[0].saturating_sub(state)],
             None => counts.clone(),
@@ -200,14 +202,14 @@
             .push(RowUpdate::new(window, row_subject, &increments));
     }
 
-    /// Rows to be raised.
+    /// Returns the updates of rows to publish.
     pub(crate) fn take_updates(&mut self) -> Vec<RowUpdate> {
         let mut updates = std::mem::take(&mut self.updates);
         updates.retain(|update| !update.increments.is_empty());
         updates
     }
 
-    /// What changed since the last call. `name` returns a worker's name by its tag.
+    /// Returns the changes since the last call. `name` returns a worker's full name by its name in rows.
     pub(crate) fn effects(&mut self, name: impl Fn(&[u8]) -> Option<Arc<str>>) -> Vec<Effect> {
         let standing: BTreeMap<WorkerIncarnation, Proposal> = self
             .standing()
@@ -264,7 +266,7 @@
         }
     }
 
-    /// The standing proposals: subject, number and figures.
+    /// The standing proposals, each with its worker's incarnation, its number and its evidence.
     pub(crate) fn list(&self) -> Vec<(&WorkerIncarnation, u32, EvidenceSummary)> {
         self.standing()
             .into_iter()
--- a/crates/quarantine/src/proposals/row.rs
+++ b/crates/quarantine/src/proposals/row.rs
@@ -1,4 +1,4 @@
-//! The rows of proposals: how a proposal and its withdrawal are encoded.
+//! Encodes proposals and withdrawals in rows.
 
 use sha2::{Digest, Sha256};
 
@@ -6,19 +6,21 @@
 use crate::attribution::TotalEvidence;
 use crate::FAILURE_KINDS;
 
-/// A worker's start: its tag, and its start in milliseconds of Unix time.
+/// An incarnation of a worker: its [`row_name`], and its start in milliseconds of Unix time.
 pub(crate) type WorkerIncarnation = (Vec<u8>, u64);
 
-/// A proposal as rows have it. The earliest counts.
+/// A proposal as it stands in rows. The order of its fields decides which of two proposals is the earlier.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Proposal {
-    /// The half window in which it was made.
+    /// The interval in which it was made.
     pub(super) proposed_in: u32,
+    /// Its number in the fleet.
     pub(super) number: u32,
+    /// The counts of its row: the state, then the evidence.
     pub(super) counts: Vec<u32>,
 }
 
-/// What identifies a proposal of a subject, whatever its counts are.
+/// Identifies a proposal by the worker's incarnation, the interval and the number, whatever its counts are.
 pub(super) type ProposalId = (WorkerIncarnation, u32, u32);
 
 impl Proposal {
@@ -26,6 +28,7 @@
         (subject.clone(), self.proposed_in, self.number)
     }
 
+    /// Decodes the evidence from the counts.
     pub(super) fn summary(&self) -> EvidenceSummary {
         let count = |index: usize| self.counts.get(index).copied().unwrap_or(0);
         let mut kinds = [0; FAILURE_KINDS];
@@ -46,29 +49,29 @@
     }
 }
 
-/// Why and when a proposal was withdrawn.
+/// The withdrawal of a proposal.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Withdrawal {
-    /// The first count of its row.
+    /// The reason, as the state in the row's first count.
     pub(super) state: u32,
-    /// The last window of its rows.
+    /// The last window of the withdrawal's rows.
     pub(super) last_window: u32,
 }
 
-/// The longest tag, in bytes.
+/// The maximum length of a worker's name in rows, in bytes.
 const MAX_NAME_LENGTH: usize = 51;
-/// Bytes of a hash at the end of a long name's tag.
+/// The length of the hash that replaces the end of longer names, in bytes.
 const NAME_HASH_LENGTH: usize = 16;
-/// Bytes of a row's subject before the tag: when it was made, its number, the worker's start.
+/// The bytes of a row's subject between its tag and the worker's name: interval, number and the worker's start.
 pub(super) const SUBJECT_HEADER_LENGTH: usize = 12;
-/// The index of the first count of failures by kind.
+/// The index in the counts at which the failures by kind begin.
 pub(super) const FIRST_FAILURE_KIND: usize = 8;
-/// The state of a proposal that stands.
+/// The state of a proposal that was not withdrawn.
 pub(super) const STANDING: u32 = 1;
-/// The highest value of a figure.
+/// The limit of each count of the evidence, below the most that a count of a row can reach.
 const MAX_FIGURE: u32 = 999_999;
 
-/// A worker's name as rows have it: long ones end in a hash.
+/// A worker's name as it stands in rows. The end of a long name is replaced by a hash.
 pub(crate) fn row_name(name: &str) -> Vec<u8> {
     if name.len() <= MAX_NAME_LENGTH {
         return name.as_bytes().to_vec();
@@ -77,6 +80,7 @@
     [start, &Sha256::digest(name)[..NAME_HASH_LENGTH]].concat()
 }
 
+/// Encodes the evidence for a new proposal as the counts of its row.
 pub(super) fn encode_counts(evidence: &TotalEvidence, proposed_in: u32) -> Vec<u32> {
     let hundredths = |figure: f64| ((figure * 100.0).max(0.0) as u32).min(MAX_FIGURE);
     let mut counts = vec![
@@ -93,7 +97,7 @@
     counts
 }
 
-/// The state of a withdrawn proposal's row.
+/// The state that encodes the reason of a withdrawal.
 pub(super) fn withdrawal_state(reason: Reason) -> u32 {
     match reason {
         Reason::Recovered | Reason::Superseded => 2,
@@ -103,6 +107,7 @@
     }
 }
 
+/// The reason that a state encodes.
 pub(super) fn withdrawal_reason(state: u32) -> Reason {
     match state {
         0..=2 => Reason::Recovered,
@@ -112,7 +117,7 @@
     }
 }
 
-/// The number of big-endian bytes.
+/// Decodes a big-endian number.
 pub(super) fn big_endian(bytes: &[u8]) -> u64 {
     bytes
         .iter()
--- a/crates/quarantine/src/proposals/types.rs
+++ b/crates/quarantine/src/proposals/types.rs
@@ -1,59 +1,59 @@
-//! What callers see of proposals: their figures, and the notifications.
+//! The public types of proposals: their evidence, and the effects that callers are notified by.
 
 use crate::FAILURE_KINDS;
 
 /// Why a proposal no longer stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Reason {
-    /// The worker fails no more than its peers.
+    /// The worker no longer fails more often than its peers.
     Recovered,
-    /// All evidence of it has expired.
+    /// The evidence has expired.
     Expired,
-    /// It restarted.
+    /// The worker restarted.
     Restarted,
-    /// It was removed from the endpoint list.
+    /// The worker was removed from the endpoint list.
     Removed,
-    /// There is an earlier proposal for the same worker, as after a partition.
+    /// An earlier proposal for the same worker stands, for example after a partition healed.
     Superseded,
 }
 
-/// The evidence against a worker, the same on every member.
+/// The evidence that a proposal was made with. It is the same on every member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EvidenceSummary {
-    /// The half window in which it was proposed.
+    /// The interval in which the worker was proposed.
     pub proposed_in: u32,
-    /// The half window from which on it was worse.
+    /// The interval in which the worker began to fail more often.
     pub since: u32,
-    /// First tries that ended since, without what others explain.
+    /// First attempts since then, without failing members and paths.
     pub attempts: u32,
-    /// The failures among them.
+    /// Failures of these attempts.
     pub failures: u32,
-    /// The failures to be expected, by its peers.
+    /// The failures to be expected at the peers' rate.
     pub expected: f64,
     /// The natural logarithm of the e-value.
     pub evidence: f64,
-    /// Members that saw failures.
+    /// The number of members that observed failures.
     pub witnesses: u32,
-    /// The zones of these members.
+    /// The number of zones of these members.
     pub zones: u32,
-    /// Failures by kind: error, reset, unresponsive, no connection, late start, second answer.
+    /// Failures by kind: error, reset, timeout, failed connection, late start, duplicate response.
     pub kinds: [u32; FAILURE_KINDS],
 }
 
-/// A notification for the caller, to be logged.
+/// A notification that the caller logs.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
-    /// A worker is proposed for quarantine.
+    /// A worker was proposed for quarantine.
     Proposed {
         /// The worker's name.
         worker: String,
         /// Its start, in milliseconds of Unix time.
         started: u64,
-        /// The number of the proposal: the fleet's next.
+        /// The proposal's number in the fleet.
         number: u32,
         /// The evidence against it.
         summary: EvidenceSummary,
-        /// Whether this member made it: one log line for the fleet.
+        /// Whether this member made the proposal, so that one member of the fleet logs it.
         by_this_member: bool,
     },
     /// A proposal no longer stands.
@@ -62,20 +62,20 @@
         worker: String,
         /// Its start, in milliseconds of Unix time.
         started: u64,
-        /// The number it had.
+        /// The proposal's number in the fleet.
         number: u32,
-        /// Why.
+        /// Why it no longer stands.
         reason: Reason,
-        /// Whether this member withdrew it.
+        /// Whether this member withdrew the proposal.
         by_this_member: bool,
     },
-    /// A class fails more than before on all workers: no worker is proposed for that.
+    /// A class fails more than before on all workers. No worker is proposed for that.
     ClassDegraded {
-        /// The class by number.
+        /// The index of the class in [`Config::classes`](crate::Config::classes).
         class: usize,
-        /// The part of its tries that fails now.
+        /// The current failure rate.
         rate: f64,
-        /// The part that failed before.
+        /// The long-term failure rate.
         before: f64,
     },
 }
