--- a/crates/quarantine/src/bin/oakshed-quarantine-trial.rs
+++ b/crates/quarantine/src/bin/oakshed-quarantine-trial.rs
@@ -1,33 +1,33 @@
-//! Runs simulations in virtual time, and prints how long proposals take and how many are false.
+//! Evaluates quarantine proposals on a simulated fleet: prints how long they take, and how many are false.
 
 use argh::FromArgs;
 use oakshed_quarantine::trial::{run, Detections, Fault, RunResult, Scenario};
 
-/// The reports of one detector.
+/// Selects the reports of one detector from a result.
 type Detector = fn(&RunResult) -> &Detections;
 
-/// Evaluate quarantine proposals in virtual time: 60 workers in 3 zones.
+/// Evaluate quarantine proposals on a simulated fleet of 60 workers in 3 zones.
 #[derive(FromArgs)]
 struct Args {
-    /// schedulers (default 30)
+    /// number of schedulers (default 30)
     #[argh(option, default = "30")]
     schedulers: usize,
-    /// jobs a second over the fleet (default 320)
+    /// jobs per second over the fleet (default 320)
     #[argh(option, default = "320.0")]
     rate: f64,
-    /// time to propose: how many times worse the worker is; without it, false proposals are counted
+    /// degrade one worker by this factor and measure the time to its proposal; without it, count false proposals
     #[argh(option)]
     worse: Option<f64>,
-    /// trouble: none class member path cold drain partition lone link poison all (default none)
+    /// fault: none class member path cold drain partition lone link poison all (default none)
     #[argh(option, default = "String::from(\"none\")")]
     trouble: String,
-    /// runs, each with the next seed (default 20)
+    /// number of runs, with consecutive seeds (default 20)
     #[argh(option, default = "20")]
     runs: u64,
-    /// worker-hours of each run in which false proposals are counted (default 50)
+    /// length of each run in worker-hours when false proposals are counted (default 50)
     #[argh(option, default = "50.0")]
     hours: f64,
-    /// worker-hours to a false proposal that the threshold is set for (default 1000)
+    /// bound on false proposals: at most one in this many worker-hours (default 1000)
     #[argh(option, default = "1_000.0")]
     bound: f64,
     /// first seed (default 1)
@@ -38,7 +38,8 @@
 fn main() -> Result<(), String> {
     let args: Args = argh::from_env();
     let found = Fault::ALL.iter().find(|(name, _)| *name == args.trouble);
-    let (_, fault) = *found.ok_or_else(|| format!("no such trouble: {}", args.trouble))?;
+    let (_, fault) =
+        *found.ok_or_else(|| format!("unknown value of --trouble: {}", args.trouble))?;
     let seeds = args.seed..args.seed + args.runs;
     let runs: Vec<(Scenario, RunResult)> = seeds
         .map(|seed| {
@@ -96,7 +97,7 @@
     );
 }
 
-/// Prints how many workers a detector reported falsely.
+/// Prints how often a detector reported a worker although none was degraded.
 fn print_false(name: &str, detector: Detector, args: &Args, runs: &[(Scenario, RunResult)]) {
     let count: usize = runs.iter().map(|(_, result)| detector(result).len()).sum();
     let hours = args.hours * args.runs as f64;
@@ -104,7 +105,7 @@
     println!("  {name:<10} {count} false in {hours} worker-hours: {rate:.2} in 1,000");
 }
 
-/// Prints how long a detector needed to find the worse worker, and how many others it reported.
+/// Prints how long a detector took to report the degraded worker, and how many other reports it made.
 fn print_delays(name: &str, times: f64, detector: Detector, runs: &[(Scenario, RunResult)]) {
     let mut delays: Vec<f64> = Vec::new();
     let mut others = 0;
--- a/crates/quarantine/src/trial.rs
+++ b/crates/quarantine/src/trial.rs
@@ -1,6 +1,7 @@
-//! An evaluation in virtual time: schedulers, workers, faults, and what each detector finds.
+//! Evaluates detectors on a simulated fleet in virtual time.
 //!
-//! All chance comes from the plan's seed: the same seed gives the same run.
+//! A run simulates schedulers, workers and a fault, and records which workers each detector reports. All randomness is
+//! drawn from the scenario's seed, so a run can be repeated exactly.
 
 mod plain;
 mod world;
@@ -12,53 +13,53 @@
 
 use crate::{AttemptCounter, Config, Effect, Micros, Owner, Quarantine, Reason, RowUpdate, Worker};
 
-/// When the virtual time begins, in seconds of Unix time.
+/// The start of virtual time, in seconds of Unix time.
 pub const BEGIN: u64 = 1_700_000_000;
 
-/// The plan of a run.
+/// The parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// How many schedulers share the load.
+    /// The number of schedulers that share the load.
     pub schedulers: usize,
-    /// How many jobs a second the fleet has.
+    /// Jobs per second over the whole fleet.
     pub rate: f64,
-    /// The fault; no worker is the cause of it.
+    /// The fault, which no worker is the cause of.
     pub fault: Fault,
-    /// A worker that fails so many times more often, and the second from which on it does.
+    /// If one worker is degraded: the factor on its failure rate, and the second in which that begins.
     pub degraded: Option<(f64, u64)>,
-    /// The length, in seconds.
+    /// The length of the run, in seconds.
     pub seconds: u64,
-    /// Whether the run ends as soon as the detectors have found the worse worker.
+    /// Whether the run ends once the degraded worker was proposed both by shared evidence and by one scheduler's own.
     pub until_found: bool,
-    /// The bound to be held: worker-hours to a false proposal.
+    /// The bound on false proposals, as in [`Config`].
     pub worker_hours_per_false_proposal: f64,
-    /// The seed of all chance.
+    /// The seed of all randomness.
     pub seed: u64,
 }
 
-/// What a detector reported: the second, and the worker.
+/// The reports of a detector: second and worker.
 pub type Detections = Vec<(u64, usize)>;
 
-/// The outcome of a run.
+/// The result of a run.
 #[derive(Clone, Debug, Default)]
 pub struct RunResult {
-    /// The shared proposals.
+    /// Proposals by the shared evidence of all schedulers.
     pub shared: Detections,
-    /// The proposals of the first scheduler by its own evidence alone.
+    /// Proposals by the first scheduler's own evidence alone.
     pub single_member: Detections,
-    /// Five failures in a row between any scheduler and a worker.
+    /// Reports of [`ConsecutiveFailures`].
     pub consecutive_failures: Detections,
-    /// Mean less 1.9 deviations over the workers, with the fleet's counts of 30 s.
+    /// Reports of [`SuccessRateOutliers`].
     pub success_rate_outliers: Detections,
-    /// Shared proposals withdrawn because the worker recovered.
+    /// The number of shared proposals that were withdrawn because the worker recovered.
     pub withdrawn: usize,
-    /// The most bytes of rows that a member raised in a minute, by second.
+    /// The highest rate of a member's rows over a minute, in bytes per second.
     pub max_bytes_per_second: f64,
-    /// The mean bytes of rows of the member with the most, by second.
+    /// The highest mean rate of a member's rows since the start, in bytes per second.
     pub mean_bytes_per_second: f64,
-    /// Failures left out, as the budget did not allow them.
+    /// Failures that were left out because the budget was used up.
     pub dropped_failures: u64,
-    /// Which worker is worse.
+    /// The worker that is degraded, if the scenario has one.
     pub bad_worker: usize,
 }
 
@@ -79,7 +80,7 @@
     }
 }
 
-/// A member that makes proposals, and the rows on their way to it.
+/// A member that makes proposals, and the row updates in flight to it.
 struct Observer {
     machine: Quarantine,
     in_flight: VecDeque<(u64, Owner, RowUpdate)>,
@@ -126,7 +127,7 @@
     }
 }
 
-/// Runs a plan.
+/// Runs a scenario.
 #[must_use]
 pub fn run(scenario: &Scenario) -> RunResult {
     let mut run = Run::new(scenario);
@@ -139,7 +140,7 @@
     run.into_result()
 }
 
-/// A run under way.
+/// The state of a run.
 struct Run {
     scenario: Scenario,
     fleet: SimulatedFleet,
@@ -149,7 +150,7 @@
     consecutive_failures: ConsecutiveFailures,
     success_rate_outliers: SuccessRateOutliers,
     result: RunResult,
-    /// Bytes that each member has raised until the last full minute.
+    /// The bytes that each member had published by the last full minute.
     bytes: Vec<u64>,
 }
 
@@ -185,7 +186,7 @@
     fn advance(&mut self, second: u64) {
         let now = (BEGIN + second) * 1_000_000;
         if self.fleet.advance(second) {
-            // The list reaches all within the second, after what was in flight.
+            // All members get the list within the second, before the second's jobs.
             let list = self.fleet.list();
             self.shared.machine.set_workers(now, &list);
             self.single_member.machine.set_workers(now, &list);
@@ -213,7 +214,7 @@
         self.single_member.advance(second);
     }
 
-    /// Sends the rows of all members, which arrive one second later.
+    /// Sends the row updates of all members, which arrive one second later.
     fn send_rows(&mut self, second: u64, now: Micros) {
         for (n, counter) in self.counters.iter_mut().enumerate() {
             let owner = member(n);
@@ -239,7 +240,7 @@
         }
     }
 
-    /// Whether the worse worker was found, by shared evidence and alone.
+    /// Whether the degraded worker was proposed, both by shared evidence and by one scheduler's own.
     fn is_found(&self) -> bool {
         let since = self.scenario.degraded.map_or(u64::MAX, |(_, from)| from);
         let bad_worker = self.fleet.bad_worker();
--- a/crates/quarantine/src/trial/plain.rs
+++ b/crates/quarantine/src/trial/plain.rs
@@ -1,11 +1,11 @@
-//! Plain detectors, to compare with.
+//! Simple outlier detectors, in the manner of Envoy, that the proposals are compared with.
 
 use std::collections::BTreeMap;
 
 use super::Detections;
 use crate::Outcome;
 
-/// For how long a detector reports a worker once only, in seconds.
+/// The time within which a detector reports a worker only once, in seconds.
 const REPEAT_INTERVAL_S: u64 = 600;
 
 fn report(detections: &mut Detections, second: u64, worker: usize) {
@@ -18,16 +18,17 @@
     }
 }
 
-/// Failures in a row, as Envoy's `consecutive_5xx` (default 5), by each scheduler.
+/// Detects five consecutive failures between a scheduler and a worker, like Envoy's `consecutive_5xx` with its default.
 #[derive(Debug, Default)]
 pub struct ConsecutiveFailures {
+    /// The length of the current run of failures, by scheduler and worker.
     runs: BTreeMap<(usize, usize), u32>,
-    /// What it reported.
+    /// The reports so far.
     pub detections: Detections,
 }
 
 impl ConsecutiveFailures {
-    /// A try ended.
+    /// Records the outcome of an attempt.
     pub fn record_attempt(
         &mut self,
         second: u64,
@@ -48,27 +49,29 @@
     }
 }
 
-/// Mean of the workers' success rates less 1.9 deviations, as Envoy's success rate ejection (at least 5 hosts
-/// of at least 100 tries), but with the whole fleet's counts and over 30 s: with Envoy's 10 s no worker here
-/// would have its 100 tries.
+/// Detects workers whose success rate is more than 1.9 standard deviations below the mean, like Envoy's success rate
+/// ejection with at least 5 hosts of at least 100 attempts each. It uses the counts of the whole fleet over 30 s:
+/// within Envoy's 10 s no simulated worker would have 100 attempts.
 #[derive(Debug, Default)]
 pub struct SuccessRateOutliers {
+    /// Attempts and successes of the current window, by worker.
     counts: BTreeMap<usize, (u32, u32)>,
+    /// The second in which the current window ends.
     window_end: u64,
-    /// What it reported.
+    /// The reports so far.
     pub detections: Detections,
 }
 
 impl SuccessRateOutliers {
-    /// A try ended.
+    /// Records the outcome of an attempt.
     pub fn record_attempt(&mut self, second: u64, worker: usize, outcome: Outcome) {
         if second >= self.window_end {
             self.detect(self.window_end);
             self.window_end = second + 30;
         }
-        let (attempts, answered) = self.counts.entry(worker).or_default();
+        let (attempts, successes) = self.counts.entry(worker).or_default();
         *attempts += 1;
-        *answered += u32::from(outcome == Outcome::Success);
+        *successes += u32::from(outcome == Outcome::Success);
     }
 
     fn detect(&mut self, second: u64) {
--- a/crates/quarantine/src/trial/world.rs
+++ b/crates/quarantine/src/trial/world.rs
@@ -1,41 +1,41 @@
-//! Schedulers in zones, workers, jobs, and the faults between them.
+//! A simulated fleet: schedulers and workers in zones, jobs, and injected faults.
 //!
-//! Detectors see nothing of it but the endpoint list and the ends of jobs.
+//! Detectors get only the endpoint list and the outcomes of attempts.
 
 use std::sync::Arc;
 
 use super::{Scenario, BEGIN};
 use crate::{Outcome, Worker, WorkerState};
 
-/// The fault of a world, in minutes 3 to 6 of every ten; no worker is the cause of any.
+/// An injected fault, which lasts from minute 3 to minute 6 of every ten. No worker is the cause of any of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
-    /// A class, which a fifth of the workers gets most of, fails everywhere: 40%.
+    /// 40% of the attempts of one class fail on all workers. A fifth of the workers get most of this class.
     Class,
-    /// One scheduler fails on all workers: 50%.
+    /// 50% of one scheduler's attempts fail on all workers.
     Member,
-    /// The path from one zone to another fails: 50%.
+    /// 50% of the attempts from one zone to another fail.
     Path,
-    /// Workers restart and fail 20% for 50 s, though the list has them ready after 20 s.
+    /// Workers restart and fail 20% of attempts for 50 s, although they are listed as ready after 20 s.
     Cold,
-    /// Workers drain, reset half of their jobs, and restart.
+    /// Workers drain, reset half of the attempts meanwhile, and restart.
     Drain,
-    /// A zone of workers cannot be reached from the other zones.
+    /// The workers of one zone cannot be reached from the other zones.
     Partition,
     /// One worker cannot be reached from the other zones.
     Lone,
     /// One worker cannot be reached from one zone.
     Link,
-    /// One job in 100 fails wherever it is tried, and is retried three times on one worker.
+    /// One job in 100 fails on any worker, and all its retries go to one worker.
     Poison,
-    /// All workers fail 8%.
+    /// 8% of the attempts fail on all workers.
     All,
 }
 
 impl Fault {
-    /// Every fault, by name.
+    /// All faults with their names.
     pub const ALL: [(&'static str, Fault); 11] = [
         ("none", Fault::None),
         ("class", Fault::Class),
@@ -51,22 +51,22 @@
     ];
 }
 
-/// The end of a try.
+/// A finished attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
-    /// The scheduler that tried.
+    /// The scheduler that made the attempt.
     pub scheduler: usize,
-    /// The worker.
+    /// The worker that ran it.
     pub worker: usize,
-    /// The class.
+    /// The index of the job's class.
     pub class: usize,
-    /// Whether it was the job's first try.
+    /// Whether it was the job's first attempt.
     pub first: bool,
-    /// How it ended.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
 }
 
-/// The world.
+/// The simulated fleet.
 #[derive(Debug)]
 pub struct SimulatedFleet {
     scenario: Scenario,
@@ -74,30 +74,30 @@
     bad_worker: usize,
     /// When each worker started, in seconds of Unix time.
     started: Vec<u64>,
-    /// The state of each worker in the list.
+    /// The listed state of each worker.
     states: Vec<WorkerState>,
-    /// The next state of each worker, and the second of the change.
+    /// The next change of each worker's state: second and state.
     next_states: Vec<Option<(u64, WorkerState)>>,
 }
 
-/// The shares of the classes and how often each fails: 1% in all.
+/// The share and the failure rate of each class. The mean failure rate is 1%.
 const CLASSES: [(f64, f64); 3] = [(0.6, 0.008), (0.3, 0.01), (0.1, 0.022)];
 
-/// Of the third class so much goes to the first workers.
+/// The share of the third class that goes to the first workers only.
 const CONCENTRATED_SHARE: f64 = 0.7;
-/// How many workers these are.
+/// The number of these workers.
 const CONCENTRATED_WORKERS: usize = 12;
-/// How often a job is retried.
+/// The maximum number of retries of a job.
 const RETRIES: usize = 3;
 /// The worker that retries of poison jobs go to.
 const POISONED_WORKER: usize = 7;
 
 impl SimulatedFleet {
-    /// Zones, of schedulers and workers in turn.
+    /// The number of zones. Schedulers and workers are assigned to them in turn.
     pub const ZONES: usize = 3;
-    /// Workers.
+    /// The number of workers.
     pub const WORKERS: usize = 60;
-    /// Their names.
+    /// The names of the workers.
     pub const NAMES: [&'static str; 60] = [
         "w00", "w01", "w02", "w03", "w04", "w05", "w06", "w07", "w08", "w09", "w10", "w11", "w12",
         "w13", "w14", "w15", "w16", "w17", "w18", "w19", "w20", "w21", "w22", "w23", "w24", "w25",
@@ -106,7 +106,7 @@
         "w52", "w53", "w54", "w55", "w56", "w57", "w58", "w59",
     ];
 
-    /// A world as planned.
+    /// Creates the fleet of a scenario.
     #[must_use]
     pub fn new(scenario: &Scenario) -> SimulatedFleet {
         let mut rng = fastrand::Rng::with_seed(scenario.seed);
@@ -121,31 +121,31 @@
         }
     }
 
-    /// What was planned.
+    /// The scenario of this fleet.
     #[must_use]
     pub fn scenario(&self) -> &Scenario {
         &self.scenario
     }
 
-    /// The worker that is worse, if one is.
+    /// The worker that is degraded, if the scenario has one.
     #[must_use]
     pub fn bad_worker(&self) -> usize {
         self.bad_worker
     }
 
-    /// A zone's name.
+    /// The name of a zone.
     #[must_use]
     pub fn zone_name(&self, zone: usize) -> Arc<str> {
         ["east", "north", "west"][zone].into()
     }
 
-    /// A worker's number by its name.
+    /// The index of a worker, from its name.
     #[must_use]
     pub fn number(name: &str) -> usize {
         name[1..].parse().unwrap_or(usize::MAX)
     }
 
-    /// The list as it is.
+    /// The current endpoint list.
     #[must_use]
     pub fn list(&self) -> Vec<Worker> {
         let each = |n: usize| Worker {
@@ -158,14 +158,14 @@
         (0..Self::WORKERS).map(each).collect()
     }
 
-    /// The cycle of the fault, while it lasts.
+    /// The number of the ten-minute cycle while its fault lasts, or `None`.
     fn cycle(&self, second: u64) -> Option<usize> {
         (180..360)
             .contains(&(second % 600))
             .then_some((second / 600) as usize)
     }
 
-    /// Begins a second; returns whether the list changed.
+    /// Advances to a second. Returns whether the endpoint list changed.
     pub fn advance(&mut self, second: u64) -> bool {
         let mut changed = false;
         for n in 0..Self::WORKERS {
@@ -199,6 +199,7 @@
         changed
     }
 
+    /// The probability that an attempt fails, and the outcome if it does.
     fn failure_of(
         &self,
         second: u64,
@@ -248,7 +249,7 @@
         }
     }
 
-    /// Runs the jobs of a second; `ended` is called for each try.
+    /// Runs the jobs of a second. `on_end` is called for each attempt.
     pub fn jobs(&mut self, second: u64, mut on_end: impl FnMut(Job)) {
         let mut at = 0.0;
         loop {
@@ -260,11 +261,11 @@
         }
     }
 
-    /// Runs one job: its first try, and up to three retries where that fails.
+    /// Runs one job: its first attempt, and retries until one succeeds.
     fn job(&mut self, second: u64, on_end: &mut impl FnMut(Job)) {
         let scheduler = self.rng.usize(0..self.scenario.schedulers);
         let class = self.draw_class();
-        // The first workers get most of the third class.
+        // The first workers get most of the attempts of the third class.
         let is_concentrated = class == 2 && self.rng.f64() < CONCENTRATED_SHARE;
         let candidates = if is_concentrated {
             CONCENTRATED_WORKERS
