--- a/crates/quarantine/tests/common/mod.rs
+++ b/crates/quarantine/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Several members in virtual time that share rows over links which can be cut. They see nothing but rows, the
-//! endpoint list and who is alive.
+//! A fleet of members in virtual time, which exchange rows over links that can be cut. Each member gets only rows, the
+//! endpoint list and the set of members that are alive.
 
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
     pub rows: Rows,
     pub machine: Quarantine,
     pub up: bool,
-    read: u64,
+    read_revision: u64,
     column: usize,
 }
 
@@ -24,17 +24,17 @@
     pub members: Vec<Member>,
     pub list: Vec<Worker>,
     pub second: u64,
-    /// Directed pairs that are cut.
+    /// The links that are cut, as pairs of sender and receiver.
     pub cut: BTreeSet<(usize, usize)>,
-    /// What each member reported: second, member, effect.
+    /// The effects of all members: second, member, effect.
     pub effects: Vec<(u64, usize, Effect)>,
     pub line: Timeline,
-    /// How many of a thousand tries fail, by worker.
-    pub bad: Vec<u32>,
+    /// Failures in a thousand attempts, by worker.
+    pub failures_per_thousand: Vec<u32>,
     rng: fastrand::Rng,
 }
 
-/// Retained windows of 10 s: fewer than by default, so that they expire soon.
+/// The number of retained windows of 10 s, fewer than by default so that rows expire within a test.
 pub const RETAINED_WINDOWS: u32 = 24;
 
 pub const ZONES: [&str; 2] = ["east", "west"];
@@ -44,7 +44,7 @@
 }
 
 impl Fleet {
-    /// Members and workers in two zones in turn.
+    /// Creates members and workers, which are assigned to the two zones in turn.
     pub fn new(members: usize, workers: usize) -> Fleet {
         let list = (0..workers)
             .map(|n| Worker {
@@ -62,7 +62,7 @@
             cut: BTreeSet::new(),
             effects: Vec::new(),
             line: Timeline::new((0..members).map(|n| format!("s{n}"))),
-            bad: vec![10; workers],
+            failures_per_thousand: vec![10; workers],
             rng: fastrand::Rng::with_seed(77),
         };
         for n in 0..members {
@@ -93,12 +93,12 @@
             rows,
             machine,
             up: true,
-            read: 0,
+            read_revision: 0,
             column: n,
         }
     }
 
-    /// A member is killed and restarts without rows.
+    /// Replaces a member with a new incarnation that has no rows.
     pub fn restart(&mut self, n: usize) {
         let member = self.new_member(n);
         self.members[n] = member;
@@ -110,7 +110,7 @@
         self.line.event(self.second * 1_000_000, n, "kill");
     }
 
-    /// Cuts, or heals, every link between two groups.
+    /// Cuts or heals every link between the members before `at` and the others.
     pub fn split(&mut self, at: usize, cut: bool) {
         for a in 0..self.members.len() {
             for b in 0..self.members.len() {
@@ -130,7 +130,7 @@
         );
     }
 
-    /// All members get the endpoint list.
+    /// Passes the endpoint list to all members.
     pub fn send_list(&mut self) {
         let at = now(self.second);
         for member in &mut self.members {
@@ -140,11 +140,11 @@
 
     pub fn run(&mut self, seconds: u64) {
         for _ in 0..seconds {
-            self.one();
+            self.step();
         }
     }
 
-    fn one(&mut self) {
+    fn step(&mut self) {
         self.second += 1;
         let at = now(self.second);
         let up: Vec<usize> = (0..self.members.len())
@@ -161,8 +161,8 @@
         for _ in 0..320 {
             let n = up[self.rng.usize(0..up.len())];
             let w = self.rng.usize(0..self.list.len());
-            let fails = self.rng.u32(0..1_000) < self.bad[w];
-            let outcome = if fails {
+            let is_failure = self.rng.u32(0..1_000) < self.failures_per_thousand[w];
+            let outcome = if is_failure {
                 Outcome::Error
             } else {
                 Outcome::Success
@@ -174,20 +174,21 @@
         }
     }
 
-    /// Each member raises its own rows.
+    /// Each member publishes its own rows.
     fn publish_rows(&mut self, at: Micros, up: &[usize]) {
         for &n in up {
-            let m = &mut self.members[n];
-            m.rows.expire(at);
-            for raise in m.machine.take_updates(at) {
-                m.rows
-                    .raise(raise.window, TABLE, &raise.subject, &raise.increments)
+            let member = &mut self.members[n];
+            member.rows.expire(at);
+            for update in member.machine.take_updates(at) {
+                member
+                    .rows
+                    .raise(update.window, TABLE, &update.subject, &update.increments)
                     .unwrap();
             }
         }
     }
 
-    /// Each member gets the rows of all others that it is linked with.
+    /// Each member receives the rows of all members that it has a link from.
     fn exchange_rows(&mut self, up: &[usize]) {
         for &to in up {
             let linked: Vec<usize> = up
@@ -234,27 +235,28 @@
         }
     }
 
-    /// Each member reads its rows and makes its proposals.
+    /// Each member merges the rows that it has and decides on proposals.
     fn tick_machines(&mut self, at: Micros, up: &[usize]) {
         for &n in up {
-            let m = &mut self.members[n];
-            m.machine.set_members(m.rows.alive_owners());
-            if m.read != m.rows.revision() {
-                m.read = m.rows.revision();
-                m.rows.fold(TABLE, |owner, window, subject, counts| {
-                    m.machine.merge(owner, window, subject, counts);
+            let member = &mut self.members[n];
+            member.machine.set_members(member.rows.alive_owners());
+            if member.read_revision != member.rows.revision() {
+                member.read_revision = member.rows.revision();
+                member.rows.fold(TABLE, |owner, window, subject, counts| {
+                    member.machine.merge(owner, window, subject, counts);
                 });
             }
-            m.machine.tick(at);
-            while let Some(effect) = m.machine.poll_effect() {
+            member.machine.tick(at);
+            while let Some(effect) = member.machine.poll_effect() {
                 let line = describe(&effect);
-                self.line.event(self.second * 1_000_000, m.column, line);
+                self.line
+                    .event(self.second * 1_000_000, member.column, line);
                 self.effects.push((self.second, n, effect));
             }
         }
     }
 
-    /// The standing proposals of a member, as lines.
+    /// The telemetry lines of a member's standing proposals.
     pub fn standing(&self, n: usize) -> Vec<String> {
         let lines = self.members[n].machine.telemetry_lines();
         lines
@@ -263,7 +265,7 @@
             .collect()
     }
 
-    /// Members that made a proposal: second, member, worker.
+    /// The proposals that were made: second, member, worker.
     pub fn made(&self) -> Vec<(u64, usize, String)> {
         let made = |(at, n, e): &(u64, usize, Effect)| match e {
             Effect::Proposed {
@@ -277,7 +279,7 @@
     }
 }
 
-/// An effect as a line of the timeline.
+/// Formats an effect for the timeline.
 fn describe(effect: &Effect) -> String {
     match effect {
         Effect::Proposed {
@@ -292,6 +294,6 @@
             )
         }
         Effect::Withdrawn { worker, reason, .. } => format!("drop {worker} {reason:?}"),
-        Effect::ClassDegraded { class, .. } => format!("shared class {class}"),
+        Effect::ClassDegraded { class, .. } => format!("degraded class {class}"),
     }
 }
--- a/crates/quarantine/tests/faults.rs
+++ b/crates/quarantine/tests/faults.rs
@@ -1,6 +1,6 @@
-//! Each fault, on a small scale: workers that do not cause it are not proposed.
+//! Short runs of the evaluation: injected faults do not lead to proposals, and a degraded worker is proposed.
 //!
-//! The long form is the program `oakshed-quarantine-trial`; its figures are in docs/quarantine.md.
+//! The program `oakshed-quarantine-trial` has longer runs. Its results are in docs/quarantine.md.
 
 use oakshed_quarantine::trial::{run, Fault, RunResult, Scenario};
 
@@ -24,16 +24,16 @@
     }
 }
 
-/// One cycle of a fault: it runs from second 180 to second 360.
-fn fault(fault: Fault, schedulers: usize) -> RunResult {
+/// Runs one cycle of a fault, which lasts from second 180 to second 360.
+fn run_fault(fault: Fault, schedulers: usize) -> RunResult {
     run(&scenario(fault, None, schedulers, 600, 5))
 }
 
 #[test]
-fn no_worker_is_proposed_for_faults_of_others() {
+fn no_worker_is_proposed_for_faults_that_it_does_not_cause() {
     for (name, which) in Fault::ALL {
         for schedulers in [3, 30] {
-            let detections = fault(which, schedulers).shared;
+            let detections = run_fault(which, schedulers).shared;
             assert!(
                 detections.is_empty(),
                 "{name} with {schedulers} schedulers: proposed (second, worker) {detections:?}"
@@ -43,21 +43,21 @@
 }
 
 #[test]
-fn plain_detectors_report_workers_for_failing_paths_and_classes() {
-    let plain = fault(Fault::Partition, 3).consecutive_failures;
+fn simple_detectors_report_workers_for_failing_paths_and_classes() {
+    let detections = run_fault(Fault::Partition, 3).consecutive_failures;
     assert!(
-        plain.len() >= 10,
-        "failures in a row report the workers behind a partition: {plain:?}"
+        detections.len() >= 10,
+        "consecutive failures do not report the workers behind the partition: {detections:?}"
     );
-    let plain = fault(Fault::Class, 30).success_rate_outliers;
+    let detections = run_fault(Fault::Class, 30).success_rate_outliers;
     assert!(
-        plain.len() >= 8,
-        "deviations report the workers that get the class that fails: {plain:?}"
+        detections.len() >= 8,
+        "success rates do not report the workers that get most of the failing class: {detections:?}"
     );
 }
 
 #[test]
-fn a_worse_worker_is_found_by_any_number_of_schedulers_together() {
+fn a_degraded_worker_is_proposed_with_any_number_of_schedulers() {
     for schedulers in [3, 30, 300] {
         let result = run(&scenario(Fault::None, Some(20.0), schedulers, 480, 9));
         let at = result.shared.first().copied();
@@ -79,14 +79,14 @@
         if schedulers == 300 {
             assert!(
                 result.single_member.is_empty(),
-                "a scheduler of 300 sees one job of a worker a minute"
+                "proposed by one of 300 schedulers alone, with about one job on a worker in a minute"
             );
         }
     }
 }
 
 #[test]
-fn a_worse_worker_is_found_during_other_faults() {
+fn a_degraded_worker_is_proposed_during_other_faults() {
     for which in [Fault::Class, Fault::Member, Fault::Drain, Fault::Poison] {
         let result = run(&scenario(which, Some(20.0), 30, 480, 12));
         let at = result.shared.iter().find(|(_, w)| *w == result.bad_worker);
--- a/crates/quarantine/tests/fleet.rs
+++ b/crates/quarantine/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! One proposal for the fleet, whatever fails among the members.
+//! The fleet makes one proposal for a degraded worker, whichever members or links fail.
 
 mod common;
 
@@ -6,11 +6,11 @@
 use oakshed_quarantine::{Effect, Reason, WorkerState};
 use oakshed_timeline::Style;
 
-/// A fleet in which worker 4 has been 20 times worse until a proposal stands.
+/// A fleet in which worker 4 fails 20 times as often as the others, run until it is proposed.
 fn proposed(members: usize) -> Fleet {
     let mut fleet = Fleet::new(members, 12);
     fleet.run(60);
-    fleet.bad[4] = 200;
+    fleet.failures_per_thousand[4] = 200;
     while fleet.standing(0).is_empty() && fleet.second < 150 {
         fleet.run(1);
     }
@@ -18,8 +18,8 @@
     fleet
 }
 
-fn withdrawn(fleet: &Fleet, why: Reason) -> usize {
-    let is = |e: &Effect| matches!(e, Effect::Withdrawn { reason, .. } if *reason == why);
+fn withdrawn(fleet: &Fleet, expected: Reason) -> usize {
+    let is = |e: &Effect| matches!(e, Effect::Withdrawn { reason, .. } if *reason == expected);
     fleet.effects.iter().filter(|(_, _, e)| is(e)).count()
 }
 
@@ -35,25 +35,25 @@
     assert_eq!(
         fleet.made().len(),
         1,
-        "one member makes it: {:?}",
+        "not made by exactly one member: {:?}",
         fleet.made()
     );
 }
 
 #[test]
-fn a_proposal_survives_its_maker_and_restarts() {
+fn a_proposal_outlives_its_proposer_and_restarts() {
     let mut fleet = proposed(5);
     let first = fleet.standing(0);
-    let (_, maker, _) = fleet.made()[0].clone();
-    fleet.kill(maker);
+    let (_, proposer, _) = fleet.made()[0].clone();
+    fleet.kill(proposer);
     fleet.run(300);
-    let other = (maker + 1) % 5;
+    let other = (proposer + 1) % 5;
     assert_eq!(
         fleet.standing(other),
         first,
-        "raised again by others, after the maker's rows expired"
+        "not published again by other members before the proposer's rows expired"
     );
-    // All but one restart, one after the other.
+    // The others restart one after the other, then this one.
     for n in (0..5).filter(|n| *n != other) {
         fleet.restart(n);
         fleet.run(3);
@@ -63,26 +63,21 @@
     for n in 0..5 {
         assert_eq!(fleet.standing(n), first, "member {n}");
     }
-    assert_eq!(
-        fleet.made().len(),
-        1,
-        "never made again: {:?}",
-        fleet.made()
-    );
+    assert_eq!(fleet.made().len(), 1, "made again: {:?}", fleet.made());
 }
 
 #[test]
-fn the_next_member_proposes_where_the_responsible_one_is_dead() {
+fn another_member_proposes_if_the_responsible_one_is_dead() {
     let fleet = proposed(5);
-    let (_, maker, _) = fleet.made()[0].clone();
+    let (_, proposer, _) = fleet.made()[0].clone();
     let mut fleet = Fleet::new(5, 12);
     fleet.run(60);
-    fleet.kill(maker);
-    fleet.bad[4] = 200;
+    fleet.kill(proposer);
+    fleet.failures_per_thousand[4] = 200;
     fleet.run(60);
     let made = fleet.made();
     assert!(
-        made.len() == 1 && made[0].1 != maker && made[0].2 == "w4",
+        made.len() == 1 && made[0].1 != proposer && made[0].2 == "w4",
         "{made:?}"
     );
 }
@@ -92,10 +87,10 @@
     let mut fleet = Fleet::new(6, 12);
     fleet.run(60);
     fleet.split(3, true);
-    fleet.bad[4] = 300;
+    fleet.failures_per_thousand[4] = 300;
     fleet.run(60);
     let made = fleet.made();
-    assert_eq!(made.len(), 2, "each side makes one: {made:?}");
+    assert_eq!(made.len(), 2, "not one by each side: {made:?}");
     fleet.split(3, false);
     fleet.run(5);
     let first = fleet.standing(0);
@@ -110,14 +105,14 @@
     assert_eq!(
         withdrawn(&fleet, Reason::Superseded),
         3,
-        "the later side withdraws its own"
+        "not superseded on the side that proposed later"
     );
 }
 
 #[test]
 fn a_proposal_is_withdrawn_on_recovery_restart_or_removal() {
     let mut fleet = proposed(5);
-    fleet.bad[4] = 10;
+    fleet.failures_per_thousand[4] = 10;
     fleet.run(150);
     assert_eq!(
         withdrawn(&fleet, Reason::Recovered),
@@ -140,7 +135,7 @@
 
     let mut fleet = proposed(5);
     fleet.list.remove(4);
-    fleet.bad.remove(4);
+    fleet.failures_per_thousand.remove(4);
     fleet.send_list();
     fleet.run(15);
     assert_eq!(withdrawn(&fleet, Reason::Removed), 5, "{:?}", fleet.effects);
@@ -148,11 +143,11 @@
 
 #[test]
 fn proposals_and_exclusions_stay_within_the_share_of_a_zone() {
-    // Six workers in each zone: a share of 0.2 is one.
+    // There are six workers in each zone, and the share of 0.2 allows one of them.
     let mut fleet = Fleet::new(5, 12);
     fleet.run(60);
-    fleet.bad[2] = 100;
-    fleet.bad[4] = 400;
+    fleet.failures_per_thousand[2] = 100;
+    fleet.failures_per_thousand[4] = 400;
     fleet.run(90);
     let made: Vec<String> = fleet.made().into_iter().map(|(_, _, w)| w).collect();
     assert_eq!(made, ["w4"]);
@@ -167,11 +162,11 @@
     fleet.list[0].state = WorkerState::Excluded;
     fleet.send_list();
     fleet.run(60);
-    fleet.bad[4] = 400;
+    fleet.failures_per_thousand[4] = 400;
     fleet.run(60);
     assert!(
         fleet.made().is_empty(),
-        "the zone's share is used up: {:?}",
+        "proposed although the zone's share is used up: {:?}",
         fleet.made()
     );
 }
@@ -180,14 +175,14 @@
 fn a_timeline_of_a_proposal_that_survives_its_maker() {
     let mut fleet = Fleet::new(4, 12);
     fleet.run(60);
-    fleet.bad[4] = 300;
+    fleet.failures_per_thousand[4] = 300;
     fleet.run(40);
-    let (_, maker, _) = fleet.made()[0].clone();
-    fleet.kill(maker);
+    let (_, proposer, _) = fleet.made()[0].clone();
+    fleet.kill(proposer);
     fleet.run(20);
-    fleet.restart(maker);
+    fleet.restart(proposer);
     fleet.run(20);
-    fleet.bad[4] = 10;
+    fleet.failures_per_thousand[4] = 10;
     fleet.run(120);
     let style = Style {
         width: 110,
--- a/crates/quarantine/tests/large.rs
+++ b/crates/quarantine/tests/large.rs
@@ -1,4 +1,4 @@
-//! A thousand members and a thousand workers, in hundreds of zones.
+//! Fleets of a thousand members and a thousand workers, in up to 600 zones.
 
 use std::sync::Arc;
 
@@ -7,7 +7,7 @@
 };
 
 const BEGIN: u64 = 1_700_000_000;
-const MANY: usize = 1_024;
+const FLEET_SIZE: usize = 1_024;
 
 fn zone(n: usize) -> Arc<str> {
     format!("zone-{n:04}").into()
@@ -15,7 +15,7 @@
 
 fn config(n: usize, zones: usize, classes: &[&str]) -> Config {
     let zone = zone(zones - 1 - n % zones);
-    // A zone has a few workers: one of them is more than the usual share.
+    // With a few workers in a zone, the default share would not allow one of them.
     Config {
         bytes_per_second: 1 << 20,
         max_zone_share: 0.5,
@@ -31,10 +31,10 @@
         started: (BEGIN - 3_600) * 1_000,
         state: WorkerState::Ready,
     };
-    (0..MANY).map(each).collect()
+    (0..FLEET_SIZE).map(each).collect()
 }
 
-/// The counters of so many members, which know the list.
+/// The counters of all members, with the endpoint list.
 fn counters(members: usize, zones: usize, list: &[Worker]) -> Vec<AttemptCounter> {
     let counter = |n| {
         let mut counter = AttemptCounter::new(config(n, zones, &["read"]), n as u64);
@@ -45,7 +45,8 @@
     (0..members).map(counter).collect()
 }
 
-/// The workers that are proposed after 100 s in which one fails half of its jobs, and all others one of a hundred.
+/// The workers that are proposed after 100 s in which one worker fails half of its jobs and the others one in a
+/// hundred.
 fn proposed(members: usize, zones: usize, attempts: usize) -> Vec<String> {
     let mut rng = fastrand::Rng::with_seed(5);
     let list = list(zones);
@@ -57,7 +58,7 @@
         let now = (BEGIN + second) * 1_000_000;
         for (n, counter) in counters.iter_mut().enumerate() {
             for _ in 0..attempts {
-                let worker = rng.usize(0..MANY);
+                let worker = rng.usize(0..FLEET_SIZE);
                 let is_failure = rng.u32(0..1_000) < if worker == 777 { 500 } else { 10 };
                 let outcome = if is_failure {
                     Outcome::Reset
@@ -74,12 +75,12 @@
         machine.tick(now);
         effects.extend(std::iter::from_fn(|| machine.poll_effect()));
     }
-    assert_all_read(&machine);
+    assert_all_decoded(&machine);
     effects.into_iter().filter_map(proposed_worker).collect()
 }
 
-/// All rows were read, and none was rejected.
-fn assert_all_read(machine: &Quarantine) {
+/// Asserts that all rows were decoded and stored.
+fn assert_all_decoded(machine: &Quarantine) {
     let table = machine.telemetry_lines();
     let is_complete = |line: &String| line.contains("unread=0 full=0 waiting=0");
     assert!(table.iter().any(is_complete), "{table:?}");
@@ -96,21 +97,22 @@
     Some(worker)
 }
 
-/// Guards against evidence that is not reported, or counts for another zone, where there are more zones than a byte
-/// has numbers.
+/// Guards against zones that are numbered in a single byte: with more than 256 zones, evidence would be missing or
+/// count for another zone.
 #[test]
-fn a_bad_worker_is_found_among_a_thousand_in_six_hundred_zones() {
+fn one_of_a_thousand_workers_is_proposed_in_six_hundred_zones() {
     assert_eq!(proposed(24, 600, 200), ["w777"]);
 }
 
 #[test]
-fn a_bad_worker_is_found_among_a_thousand_by_a_thousand_members() {
-    assert_eq!(proposed(MANY, 16, 3), ["w777"]);
+fn one_of_a_thousand_workers_is_proposed_by_a_thousand_members() {
+    assert_eq!(proposed(FLEET_SIZE, 16, 3), ["w777"]);
 }
 
-/// Guards against tries that are left out where one member uses all workers for all classes within a half window.
+/// Guards against attempts that are left out when one member uses all workers for all classes within an interval, so
+/// that they need many rows.
 #[test]
-fn the_tries_of_one_member_on_a_thousand_workers_are_all_read() {
+fn all_attempts_of_one_member_on_a_thousand_workers_are_decoded() {
     let names: Vec<String> = (0..32).map(|c| format!("c{c}")).collect();
     let classes: Vec<&str> = names.iter().map(String::as_str).collect();
     let (list, now) = (list(16), BEGIN * 1_000_000);
@@ -129,12 +131,12 @@
     }
     let rows = counter.take_updates(now + 6_000_000);
     let cells: usize = rows.iter().map(|row| row.counts().len() - 1).sum();
-    assert_eq!(cells, MANY * 32);
+    assert_eq!(cells, FLEET_SIZE * 32);
     let distinct: std::collections::BTreeSet<_> = rows.iter().map(|row| &row.subject).collect();
     assert_eq!(
         distinct.len(),
         rows.len(),
-        "two rows of one subject would be joined"
+        "rows with the same subject would be merged"
     );
     for row in &rows {
         machine.merge(
@@ -144,5 +146,5 @@
             &row.counts(),
         );
     }
-    assert_all_read(&machine);
+    assert_all_decoded(&machine);
 }
--- a/crates/quarantine/tests/properties.rs
+++ b/crates/quarantine/tests/properties.rs
@@ -1,4 +1,4 @@
-//! Properties: the order of rows does not matter, the share is never exceeded, no bytes cause a panic.
+//! Property tests: the order of rows does not matter, a zone's share is never exceeded, malformed rows cause no panic.
 
 use oakshed_quarantine::{
     AttemptCounter, Config, Effect, Outcome, Owner, Quarantine, RowTotals, Worker, WorkerState,
@@ -29,10 +29,10 @@
 /// A row: owner, window, subject, counts.
 type Row = (Owner, u32, Vec<u8>, Vec<u32>);
 
-/// The rows of four members over 100 s in which some workers fail.
-fn rows(seed: u64, bad: &[u32]) -> Vec<Row> {
+/// The rows of four members over 100 s. `failures_per_thousand` is by worker.
+fn rows(seed: u64, failures_per_thousand: &[u32]) -> Vec<Row> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let list = list(bad.len());
+    let list = list(failures_per_thousand.len());
     let mut out = Vec::new();
     let mut counters: Vec<AttemptCounter> = (0..4)
         .map(|n| AttemptCounter::new(config(n), seed))
@@ -45,8 +45,8 @@
         let now = (BEGIN + second) * 1_000_000;
         for (n, counter) in counters.iter_mut().enumerate() {
             for _ in 0..40 {
-                let w = rng.usize(0..bad.len());
-                let outcome = if rng.u32(0..1_000) < bad[w] {
+                let w = rng.usize(0..failures_per_thousand.len());
+                let outcome = if rng.u32(0..1_000) < failures_per_thousand[w] {
                     Outcome::Reset
                 } else {
                     Outcome::Success
@@ -82,13 +82,13 @@
 
     #[test]
     fn rows_in_any_order_and_number_give_the_same_proposal(seed: u64, order: u64, which in 0_usize..10) {
-        let mut bad = vec![10; 10];
-        bad[which] = 300;
-        let mut reported = rows(seed, &bad);
+        let mut failures_per_thousand = vec![10; 10];
+        failures_per_thousand[which] = 300;
+        let mut reported = rows(seed, &failures_per_thousand);
         let list = list(10);
         let first = run(&list, &reported);
         let name = format!("worker=w{which} ");
-        prop_assert!(first.1.iter().any(|l| l.contains(&name)), "not found: {:?}", first.1);
+        prop_assert!(first.1.iter().any(|l| l.contains(&name)), "not proposed: {:?}", first.1);
         let mut rng = fastrand::Rng::with_seed(order);
         let again: Vec<Row> = reported.iter().filter(|_| rng.bool()).cloned().collect();
         reported.extend(again);
@@ -97,9 +97,12 @@
     }
 
     #[test]
-    fn the_share_of_a_zone_is_never_exceeded(seed: u64, bad in prop::collection::vec(0_u32..500, 4..14)) {
-        let list = list(bad.len());
-        let (effects, _) = run(&list, &rows(seed, &bad));
+    fn the_share_of_a_zone_is_never_exceeded(
+        seed: u64,
+        failures_per_thousand in prop::collection::vec(0_u32..500, 4..14),
+    ) {
+        let list = list(failures_per_thousand.len());
+        let (effects, _) = run(&list, &rows(seed, &failures_per_thousand));
         for zone in ["east", "west"] {
             let of = |w: &&Worker| &*w.zone == zone;
             let all: u32 = list.iter().filter(of).map(|w| w.capacity).sum();
@@ -112,7 +115,7 @@
     }
 
     #[test]
-    fn rows_of_any_bytes_are_dropped_or_read(
+    fn rows_of_any_bytes_are_rejected_or_decoded(
         reported in prop::collection::vec(
             (0_u32..6, prop::collection::vec(any::<u8>(), 0..64), prop::collection::vec(any::<u32>(), 0..64)),
             0..60,
@@ -125,7 +128,7 @@
         let names = AttemptCounter::new(config(0), 1);
         prop_assert!(names.totals() == RowTotals::default());
         let window = (BEGIN / 10) as u32;
-        // The digest of a row that the fleet would write, so that the bytes after it are read.
+        // The digest of a real row, so that the bytes after it are decoded too.
         let real = rows(1, &[10; 6])[0].2.clone();
         for (ahead, mut subject, counts) in reported {
             machine.merge(&config(1).me, window + ahead, &subject, &counts);
--- a/crates/quarantine/tests/row_form.rs
+++ b/crates/quarantine/tests/row_form.rs
@@ -1,4 +1,5 @@
-//! The form of rows: what a member raises is byte for byte what an older build raised.
+//! The encoding of rows is byte for byte that of the fixture, which an earlier version wrote: members of both versions
+//! exchange rows.
 
 use std::fmt::Write as _;
 use std::sync::Arc;
@@ -47,7 +48,7 @@
     format!("{line} {:?}\n", row.increments)
 }
 
-/// The rows of one member's evidence of 12 s, with each outcome.
+/// The rows of one member's attempts over 12 s, with all outcomes.
 fn evidence() -> String {
     let mut counter = AttemptCounter::new(config(1), 1);
     counter.set_workers(&workers());
@@ -65,7 +66,7 @@
     lines
 }
 
-/// The rows of the proposal that members make of one worker that fails.
+/// The rows of a proposal, for one worker that fails in the evidence of four members.
 fn proposal() -> String {
     let mut counters: Vec<AttemptCounter> = (0..4)
         .map(|n| AttemptCounter::new(config(n), n as u64))
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn rows_are_as_an_older_build_raised_them() {
+fn rows_are_encoded_as_by_an_earlier_version() {
     let lines = evidence() + &proposal();
     assert_eq!(lines, FIXTURE);
 }
