--- a/crates/quarantine/src/trial.rs
+++ b/crates/quarantine/src/trial.rs
@@ -197,17 +197,22 @@
         let counters = &mut self.counters;
         let consecutive_failures = &mut self.consecutive_failures;
         let success_rate_outliers = &mut self.success_rate_outliers;
-        self.fleet.jobs(second, |job| {
-            let worker = SimulatedFleet::NAMES[job.worker];
-            counters[job.scheduler].record_attempt(
+        self.fleet.run_jobs(second, |attempt| {
+            let worker = SimulatedFleet::NAMES[attempt.worker];
+            counters[attempt.scheduler].record_attempt(
                 now - 1,
                 worker,
-                job.class,
-                job.first,
-                job.outcome,
+                attempt.class,
+                attempt.first,
+                attempt.outcome,
             );
-            consecutive_failures.record_attempt(second, job.scheduler, job.worker, job.outcome);
-            success_rate_outliers.record_attempt(second, job.worker, job.outcome);
+            consecutive_failures.record_attempt(
+                second,
+                attempt.scheduler,
+                attempt.worker,
+                attempt.outcome,
+            );
+            success_rate_outliers.record_attempt(second, attempt.worker, attempt.outcome);
         });
         self.send_rows(second, now);
         self.shared.advance(second);
--- a/crates/quarantine/src/trial/world.rs
+++ b/crates/quarantine/src/trial/world.rs
@@ -53,7 +53,7 @@
 
 /// A finished attempt.
 #[derive(Clone, Copy, Debug)]
-pub struct Job {
+pub struct Attempt {
     /// The scheduler that made the attempt.
     pub scheduler: usize,
     /// The worker that ran it.
@@ -250,19 +250,19 @@
     }
 
     /// Runs the jobs of a second. `on_end` is called for each attempt.
-    pub fn jobs(&mut self, second: u64, mut on_end: impl FnMut(Job)) {
+    pub fn run_jobs(&mut self, second: u64, mut on_end: impl FnMut(Attempt)) {
         let mut at = 0.0;
         loop {
             at -= (1.0 - self.rng.f64()).ln() / self.scenario.rate;
             if at >= 1.0 {
                 return;
             }
-            self.job(second, &mut on_end);
+            self.run_job(second, &mut on_end);
         }
     }
 
-    /// Runs one job: its first attempt, and retries until one succeeds.
-    fn job(&mut self, second: u64, on_end: &mut impl FnMut(Job)) {
+    /// Runs one job: its first attempt, and up to three retries while attempts fail.
+    fn run_job(&mut self, second: u64, on_end: &mut impl FnMut(Attempt)) {
         let scheduler = self.rng.usize(0..self.scenario.schedulers);
         let class = self.draw_class();
         // The first workers get most of the attempts of the third class.
@@ -276,27 +276,27 @@
         let is_poison = self.scenario.fault == Fault::Poison
             && self.cycle(second).is_some()
             && self.rng.u32(0..100) == 0;
-        let mut job = Job {
+        let mut attempt = Attempt {
             scheduler,
             worker,
             class,
             first: true,
             outcome: Outcome::Success,
         };
-        job.outcome = self.draw_outcome(second, job, is_poison);
-        on_end(job);
+        attempt.outcome = self.draw_outcome(second, attempt, is_poison);
+        on_end(attempt);
         for _ in 0..RETRIES {
-            if job.outcome == Outcome::Success {
+            if attempt.outcome == Outcome::Success {
                 return;
             }
-            job.first = false;
-            job.worker = if is_poison {
+            attempt.first = false;
+            attempt.worker = if is_poison {
                 POISONED_WORKER
             } else {
                 self.rng.usize(0..Self::WORKERS)
             };
-            job.outcome = self.draw_outcome(second, job, is_poison);
-            on_end(job);
+            attempt.outcome = self.draw_outcome(second, attempt, is_poison);
+            on_end(attempt);
         }
     }
 
@@ -308,8 +308,9 @@
         }
     }
 
-    fn draw_outcome(&mut self, second: u64, job: Job, is_poison: bool) -> Outcome {
-        let (probability, failure) = self.failure_of(second, job.scheduler, job.worker, job.class);
+    fn draw_outcome(&mut self, second: u64, attempt: Attempt, is_poison: bool) -> Outcome {
+        let (probability, failure) =
+            self.failure_of(second, attempt.scheduler, attempt.worker, attempt.class);
         if is_poison || self.rng.f64() < probability {
             failure
         } else {
