--- a/crates/quarantine/src/counter.rs
+++ b/crates/quarantine/src/counter.rs
@@ -198,7 +198,7 @@
     }
 
     /// Half of this member's part of the budget: failures and attempts have one half each.
-    fn bytes_per_second_each(&self) -> f64 {
+    fn half_budget_per_second(&self) -> f64 {
         f64::from(self.config.bytes_per_second) / f64::from(self.members) / 2.0
     }
 
@@ -209,7 +209,7 @@
 
     /// Adds to the budget for failures. What is not used within three windows is lost.
     fn refill(&mut self, now: Micros) {
-        let bytes_per_second = self.bytes_per_second_each();
+        let bytes_per_second = self.half_budget_per_second();
         let elapsed_s = now.saturating_sub(self.refilled_at) as f64 / 1e6;
         let max_budget = bytes_per_second * self.interval_s() * MAX_SAVED_INTERVALS;
         self.refilled_at = self.refilled_at.max(now);
@@ -232,7 +232,7 @@
         rows
     }
 
-    /// The rows of an interval's attempts, in the smallest unit that fits into the budget.
+    /// The rows of an interval's attempts, in the smallest unit that fits into the budget, or else in the largest unit.
     fn attempt_rows(
         &mut self,
         zone: u16,
@@ -240,7 +240,7 @@
         cells: &BTreeMap<u32, u32>,
     ) -> Vec<RowUpdate> {
         let budget =
-            (self.bytes_per_second_each() * self.interval_s()).max(MIN_ATTEMPTS_BUDGET) as u32;
+            (self.half_budget_per_second() * self.interval_s()).max(MIN_ATTEMPTS_BUDGET) as u32;
         let mut unit_bits = 0;
         loop {
             let rounded: Vec<(u32, u32)> = cells
--- a/crates/quarantine/src/proposals.rs
+++ b/crates/quarantine/src/proposals.rs
@@ -70,14 +70,14 @@
             return;
         }
         let (header, name) = rest.split_at(SUBJECT_HEADER_LENGTH);
-        let subject = (name.to_vec(), big_endian(&header[6..]));
+        let incarnation = (name.to_vec(), big_endian(&header[6..]));
         let mut proposal = Proposal {
             proposed_in: big_endian(&header[..4]) as u32,
             number: big_endian(&header[4..6]) as u32,
             counts: counts.to_vec(),
         };
         if counts[0] > STANDING {
-            self.merge_withdrawal(window, proposal.id(&subject), counts[0]);
+            self.merge_withdrawal(window, proposal.id(&incarnation), counts[0]);
         }
         proposal.counts[0] = STANDING;
         // Rows omit zeros at the end. Without them here too, equal proposals compare as equal.
@@ -88,7 +88,7 @@
             self.rejected += 1;
             return;
         }
-        let proposals = self.known.entry(subject).or_default();
+        let proposals = self.known.entry(incarnation).or_default();
         let before = proposals.len();
         let last = proposals.entry(proposal).or_default();
         *last = (*last).max(window);
@@ -117,22 +117,24 @@
         self.published_states
             .retain(|(window, _), _| *window >= oldest);
         let known = &self.known;
-        self.own.retain(|(subject, ..)| known.contains_key(subject));
+        self.own
+            .retain(|(incarnation, ..)| known.contains_key(incarnation));
     }
 
     /// The standing proposals: the earliest that was not withdrawn of each incarnation of a worker.
     pub(crate) fn standing(&self) -> BTreeMap<&WorkerIncarnation, &Proposal> {
         self.known
             .keys()
-            .filter_map(|subject| Some((subject, self.standing_of(subject)?)))
+            .filter_map(|incarnation| Some((incarnation, self.standing_of(incarnation)?)))
             .collect()
     }
 
     /// The standing proposal of one incarnation of a worker.
-    fn standing_of(&self, subject: &WorkerIncarnation) -> Option<&Proposal> {
-        let is_withdrawn = |proposal: &Proposal| self.withdrawn.contains_key(&proposal.id(subject));
+    fn standing_of(&self, incarnation: &WorkerIncarnation) -> Option<&Proposal> {
+        let is_withdrawn =
+            |proposal: &Proposal| self.withdrawn.contains_key(&proposal.id(incarnation));
         self.known
-            .get(subject)?
+            .get(incarnation)?
             .keys()
             .find(|proposal| !is_withdrawn(proposal))
     }
@@ -155,39 +157,44 @@
             number: (last + 1).min(0xffff),
             counts: encode_counts(evidence, proposed_in),
         };
-        let subject = (row_name(name), started & 0xffff_ffff_ffff);
-        self.own.insert(proposal.id(&subject));
-        self.push_update(window, &subject, &proposal);
+        let incarnation = (row_name(name), started & 0xffff_ffff_ffff);
+        self.own.insert(proposal.id(&incarnation));
+        self.push_update(window, &incarnation, &proposal);
     }
 
     /// Withdraws a standing proposal.
-    pub(crate) fn withdraw(&mut self, window: u32, subject: &WorkerIncarnation, reason: Reason) {
-        let Some(mut proposal) = self.standing_of(subject).cloned() else {
+    pub(crate) fn withdraw(
+        &mut self,
+        window: u32,
+        incarnation: &WorkerIncarnation,
+        reason: Reason,
+    ) {
+        let Some(mut proposal) = self.standing_of(incarnation).cloned() else {
             return;
         };
         proposal.counts[0] = withdrawal_state(reason);
-        self.own.insert(proposal.id(subject));
-        self.push_update(window, subject, &proposal);
+        self.own.insert(proposal.id(incarnation));
+        self.push_update(window, incarnation, &proposal);
     }
 
     /// Publishes a standing proposal again if its last row is `max_age` windows old, so that it does not expire.
-    pub(crate) fn refresh(&mut self, window: u32, subject: &WorkerIncarnation, max_age: u32) {
-        let Some(proposal) = self.standing_of(subject).cloned() else {
+    pub(crate) fn refresh(&mut self, window: u32, incarnation: &WorkerIncarnation, max_age: u32) {
+        let Some(proposal) = self.standing_of(incarnation).cloned() else {
             return;
         };
-        let proposals = self.known.get(subject);
+        let proposals = self.known.get(incarnation);
         let last = proposals.and_then(|proposals| proposals.get(&proposal));
         if last.copied().unwrap_or(0) + max_age <= window {
-            self.push_update(window, subject, &proposal);
+            self.push_update(window, incarnation, &proposal);
         }
     }
 
-    fn push_update(&mut self, window: u32, subject: &WorkerIncarnation, proposal: &Proposal) {
+    fn push_update(&mut self, window: u32, incarnation: &WorkerIncarnation, proposal: &Proposal) {
         let mut row_subject = vec![PROPOSAL_TAG];
         row_subject.extend(proposal.proposed_in.to_be_bytes());
         row_subject.extend((proposal.number as u16).to_be_bytes());
-        row_subject.extend(&subject.1.to_be_bytes()[2..]);
-        row_subject.extend(&subject.0);
+        row_subject.extend(&incarnation.1.to_be_bytes()[2..]);
+        row_subject.extend(&incarnation.0);
         let counts = &proposal.counts;
         let before = self
             .published_states
@@ -214,28 +221,28 @@
         let standing: BTreeMap<WorkerIncarnation, Proposal> = self
             .standing()
             .into_iter()
-            .map(|(subject, proposal)| (subject.clone(), proposal.clone()))
+            .map(|(incarnation, proposal)| (incarnation.clone(), proposal.clone()))
             .collect();
         let name = |row_name: &[u8]| match name(row_name) {
             Some(name) => name.to_string(),
             None => String::from_utf8_lossy(row_name).into_owned(),
         };
         let mut effects = Vec::new();
-        for (subject, proposal) in &self.announced {
-            if standing.get(subject) != Some(proposal) {
-                let is_superseded = standing.contains_key(subject);
-                let worker = name(&subject.0);
-                effects.push(self.withdrawn_effect(worker, subject, proposal, is_superseded));
+        for (incarnation, proposal) in &self.announced {
+            if standing.get(incarnation) != Some(proposal) {
+                let is_superseded = standing.contains_key(incarnation);
+                let worker = name(&incarnation.0);
+                effects.push(self.withdrawn_effect(worker, incarnation, proposal, is_superseded));
             }
         }
-        for (subject, proposal) in &standing {
-            if self.announced.get(subject) != Some(proposal) {
+        for (incarnation, proposal) in &standing {
+            if self.announced.get(incarnation) != Some(proposal) {
                 effects.push(Effect::Proposed {
-                    worker: name(&subject.0),
-                    started: subject.1,
+                    worker: name(&incarnation.0),
+                    started: incarnation.1,
                     number: proposal.number,
                     summary: proposal.summary(),
-                    by_this_member: self.own.contains(&proposal.id(subject)),
+                    by_this_member: self.own.contains(&proposal.id(incarnation)),
                 });
             }
         }
@@ -246,11 +253,11 @@
     fn withdrawn_effect(
         &self,
         worker: String,
-        subject: &WorkerIncarnation,
+        incarnation: &WorkerIncarnation,
         proposal: &Proposal,
         is_superseded: bool,
     ) -> Effect {
-        let id = proposal.id(subject);
+        let id = proposal.id(incarnation);
         let withdrawal = self.withdrawn.get(&id);
         let reason = match withdrawal {
             Some(withdrawal) => withdrawal_reason(withdrawal.state),
@@ -259,7 +266,7 @@
         };
         Effect::Withdrawn {
             worker,
-            started: subject.1,
+            started: incarnation.1,
             number: proposal.number,
             reason,
             by_this_member: withdrawal.is_some() && self.own.contains(&id),
@@ -270,7 +277,7 @@
     pub(crate) fn list(&self) -> Vec<(&WorkerIncarnation, u32, EvidenceSummary)> {
         self.standing()
             .into_iter()
-            .map(|(subject, proposal)| (subject, proposal.number, proposal.summary()))
+            .map(|(incarnation, proposal)| (incarnation, proposal.number, proposal.summary()))
             .collect()
     }
 }
--- a/crates/quarantine/src/proposals/row.rs
+++ b/crates/quarantine/src/proposals/row.rs
@@ -24,8 +24,8 @@
 pub(super) type ProposalId = (WorkerIncarnation, u32, u32);
 
 impl Proposal {
-    pub(super) fn id(&self, subject: &WorkerIncarnation) -> ProposalId {
-        (subject.clone(), self.proposed_in, self.number)
+    pub(super) fn id(&self, incarnation: &WorkerIncarnation) -> ProposalId {
+        (incarnation.clone(), self.proposed_in, self.number)
     }
 
     /// Decodes the evidence from the counts.
