--- a/crates/quarantine/src/classify/rates.rs
+++ b/crates/quarantine/src/classify/rates.rs
@@ -1,49 +1,50 @@
-//! The arithmetic of counts by class, decaying sums, and the failure rate to be expected of a class.
+//! Counts by class, decaying sums, and the expected failure rate of each class.
 
 use std::collections::BTreeMap;
 
-use super::GATE;
-use crate::detector::above;
+use super::FAILING_LOG_LIKELIHOOD;
+use crate::detector::excess_log_likelihood;
 
-/// The weight of the rate of all classes in that of one class, in tries.
-const PRIOR: f64 = 50.0;
+/// The weight of the rate over all classes in the rate of one class, in attempts.
+const PRIOR_ATTEMPTS: f64 = 50.0;
 
-/// Failures and tries, or failures and those expected.
+/// Decayed failures and attempts, or observed and expected failures.
 pub(super) type Sums = (f64, f64);
 
-/// Tries and failures by class.
-pub(super) type Count = BTreeMap<u8, (u32, u32)>;
+/// Attempts and failures by class.
+pub(super) type ClassCounts = BTreeMap<u8, (u32, u32)>;
 
-pub(super) fn add(count: &mut Count, class: u8, tries: u32, fails: u32) {
+pub(super) fn add(count: &mut ClassCounts, class: u8, attempts: u32, failures: u32) {
     let (n, f) = count.entry(class).or_default();
-    *n += tries;
-    *f += fails;
+    *n += attempts;
+    *f += failures;
 }
 
-/// Failure rates by class: those of before, unless those of now are clearly above them.
+/// Failure rates by class: the long-term rate, or the current rate of classes that fail clearly more than before.
 pub(super) struct Rates {
     pub(super) rate: Vec<f64>,
-    pub(super) raised: BTreeMap<u8, (f64, f64)>,
-    /// How uncertain each is, as a factor: one deviation of its count.
+    /// The classes with an elevated rate: the current and the long-term rate.
+    pub(super) elevated: BTreeMap<u8, (f64, f64)>,
+    /// By class, the factor by which the rate may be too low: one standard deviation of the failure count.
     pub(super) uncertainty: Vec<f64>,
 }
 
 impl Rates {
     pub(super) fn new(long: &[Sums], short: &[Sums]) -> Rates {
         let (f, n) = long.iter().fold((0.0, 0.0), |(f, n), s| (f + s.0, n + s.1));
-        let all = (f + 0.5) / (n + PRIOR);
+        let all = (f + 0.5) / (n + PRIOR_ATTEMPTS);
         let mut rates = Rates {
             rate: Vec::new(),
-            raised: BTreeMap::new(),
+            elevated: BTreeMap::new(),
             uncertainty: Vec::new(),
         };
         for (class, (long, short)) in long.iter().zip(short).enumerate() {
-            let long_rate = (long.0 + PRIOR * all) / (long.1 + PRIOR);
+            let long_rate = (long.0 + PRIOR_ATTEMPTS * all) / (long.1 + PRIOR_ATTEMPTS);
             let now = short.0 / short.1.max(1.0);
-            if above(short.0, long_rate * short.1) > GATE {
-                rates.raised.insert(class as u8, (now, long_rate));
+            if excess_log_likelihood(short.0, long_rate * short.1) > FAILING_LOG_LIKELIHOOD {
+                rates.elevated.insert(class as u8, (now, long_rate));
             }
-            let rate = if rates.raised.contains_key(&(class as u8)) {
+            let rate = if rates.elevated.contains_key(&(class as u8)) {
                 now
             } else {
                 long_rate
@@ -54,7 +55,8 @@
         rates
     }
 
-    pub(super) fn expected(&self, count: &Count) -> f64 {
+    /// The failures to be expected of so many attempts.
+    pub(super) fn expected(&self, count: &ClassCounts) -> f64 {
         count
             .iter()
             .map(|(c, (n, _))| f64::from(*n) * self.rate[usize::from(*c)])
@@ -62,14 +64,14 @@
     }
 }
 
-pub(super) fn failures(count: &Count) -> u32 {
+pub(super) fn total_failures(count: &ClassCounts) -> u32 {
     count.values().map(|(_, f)| f).sum()
 }
 
-/// Decayed sums with new counts; sums that have decayed to nothing are dropped.
+/// Decays observed and expected failures and adds new counts. Sums that have decayed to almost zero are dropped.
 pub(super) fn decayed<K: Ord + Copy>(
     old: &BTreeMap<K, Sums>,
-    new: &BTreeMap<K, Count>,
+    new: &BTreeMap<K, ClassCounts>,
     decay: f64,
     rates: &Rates,
 ) -> BTreeMap<K, Sums> {
@@ -80,17 +82,26 @@
         .collect();
     for (key, count) in new {
         let sum = sums.entry(*key).or_default();
-        sum.0 += f64::from(failures(count));
+        sum.0 += f64::from(total_failures(count));
         sum.1 += rates.expected(count);
     }
     sums
 }
 
-pub(super) fn sums(classes: usize, old: &[Sums], new: &Count, decay: f64) -> Vec<Sums> {
+/// Decays failures and attempts by class and adds new counts.
+pub(super) fn decayed_by_class(
+    classes: usize,
+    old: &[Sums],
+    new: &ClassCounts,
+    decay: f64,
+) -> Vec<Sums> {
     let each = |c: usize| {
         let (f, n) = old.get(c).copied().unwrap_or_default();
-        let (tries, fails) = new.get(&(c as u8)).copied().unwrap_or_default();
-        (f * decay + f64::from(fails), n * decay + f64::from(tries))
+        let (attempts, failures) = new.get(&(c as u8)).copied().unwrap_or_default();
+        (
+            f * decay + f64::from(failures),
+            n * decay + f64::from(attempts),
+        )
     };
     (0..classes).map(each).collect()
 }
--- a/crates/quarantine/src/machine/mod.rs
+++ b/crates/quarantine/src/machine/mod.rs
@@ -1,7 +1,8 @@
-//! The state machine of one member: evidence in, proposals out.
+//! The state machine of one member, which turns evidence into proposals.
 //!
-//! It decides when a half window is classified and whose failures count. It acts on no worker, and proposes only
-//! where this member is responsible.
+//! It collects the rows of all members, and classifies an interval once it has ended and its rows have had time to
+//! arrive. When late rows change an interval, it and those after it are classified again. Only the responsible member
+//! publishes a proposal, so that the fleet makes one.
 
 mod decide;
 mod table;
@@ -10,235 +11,273 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
 
-use crate::attribution::Case;
+use crate::attribution::TotalEvidence;
 use crate::classify::{self, Classification};
-use crate::code::{self, Names};
-use crate::counter::{Counter, Raise};
-use crate::proposals::{tag, Effect, Proposals};
-use crate::store::Store;
-use crate::{Config, Micros, Outcome, Owner, State, Worker};
+use crate::code::{self, NameTable};
+use crate::counter::{AttemptCounter, RowUpdate};
+use crate::proposals::{row_name, Effect, Proposals};
+use crate::store::EvidenceStore;
+use crate::{Config, Micros, Outcome, Owner, Worker, WorkerState};
 
-/// The most sets of names that rows may have been written with.
-const MAX_NAME_SETS: usize = 8;
-/// The most rows that wait for their set of names.
-const MAX_WAITING_ROWS: usize = 4_096;
+/// The maximum number of name tables that rows are decoded with, the latest first.
+const MAX_NAME_TABLES: usize = 8;
+/// The maximum number of rows that are held until their name table is known.
+const MAX_UNDECODED_ROWS: usize = 4_096;
 
 /// A worker of the endpoint list.
 #[derive(Clone, Debug)]
-struct Known {
+struct ListedWorker {
     worker: Worker,
-    /// The first half window that counts.
-    from: u32,
+    /// The first interval whose failures count.
+    first_counted: u32,
 }
 
-/// A row of evidence whose set of names is not known yet.
-type WaitingRow = (Owner, u32, Vec<u8>);
+/// The owner, window and subject of a row whose name table is not known yet.
+type UndecodedRow = (Owner, u32, Vec<u8>);
 
-/// The quarantine proposals of one member.
+/// The state machine of one member.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     config: Config,
-    counter: Counter,
-    store: Store,
-    names: VecDeque<Names>,
-    waiting: BTreeMap<WaitingRow, Vec<u32>>,
-    workers: BTreeMap<Arc<str>, Known>,
-    living: BTreeSet<Owner>,
+    counter: AttemptCounter,
+    store: EvidenceStore,
+    name_tables: VecDeque<NameTable>,
+    /// Rows that are held until their name table is known.
+    undecoded: BTreeMap<UndecodedRow, Vec<u32>>,
+    workers: BTreeMap<Arc<str>, ListedWorker>,
+    /// The members that are alive.
+    alive: BTreeSet<Owner>,
     classifications: BTreeMap<u32, Classification>,
-    /// The last half window that was classified.
-    classified: Option<u32>,
+    /// The last interval that was classified.
+    last_classified: Option<u32>,
     proposals: Proposals,
-    /// Workers with evidence and no proposal, and why.
-    open: BTreeMap<Arc<str>, (Case, &'static str)>,
+    /// Workers with enough evidence but no proposal, and the reason.
+    withheld: BTreeMap<Arc<str>, (TotalEvidence, &'static str)>,
     effects: VecDeque<Effect>,
+    /// When the first tick came.
     started_at: Option<Micros>,
-    /// Rows that could not be read.
-    unread: u64,
-    /// When each class that fails on all workers was reported last.
-    reported: BTreeMap<u8, u32>,
+    /// The number of rows that were malformed, or could not be held.
+    unread_rows: u64,
+    /// The interval in which each degraded class was last found so.
+    class_degraded_in: BTreeMap<u8, u32>,
 }
 
 impl Quarantine {
-    /// A member without evidence. The seed is for probabilistic rounding.
+    /// Creates the state of a member without evidence. The seed is for probabilistic rounding.
     #[must_use]
     pub fn new(config: Config, seed: u64) -> Quarantine {
         Quarantine {
-            counter: Counter::new(config.clone(), seed),
-            store: Store::new(config.cells),
-            names: VecDeque::new(),
-            waiting: BTreeMap::new(),
+            counter: AttemptCounter::new(config.clone(), seed),
+            store: EvidenceStore::new(config.max_cells),
+            name_tables: VecDeque::new(),
+            undecoded: BTreeMap::new(),
             workers: BTreeMap::new(),
-            living: BTreeSet::from([config.me.clone()]),
+            alive: BTreeSet::from([config.me.clone()]),
             classifications: BTreeMap::new(),
-            classified: None,
+            last_classified: None,
             proposals: Proposals::default(),
-            open: BTreeMap::new(),
+            withheld: BTreeMap::new(),
             effects: VecDeque::new(),
             started_at: None,
-            unread: 0,
-            reported: BTreeMap::new(),
+            unread_rows: 0,
+            class_degraded_in: BTreeMap::new(),
             config,
         }
     }
 
-    /// A try ended on a worker: `first` where the job had not been tried before.
-    pub fn seen(&mut self, now: Micros, worker: &str, class: usize, first: bool, outcome: Outcome) {
-        self.counter.seen(now, worker, class, first, outcome);
+    /// Records the outcome of an attempt. `first` is whether it was the job's first attempt.
+    pub fn record_attempt(
+        &mut self,
+        now: Micros,
+        worker: &str,
+        class: usize,
+        first: bool,
+        outcome: Outcome,
+    ) {
+        self.counter
+            .record_attempt(now, worker, class, first, outcome);
     }
 
-    /// What is to be raised in the shared rows, table [`crate::TABLE`]. Own rows need not be merged.
-    pub fn rows(&mut self, now: Micros) -> Vec<Raise> {
-        let rows = self.counter.rows(now);
+    /// Returns the updates of rows to publish, in table [`crate::TABLE`]. Own rows need not be passed to
+    /// [`Quarantine::merge`].
+    pub fn take_updates(&mut self, now: Micros) -> Vec<RowUpdate> {
+        let rows = self.counter.take_updates(now);
         let me = self.config.me.clone();
         for row in &rows {
             self.merge_evidence(&me, row.window, &row.subject, &row.counts());
         }
-        self.proposals.rows().into_iter().chain(rows).collect()
+        self.proposals
+            .take_updates()
+            .into_iter()
+            .chain(rows)
+            .collect()
     }
 
-    /// Merges a row of any member, in any order, any number of times.
+    /// Merges a row of any member. Rows may arrive in any order and any number of times.
     pub fn merge(&mut self, owner: &Owner, window: u32, subject: &[u8], counts: &[u32]) {
         match subject.first() {
-            Some(&code::PROPOSAL) => self.proposals.merge(window, subject, counts),
+            Some(&code::PROPOSAL_TAG) => self.proposals.merge(window, subject, counts),
             _ => self.merge_evidence(owner, window, subject, counts),
         }
     }
 
     fn merge_evidence(&mut self, owner: &Owner, window: u32, subject: &[u8], counts: &[u32]) {
-        let Some(digest) = code::digest(subject) else {
+        let Some(digest) = code::names_digest(subject) else {
             return;
         };
-        let Some(names) = self.names.iter().find(|names| names.digest == digest) else {
-            return self.wait_for_names(owner, window, subject, counts);
+        let Some(names) = self.name_tables.iter().find(|names| names.digest == digest) else {
+            return self.hold_until_named(owner, window, subject, counts);
         };
-        match code::read(names, subject, counts) {
+        match code::decode(names, subject, counts) {
             Some(evidence) => self.store.merge(owner, window, names, &evidence),
-            None => self.unread += 1,
+            None => self.unread_rows += 1,
         }
     }
 
-    /// Retains a row until its set of names is known.
-    fn wait_for_names(&mut self, owner: &Owner, window: u32, subject: &[u8], counts: &[u32]) {
+    /// Holds a row until its name table is known.
+    fn hold_until_named(&mut self, owner: &Owner, window: u32, subject: &[u8], counts: &[u32]) {
         let key = (owner.clone(), window, subject.to_vec());
-        if self.waiting.len() >= MAX_WAITING_ROWS && !self.waiting.contains_key(&key) {
-            self.unread += 1;
+        if self.undecoded.len() >= MAX_UNDECODED_ROWS && !self.undecoded.contains_key(&key) {
+            self.unread_rows += 1;
             return;
         }
-        let joined = self.waiting.entry(key).or_default();
+        let joined = self.undecoded.entry(key).or_default();
         joined.resize(joined.len().max(counts.len()), 0);
         for (joined, count) in joined.iter_mut().zip(counts) {
             *joined = (*joined).max(*count);
         }
     }
 
-    /// Sets the members that are alive; this one is always among them.
-    pub fn members(&mut self, living: impl IntoIterator<Item = Owner>) {
-        self.living = living.into_iter().chain([self.config.me.clone()]).collect();
-        self.counter.members(self.living.len());
+    /// Sets the members that are alive. This member is always among them.
+    pub fn set_members(&mut self, alive: impl IntoIterator<Item = Owner>) {
+        self.alive = alive.into_iter().chain([self.config.me.clone()]).collect();
+        self.counter.set_members(self.alive.len());
     }
 
-    /// Sets the endpoint list.
-    pub fn workers(&mut self, now: Micros, workers: &[Worker]) {
-        let slot = self.config.slot(now);
+    /// Sets the endpoint list, and decodes held rows if it has new names.
+    pub fn set_workers(&mut self, now: Micros, workers: &[Worker]) {
+        let interval = self.config.interval_at(now);
         let known = std::mem::take(&mut self.workers);
         for worker in workers {
-            let from = self.counts_from(worker, known.get(&worker.name), slot);
+            let first_counted = self.first_counted(worker, known.get(&worker.name), interval);
             let worker = worker.clone();
-            self.workers
-                .insert(worker.name.clone(), Known { worker, from });
+            self.workers.insert(
+                worker.name.clone(),
+                ListedWorker {
+                    worker,
+                    first_counted,
+                },
+            );
         }
-        let names = Names::new(workers, &self.config.classes, &self.config.zone);
-        if !self.names.contains(&names) {
-            self.names.push_front(names);
-            self.names.truncate(MAX_NAME_SETS);
-            for ((owner, window, subject), counts) in std::mem::take(&mut self.waiting) {
+        let names = NameTable::new(workers, &self.config.classes, &self.config.zone);
+        if !self.name_tables.contains(&names) {
+            self.name_tables.push_front(names);
+            self.name_tables.truncate(MAX_NAME_TABLES);
+            for ((owner, window, subject), counts) in std::mem::take(&mut self.undecoded) {
                 self.merge_evidence(&owner, window, &subject, &counts);
             }
         }
-        self.counter.workers(workers);
+        self.counter.set_workers(workers);
     }
 
-    /// The first half window of a worker that counts, as the list has it at this half window.
-    fn counts_from(&self, worker: &Worker, known: Option<&Known>, slot: u32) -> u32 {
-        if worker.state != State::Ready {
+    /// The first interval in which a listed worker's failures count: after its warm-up, and after the current interval
+    /// if it restarted or became ready again.
+    fn first_counted(&self, worker: &Worker, known: Option<&ListedWorker>, interval: u32) -> u32 {
+        if worker.state != WorkerState::Ready {
             return u32::MAX;
         }
         let started = worker.started.saturating_mul(1_000);
-        let warm = started.saturating_add(self.config.warmup);
-        let warm = self.config.slot(warm).saturating_add(1);
+        let warm_at = started.saturating_add(self.config.warmup);
+        let warm_at = self.config.interval_at(warm_at).saturating_add(1);
         match known {
-            None => warm,
-            Some(known) if known.worker.started == worker.started && known.from != u32::MAX => {
-                known.from
+            None => warm_at,
+            Some(known)
+                if known.worker.started == worker.started && known.first_counted != u32::MAX =>
+            {
+                known.first_counted
             }
-            Some(_) => warm.max(slot + 1),
+            Some(_) => warm_at.max(interval + 1),
         }
     }
 
-    /// Sets the time; to be called at least once a second.
+    /// Advances the time, which must be done at least once a second: classifies intervals, decides on proposals and
+    /// queues effects.
     pub fn tick(&mut self, now: Micros) {
         self.started_at.get_or_insert(now);
-        let retained = self.config.keep.saturating_mul(2);
-        let oldest = (self.config.slot(now) + 1).saturating_sub(retained);
+        let retained = self.config.retained_windows.saturating_mul(2);
+        let oldest = (self.config.interval_at(now) + 1).saturating_sub(retained);
         self.expire(oldest);
-        // The last half window that is over, and whose rows have come.
-        let over = self
+        // The last interval that has ended and whose rows have had time to arrive.
+        let last_complete = self
             .config
-            .slot(now.saturating_sub(self.config.grace))
+            .interval_at(now.saturating_sub(self.config.allowed_lateness))
             .saturating_sub(1);
-        let next = self.classified.map_or(oldest, |classified| classified + 1);
-        let first_changed = self.store.changed().unwrap_or(next);
+        let next = self
+            .last_classified
+            .map_or(oldest, |last_classified| last_classified + 1);
+        let first_changed = self.store.take_first_changed().unwrap_or(next);
         let first = first_changed.min(next).max(oldest);
-        if first <= over {
-            for slot in first..=over {
-                self.classify(slot);
+        if first <= last_complete {
+            for interval in first..=last_complete {
+                self.classify(interval);
             }
-            self.classified = Some(over);
-            self.decide(now, over, oldest);
+            self.last_classified = Some(last_complete);
+            self.decide(now, last_complete, oldest);
         }
         let workers = &self.workers;
-        let name = |tagged: &[u8]| workers.keys().find(|name| tag(name) == tagged).cloned();
+        let name = |wanted: &[u8]| {
+            workers
+                .keys()
+                .find(|name| row_name(name) == wanted)
+                .cloned()
+        };
         let effects = self.proposals.effects(name);
         self.effects.extend(effects);
     }
 
+    /// Removes evidence and proposals from before an interval.
     fn expire(&mut self, oldest: u32) {
         self.store.expire(oldest);
         self.classifications = self.classifications.split_off(&oldest);
         self.proposals.expire(oldest / 2);
-        self.waiting
+        self.undecoded
             .retain(|(_, window, _), _| *window >= oldest / 2);
     }
 
-    /// Classifies the evidence of a half window.
-    fn classify(&mut self, slot: u32) {
-        let cells = self.store.slots.get(&slot).cloned().unwrap_or_default();
+    /// Classifies the evidence of an interval.
+    fn classify(&mut self, interval: u32) {
+        let cells = self
+            .store
+            .intervals
+            .get(&interval)
+            .cloned()
+            .unwrap_or_default();
         let mut zones: BTreeMap<u32, u16> = BTreeMap::new();
         for (worker, _, _) in cells.keys() {
             let name = self.store.workers.name(*worker);
             let known = name.and_then(|name| self.workers.get(name));
-            let Some(known) = known.filter(|known| known.from <= slot) else {
+            let Some(known) = known.filter(|known| known.first_counted <= interval) else {
                 continue;
             };
             let zone = known.worker.zone.clone();
             if let Entry::Vacant(new) = zones.entry(*worker) {
-                if let Some(zone) = self.store.zone(&zone) {
+                if let Some(zone) = self.store.zone_number(&zone) {
                     new.insert(zone);
                 }
             }
         }
-        let none = classify::Carry::default();
-        let before = slot
+        let none = classify::CarriedSums::default();
+        let before = interval
             .checked_sub(1)
-            .and_then(|slot| self.classifications.get(&slot))
-            .map_or(&none, |classification| &classification.carry);
+            .and_then(|interval| self.classifications.get(&interval))
+            .map_or(&none, |classification| &classification.carried);
         let classes = self.config.classes.len().clamp(1, 32);
         let zone = |worker| zones.get(&worker).copied();
         let classification = classify::classify(before, &cells, classes, zone);
-        self.classifications.insert(slot, classification);
+        self.classifications.insert(interval, classification);
     }
 
-    /// The next effect, in order.
+    /// Takes the next effect, in the order in which they occurred.
     pub fn poll_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
--- a/crates/quarantine/src/machine/table.rs
+++ b/crates/quarantine/src/machine/table.rs
@@ -1,44 +1,45 @@
-//! The telemetry lines of a member.
+//! Formats a member's state as telemetry lines.
 
 use super::Quarantine;
 
 impl Quarantine {
-    /// Lines for telemetry: proposals, open cases, members, paths, zones and classes that fail, rejected rows.
+    /// Lines for telemetry: standing proposals, workers with evidence but no proposal, failing members, paths, zones
+    /// and classes, and totals of rows.
     #[must_use]
-    pub fn table(&self) -> Vec<String> {
+    pub fn telemetry_lines(&self) -> Vec<String> {
         let mut lines = Vec::new();
-        for (subject, number, figures) in self.proposals.list() {
+        for (subject, number, summary) in self.proposals.list() {
             lines.push(format!(
                 "proposal {number} worker={} tries={} failures={} expected={:.2} evidence={:.2} witnesses={} zones={}",
                 String::from_utf8_lossy(&subject.0),
-                figures.tries,
-                figures.failures,
-                figures.expected,
-                figures.evidence,
-                figures.witnesses,
-                figures.zones
+                summary.attempts,
+                summary.failures,
+                summary.expected,
+                summary.evidence,
+                summary.witnesses,
+                summary.zones
             ));
         }
-        for (name, (case, why)) in &self.open {
+        for (name, (evidence, reason)) in &self.withheld {
             lines.push(format!(
-                "open worker={name} tries={} failures={} expected={:.2} evidence={:.2} why=\"{why}\"",
-                case.tries, case.failures, case.expected, case.log
+                "open worker={name} tries={} failures={} expected={:.2} evidence={:.2} why=\"{reason}\"",
+                evidence.attempts, evidence.failures, evidence.expected, evidence.log_evidence
             ));
         }
         self.add_other_failures(&mut lines);
-        let spent = self.counter.spent();
+        let totals = self.counter.totals();
         let full = self.store.rejected + self.proposals.rejected;
         lines.push(format!(
             "rows reported={} dropped={} unread={} full={full} waiting={}",
-            spent.bytes,
-            spent.dropped,
-            self.unread,
-            self.waiting.len()
+            totals.bytes,
+            totals.dropped_failures,
+            self.unread_rows,
+            self.undecoded.len()
         ));
         lines
     }
 
-    /// What fails by itself in the last half window.
+    /// Adds the members, paths, zones and classes that fail in the last interval.
     fn add_other_failures(&self, lines: &mut Vec<String>) {
         let Some((_, last)) = self.classifications.last_key_value() else {
             return;
--- a/crates/quarantine/tests/common/mod.rs
+++ b/crates/quarantine/tests/common/mod.rs
@@ -1,11 +1,11 @@
-//! Several members in virtual time that share rows over links which can be cut. They see nothing but rows, the
-//! endpoint list and who is alive.
+//! A fleet of members in virtual time, which exchange rows over links that can be cut. Each member gets only rows, the
+//! endpoint list and the set of members that are alive.
 
 use std::collections::BTreeSet;
 
 use oakshed_peers::rows::{Limits, Rows};
 use oakshed_quarantine::{
-    Config, Effect, Micros, Outcome, Owner, Quarantine, State, Worker, TABLE,
+    Config, Effect, Micros, Outcome, Owner, Quarantine, Worker, WorkerState, TABLE,
 };
 use oakshed_timeline::Timeline;
 
@@ -16,7 +16,7 @@
     pub rows: Rows,
     pub machine: Quarantine,
     pub up: bool,
-    read: u64,
+    read_revision: u64,
     column: usize,
 }
 
@@ -24,17 +24,17 @@
     pub members: Vec<Member>,
     pub list: Vec<Worker>,
     pub second: u64,
-    /// Directed pairs that are cut.
+    /// The links that are cut, as pairs of sender and receiver.
     pub cut: BTreeSet<(usize, usize)>,
-    /// What each member reported: second, member, effect.
+    /// The effects of all members: second, member, effect.
     pub effects: Vec<(u64, usize, Effect)>,
     pub line: Timeline,
-    /// How many of a thousand tries fail, by worker.
-    pub bad: Vec<u32>,
+    /// Failures in a thousand attempts, by worker.
+    pub failures_per_thousand: Vec<u32>,
     rng: fastrand::Rng,
 }
 
-/// Retained windows of 10 s: fewer than by default, so that they expire soon.
+/// The number of retained windows of 10 s, fewer than by default so that rows expire within a test.
 pub const RETAINED_WINDOWS: u32 = 24;
 
 pub const ZONES: [&str; 2] = ["east", "west"];
@@ -44,7 +44,7 @@
 }
 
 impl Fleet {
-    /// Members and workers in two zones in turn.
+    /// Creates members and workers, which are assigned to the two zones in turn.
     pub fn new(members: usize, workers: usize) -> Fleet {
         let list = (0..workers)
             .map(|n| Worker {
@@ -52,7 +52,7 @@
                 zone: ZONES[n % 2].into(),
                 capacity: 4,
                 started: (BEGIN - 3_600) * 1_000,
-                state: State::Ready,
+                state: WorkerState::Ready,
             })
             .collect();
         let mut fleet = Fleet {
@@ -62,7 +62,7 @@
             cut: BTreeSet::new(),
             effects: Vec::new(),
             line: Timeline::new((0..members).map(|n| format!("s{n}"))),
-            bad: vec![10; workers],
+            failures_per_thousand: vec![10; workers],
             rng: fastrand::Rng::with_seed(77),
         };
         for n in 0..members {
@@ -75,11 +75,11 @@
     fn new_member(&self, n: usize) -> Member {
         let owner = Owner::new(&format!("s{n}"), (BEGIN + self.second) * 1_000 - 60_000);
         let config = Config {
-            keep: RETAINED_WINDOWS,
+            retained_windows: RETAINED_WINDOWS,
             ..Config::new(owner.clone(), ZONES[n % 2], &["read"])
         };
         let mut machine = Quarantine::new(config, n as u64);
-        machine.workers(now(self.second), &self.list);
+        machine.set_workers(now(self.second), &self.list);
         let rows = Rows::new(
             owner.clone(),
             Limits {
@@ -93,12 +93,12 @@
             rows,
             machine,
             up: true,
-            read: 0,
+            read_revision: 0,
             column: n,
         }
     }
 
-    /// A member is killed and restarts without rows.
+    /// Replaces a member with a new incarnation that has no rows.
     pub fn restart(&mut self, n: usize) {
         let member = self.new_member(n);
         self.members[n] = member;
@@ -110,7 +110,7 @@
         self.line.event(self.second * 1_000_000, n, "kill");
     }
 
-    /// Cuts, or heals, every link between two groups.
+    /// Cuts or heals every link between the members before `at` and the others.
     pub fn split(&mut self, at: usize, cut: bool) {
         for a in 0..self.members.len() {
             for b in 0..self.members.len() {
@@ -130,28 +130,28 @@
         );
     }
 
-    /// All members get the endpoint list.
+    /// Passes the endpoint list to all members.
     pub fn send_list(&mut self) {
         let at = now(self.second);
         for member in &mut self.members {
-            member.machine.workers(at, &self.list);
+            member.machine.set_workers(at, &self.list);
         }
     }
 
     pub fn run(&mut self, seconds: u64) {
         for _ in 0..seconds {
-            self.one();
+            self.step();
         }
     }
 
-    fn one(&mut self) {
+    fn step(&mut self) {
         self.second += 1;
         let at = now(self.second);
         let up: Vec<usize> = (0..self.members.len())
             .filter(|n| self.members[*n].up)
             .collect();
         self.run_jobs(at, &up);
-        self.raise_rows(at, &up);
+        self.publish_rows(at, &up);
         self.exchange_rows(&up);
         self.tick_machines(at, &up);
     }
@@ -161,33 +161,34 @@
         for _ in 0..320 {
             let n = up[self.rng.usize(0..up.len())];
             let w = self.rng.usize(0..self.list.len());
-            let fails = self.rng.u32(0..1_000) < self.bad[w];
-            let outcome = if fails {
+            let is_failure = self.rng.u32(0..1_000) < self.failures_per_thousand[w];
+            let outcome = if is_failure {
                 Outcome::Error
             } else {
-                Outcome::Answered
+                Outcome::Success
             };
             let name = self.list[w].name.clone();
             self.members[n]
                 .machine
-                .seen(at - 1, &name, 0, true, outcome);
+                .record_attempt(at - 1, &name, 0, true, outcome);
         }
     }
 
-    /// Each member raises its own rows.
-    fn raise_rows(&mut self, at: Micros, up: &[usize]) {
+    /// Each member publishes its own rows.
+    fn publish_rows(&mut self, at: Micros, up: &[usize]) {
         for &n in up {
-            let m = &mut self.members[n];
-            m.rows.expire(at);
-            for raise in m.machine.rows(at) {
-                m.rows
-                    .raise(raise.window, TABLE, &raise.subject, &raise.adds)
+            let member = &mut self.members[n];
+            member.rows.expire(at);
+            for update in member.machine.take_updates(at) {
+                member
+                    .rows
+                    .raise(update.window, TABLE, &update.subject, &update.increments)
                     .unwrap();
             }
         }
     }
 
-    /// Each member gets the rows of all others that it is linked with.
+    /// Each member receives the rows of all members that it has a link from.
     fn exchange_rows(&mut self, up: &[usize]) {
         for &to in up {
             let linked: Vec<usize> = up
@@ -234,41 +235,45 @@
         }
     }
 
-    /// Each member reads its rows and makes its proposals.
+    /// Each member merges the rows that it has and decides on proposals.
     fn tick_machines(&mut self, at: Micros, up: &[usize]) {
         for &n in up {
-            let m = &mut self.members[n];
-            m.machine.members(m.rows.alive_owners());
-            if m.read != m.rows.revision() {
-                m.read = m.rows.revision();
-                m.rows
+            let member = &mut self.members[n];
+            member.machine.set_members(member.rows.alive_owners());
+            if member.read_revision != member.rows.revision() {
+                member.read_revision = member.rows.revision();
+                member
+                    .rows
                     .for_each_row(TABLE, |owner, window, subject, counts| {
-                        m.machine.merge(owner, window, subject, counts);
+                        member.machine.merge(owner, window, subject, counts);
                     });
             }
-            m.machine.tick(at);
-            while let Some(effect) = m.machine.poll_effect() {
+            member.machine.tick(at);
+            while let Some(effect) = member.machine.poll_effect() {
                 let line = describe(&effect);
-                self.line.event(self.second * 1_000_000, m.column, line);
+                self.line
+                    .event(self.second * 1_000_000, member.column, line);
                 self.effects.push((self.second, n, effect));
             }
         }
     }
 
-    /// The standing proposals of a member, as lines.
+    /// The telemetry lines of a member's standing proposals.
     pub fn standing(&self, n: usize) -> Vec<String> {
-        let lines = self.members[n].machine.table();
+        let lines = self.members[n].machine.telemetry_lines();
         lines
             .into_iter()
             .filter(|l| l.starts_with("proposal"))
             .collect()
     }
 
-    /// Members that made a proposal: second, member, worker.
+    /// The proposals that were made: second, member, worker.
     pub fn made(&self) -> Vec<(u64, usize, String)> {
         let made = |(at, n, e): &(u64, usize, Effect)| match e {
             Effect::Proposed {
-                worker, here: true, ..
+                worker,
+                by_this_member: true,
+                ..
             } => Some((*at, *n, worker.clone())),
             _ => None,
         };
@@ -276,21 +281,21 @@
     }
 }
 
-/// An effect as a line of the timeline.
+/// Formats an effect for the timeline.
 fn describe(effect: &Effect) -> String {
     match effect {
         Effect::Proposed {
             worker,
             number,
-            here,
+            by_this_member,
             ..
         } => {
             format!(
                 "{} {number} {worker}",
-                if *here { "propose" } else { "show" }
+                if *by_this_member { "propose" } else { "show" }
             )
         }
         Effect::Withdrawn { worker, reason, .. } => format!("drop {worker} {reason:?}"),
-        Effect::Shared { class, .. } => format!("shared class {class}"),
+        Effect::ClassDegraded { class, .. } => format!("degraded class {class}"),
     }
 }
--- a/crates/quarantine/tests/properties.rs
+++ b/crates/quarantine/tests/properties.rs
@@ -1,7 +1,7 @@
-//! Properties: the order of rows does not matter, the share is never exceeded, no bytes cause a panic.
+//! Property tests: the order of rows does not matter, a zone's share is never exceeded, malformed rows cause no panic.
 
 use oakshed_quarantine::{
-    Config, Counter, Effect, Outcome, Owner, Quarantine, Spent, State, Worker,
+    AttemptCounter, Config, Effect, Outcome, Owner, Quarantine, RowTotals, Worker, WorkerState,
 };
 use proptest::prelude::*;
 
@@ -13,7 +13,7 @@
         zone: ["east", "west"][n % 2].into(),
         capacity: 1 + (n as u32 * 7) % 5,
         started: (BEGIN - 3_600) * 1_000,
-        state: State::Ready,
+        state: WorkerState::Ready,
     };
     (0..workers).map(each).collect()
 }
@@ -29,29 +29,31 @@
 /// A row: owner, window, subject, counts.
 type Row = (Owner, u32, Vec<u8>, Vec<u32>);
 
-/// The rows of four members over 100 s in which some workers fail.
-fn rows(seed: u64, bad: &[u32]) -> Vec<Row> {
+/// The rows of four members over 100 s. `failures_per_thousand` is by worker.
+fn rows(seed: u64, failures_per_thousand: &[u32]) -> Vec<Row> {
     let mut rng = fastrand::Rng::with_seed(seed);
-    let list = list(bad.len());
+    let list = list(failures_per_thousand.len());
     let mut out = Vec::new();
-    let mut counters: Vec<Counter> = (0..4).map(|n| Counter::new(config(n), seed)).collect();
+    let mut counters: Vec<AttemptCounter> = (0..4)
+        .map(|n| AttemptCounter::new(config(n), seed))
+        .collect();
     for counter in &mut counters {
-        counter.members(4);
-        counter.workers(&list);
+        counter.set_members(4);
+        counter.set_workers(&list);
     }
     for second in 0..=100 {
         let now = (BEGIN + second) * 1_000_000;
         for (n, counter) in counters.iter_mut().enumerate() {
             for _ in 0..40 {
-                let w = rng.usize(0..bad.len());
-                let outcome = if rng.u32(0..1_000) < bad[w] {
+                let w = rng.usize(0..failures_per_thousand.len());
+                let outcome = if rng.u32(0..1_000) < failures_per_thousand[w] {
                     Outcome::Reset
                 } else {
-                    Outcome::Answered
+                    Outcome::Success
                 };
-                counter.seen(now, &list[w].name, rng.usize(0..2), true, outcome);
+                counter.record_attempt(now, &list[w].name, rng.usize(0..2), true, outcome);
             }
-            for row in counter.rows(now) {
+            for row in counter.take_updates(now) {
                 out.push((config(n).me, row.window, row.subject.clone(), row.counts()));
             }
         }
@@ -61,14 +63,14 @@
 
 fn run(list: &[Worker], rows: &[Row]) -> (Vec<Effect>, Vec<String>) {
     let mut machine = Quarantine::new(config(0), 1);
-    machine.workers(BEGIN * 1_000_000, list);
+    machine.set_workers(BEGIN * 1_000_000, list);
     for (owner, window, subject, counts) in rows {
         machine.merge(owner, *window, subject, counts);
     }
     machine.tick((BEGIN + 104) * 1_000_000);
     (
         std::iter::from_fn(|| machine.poll_effect()).collect(),
-        machine.table(),
+        machine.telemetry_lines(),
     )
 }
 
@@ -80,13 +82,13 @@
 
     #[test]
     fn rows_in_any_order_and_number_give_the_same_proposal(seed: u64, order: u64, which in 0_usize..10) {
-        let mut bad = vec![10; 10];
-        bad[which] = 300;
-        let mut reported = rows(seed, &bad);
+        let mut failures_per_thousand = vec![10; 10];
+        failures_per_thousand[which] = 300;
+        let mut reported = rows(seed, &failures_per_thousand);
         let list = list(10);
         let first = run(&list, &reported);
         let name = format!("worker=w{which} ");
-        prop_assert!(first.1.iter().any(|l| l.contains(&name)), "not found: {:?}", first.1);
+        prop_assert!(first.1.iter().any(|l| l.contains(&name)), "not proposed: {:?}", first.1);
         let mut rng = fastrand::Rng::with_seed(order);
         let again: Vec<Row> = reported.iter().filter(|_| rng.bool()).cloned().collect();
         reported.extend(again);
@@ -95,9 +97,12 @@
     }
 
     #[test]
-    fn the_share_of_a_zone_is_never_exceeded(seed: u64, bad in prop::collection::vec(0_u32..500, 4..14)) {
-        let list = list(bad.len());
-        let (effects, _) = run(&list, &rows(seed, &bad));
+    fn the_share_of_a_zone_is_never_exceeded(
+        seed: u64,
+        failures_per_thousand in prop::collection::vec(0_u32..500, 4..14),
+    ) {
+        let list = list(failures_per_thousand.len());
+        let (effects, _) = run(&list, &rows(seed, &failures_per_thousand));
         for zone in ["east", "west"] {
             let of = |w: &&Worker| &*w.zone == zone;
             let all: u32 = list.iter().filter(of).map(|w| w.capacity).sum();
@@ -110,7 +115,7 @@
     }
 
     #[test]
-    fn rows_of_any_bytes_are_dropped_or_read(
+    fn rows_of_any_bytes_are_rejected_or_decoded(
         reported in prop::collection::vec(
             (0_u32..6, prop::collection::vec(any::<u8>(), 0..64), prop::collection::vec(any::<u32>(), 0..64)),
             0..60,
@@ -119,11 +124,11 @@
     ) {
         let list = list(6);
         let mut machine = Quarantine::new(config(0), 1);
-        machine.workers(BEGIN * 1_000_000, &list);
-        let names = Counter::new(config(0), 1);
-        prop_assert!(names.spent() == Spent::default());
+        machine.set_workers(BEGIN * 1_000_000, &list);
+        let names = AttemptCounter::new(config(0), 1);
+        prop_assert!(names.totals() == RowTotals::default());
         let window = (BEGIN / 10) as u32;
-        // The digest of a row that the fleet would write, so that the bytes after it are read.
+        // The digest of a real row, so that the bytes after it are decoded too.
         let real = rows(1, &[10; 6])[0].2.clone();
         for (ahead, mut subject, counts) in reported {
             machine.merge(&config(1).me, window + ahead, &subject, &counts);
@@ -131,6 +136,6 @@
             machine.merge(&config(1).me, window + ahead, &subject, &counts);
         }
         machine.tick((BEGIN + 30) * 1_000_000);
-        prop_assert!(!machine.table().is_empty());
+        prop_assert!(!machine.telemetry_lines().is_empty());
     }
 }
