--- a/crates/core/src/facade/mod.rs
+++ b/crates/core/src/facade/mod.rs
@@ -24,7 +24,8 @@
 use crate::interface::{Action, Event, RequestId, WorkerId};
 pub use crate::interface::{
     ClassEstimates, Condition, Earlier, Ending, Endpoint, Estimates, InFlightCounts, Job, ListKind,
-    Micros, Report, Settings, SettingsError, Span, LONGEST_STALL, NOTIFICATION_DEADLINE, UNKNOWN,
+    Micros, Report, Settings, SettingsError, Span, MAX_PROCESS_PAUSE, NOTIFICATION_DEADLINE,
+    UNKNOWN,
 };
 use crate::names::worker_id;
 use crate::Scheduler;
--- a/crates/core/src/interface/mod.rs
+++ b/crates/core/src/interface/mod.rs
@@ -18,7 +18,7 @@
 
 /// The longest pause of the process that must be tolerated at any point, including between reading the clock
 /// and writing to a socket.
-pub const LONGEST_STALL: Span = Span::from_millis(150);
+pub const MAX_PROCESS_PAUSE: Span = Span::from_millis(150);
 
 /// Identifies a request; unique for the lifetime of a scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/crates/core/src/scheduler/retry.rs
+++ b/crates/core/src/scheduler/retry.rs
@@ -3,7 +3,7 @@
 //!
 //! A request that may have run is never sent again if its class does not allow a repeat.
 
-use crate::interface::{Effect, Ending, RequestId, Settings, LONGEST_STALL};
+use crate::interface::{Effect, Ending, RequestId, Settings, MAX_PROCESS_PAUSE};
 use crate::scheduler::Scheduler;
 use crate::state::Request;
 use crate::time::{Instant, Span};
@@ -44,7 +44,7 @@
 
     /// The time by which a repeat of a keyed request that may have run must be written in full;
     /// `None` if there is no such limit. The group recognises repeats within a window from the
-    /// first send, whose earliest possible time is the decision to send. The process may stall
+    /// first send, whose earliest possible time is the decision to send. The process may pause
     /// between its last reading of the clock and the write.
     pub(super) fn write_deadline(&self, request: &Request, settings: &Settings) -> Option<Instant> {
         let class = settings.class(request.class);
@@ -53,7 +53,7 @@
         }
         let first = request.first_that_may_have_run()?;
         let window_end = first.sent.saturating_add(class.window);
-        Some(window_end.saturating_sub(LONGEST_STALL + self.tick))
+        Some(window_end.saturating_sub(MAX_PROCESS_PAUSE + self.tick))
     }
 }
 
--- a/crates/core/tests/rules/world.rs
+++ b/crates/core/tests/rules/world.rs
@@ -57,7 +57,7 @@
                 let retry_deadline = write_deadline.expect("a retry has a write deadline");
                 assert!(
                     now < retry_deadline
-                        && retry_deadline + LONGEST_STALL.as_micros()
+                        && retry_deadline + MAX_PROCESS_PAUSE.as_micros()
                             <= first.sent_at + class.window.as_micros(),
                     "a retry after the deduplication window"
                 );
--- a/crates/server/src/net/workers/write_guard.rs
+++ b/crates/server/src/net/workers/write_guard.rs
@@ -17,7 +17,7 @@
 use super::client::Cancellation;
 use super::deadline::DeadlineField;
 use super::eligible_address;
-use oakshed_core::facade::{Micros, LONGEST_STALL};
+use oakshed_core::facade::{Micros, MAX_PROCESS_PAUSE};
 
 /// How often a write yields to let an unread update of the endpoint list be read and applied, for which hyper and the
 /// watch need several polls. Bounded, because only a part of the update may have arrived.
@@ -28,11 +28,11 @@
 /// The safety margin takes at most the remaining time divided by this, so that short deadlines leave time to begin.
 const MARGIN_DIVISOR: Micros = 2;
 
-/// The time by which an attempt made at `now` must begin: if the process is paused for `LONGEST_STALL` right after it
-/// has checked the clock, the first byte is still written within `BEGIN_GRACE` of `write_deadline`.
+/// The time by which an attempt made at `now` must begin: if the process is paused for `MAX_PROCESS_PAUSE` right after
+/// it has checked the clock, the first byte is still written within `BEGIN_GRACE` of `write_deadline`.
 pub(super) fn begin_deadline(now: Micros, write_deadline: Micros) -> Micros {
     let left = write_deadline.saturating_sub(now);
-    write_deadline - (LONGEST_STALL.as_micros() - BEGIN_GRACE).min(left / MARGIN_DIVISOR)
+    write_deadline - (MAX_PROCESS_PAUSE.as_micros() - BEGIN_GRACE).min(left / MARGIN_DIVISOR)
 }
 
 /// The conditions for writing one request.
--- a/crates/server/tests/sockets/cancelled.rs
+++ b/crates/server/tests/sockets/cancelled.rs
@@ -14,8 +14,8 @@
 use super::disconnects::DISCONNECTS;
 use super::{unread_at, unread_from};
 
-/// The longest stall of a process that has to be tolerated.
-const LONGEST_STALL: Duration = Duration::from_millis(150);
+/// The longest pause of a process that has to be tolerated.
+const MAX_PROCESS_PAUSE: Duration = Duration::from_millis(150);
 /// Settings with which workers are probed before they get a request, with a latency objective that allows waiting for
 /// the answer.
 const PROBING: [(&str, &str); 3] = [
@@ -105,7 +105,7 @@
                 } else {
                     half_closed.extend(program.while_stopped(|| {
                         let client = finish(client);
-                        std::thread::sleep(LONGEST_STALL);
+                        std::thread::sleep(MAX_PROCESS_PAUSE);
                         client
                     }));
                 }
@@ -225,13 +225,13 @@
         DisconnectAt::StoppedBefore => program.while_stopped(|| {
             let half_closed = disconnect(client);
             probed.answer_and_wait();
-            std::thread::sleep(LONGEST_STALL);
+            std::thread::sleep(MAX_PROCESS_PAUSE);
             half_closed
         }),
         DisconnectAt::StoppedAfter => program.while_stopped(|| {
             probed.answer_and_wait();
             let half_closed = disconnect(client);
-            std::thread::sleep(LONGEST_STALL);
+            std::thread::sleep(MAX_PROCESS_PAUSE);
             half_closed
         }),
     };
--- a/crates/server/tests/sockets/disconnects.rs
+++ b/crates/server/tests/sockets/disconnects.rs
@@ -28,8 +28,8 @@
 const BURST: usize = 12;
 /// How often the process is stopped.
 const ROUNDS: usize = 12;
-/// The longest stall of a process that has to be tolerated.
-const LONGEST_STALL: Duration = Duration::from_millis(150);
+/// The longest pause of a process that has to be tolerated.
+const MAX_PROCESS_PAUSE: Duration = Duration::from_millis(150);
 
 /// A request that waits because no worker is ready is not forwarded once its client has disconnected, whether the
 /// disconnect is handled first or in the same iteration of the event loop as a worker's return. The reader must not
@@ -164,7 +164,7 @@
                 until("what was sent is read", || {
                     workers.iter().all(|w| unread_at(w.address) == 0)
                 });
-                std::thread::sleep(LONGEST_STALL);
+                std::thread::sleep(MAX_PROCESS_PAUSE);
                 let before = request_counts(&workers);
                 let disconnect = |(n, client): (usize, TcpStream)| {
                     DISCONNECTS[n % 3](&client);
@@ -175,7 +175,7 @@
                     .enumerate()
                     .filter_map(disconnect)
                     .collect();
-                std::thread::sleep(LONGEST_STALL);
+                std::thread::sleep(MAX_PROCESS_PAUSE);
                 (before, half_closed)
             })
         });
--- a/crates/server/tests/system_calls/main.rs
+++ b/crates/server/tests/system_calls/main.rs
@@ -47,8 +47,8 @@
 const LONG_OBJECTIVE: [(&str, &str); 1] = [(r#""aim-ms":120"#, r#""aim-ms":4000"#)];
 /// The number of descriptors that the configuration allows.
 const DESCRIPTORS: usize = 1_024;
-/// The longest stall that a process must tolerate.
-const LONGEST_STALL: Duration = Duration::from_millis(150);
+/// The longest pause that a process must tolerate.
+const MAX_PROCESS_PAUSE: Duration = Duration::from_millis(150);
 const CONCURRENT_ROWS: usize = 8;
 
 /// Excludes other tests of this binary while the guard is held. A failed test does not block the others.
--- a/crates/server/tests/system_calls/shutdown.rs
+++ b/crates/server/tests/system_calls/shutdown.rs
@@ -9,7 +9,7 @@
 use oakshed_standin::*;
 
 use super::streams::connect_from;
-use super::{for_each_row, start_with_faults, LONGEST_STALL};
+use super::{for_each_row, start_with_faults, MAX_PROCESS_PAUSE};
 
 /// SIGKILL follows SIGTERM after the longest deadline of a class, which is capped at this, and [`KILL_MARGIN`].
 const MAX_SHUTDOWN: Duration = Duration::from_secs(3);
@@ -103,21 +103,21 @@
         };
         let has_ended = || client.is_finished();
         if moment == Moment::Closing {
-            stalled_for = at_closing.resume_after(LONGEST_STALL, None, || false);
+            stalled_for = at_closing.resume_after(MAX_PROCESS_PAUSE, None, || false);
         } else {
             stalled_for = at_closing.resume_after(Duration::ZERO, Some(AT_ANSWER), || false);
             let at_answer = StopAt {
                 row: AT_ANSWER,
                 ..at_closing
             };
-            stalled_for += at_answer.resume_after(LONGEST_STALL, None, has_ended);
+            stalled_for += at_answer.resume_after(MAX_PROCESS_PAUSE, None, has_ended);
         }
         client.join().expect("an answer to each request");
     });
     assert_eq!(program.wait().code(), Some(0), "{row}");
     let took = terminated_at.elapsed();
     // The test may have stalled the process for longer than intended.
-    let excess = stalled_for.saturating_sub(LONGEST_STALL);
+    let excess = stalled_for.saturating_sub(MAX_PROCESS_PAUSE);
     let kill = time_to_kill(deadline_ms) + excess;
     assert!(took < kill, "{row}: {took:?} of {kill:?}");
     assert!(TcpStream::connect(address).is_err(), "{row}");
--- a/crates/server/tests/system_calls/stalls.rs
+++ b/crates/server/tests/system_calls/stalls.rs
@@ -13,7 +13,7 @@
 
 use super::connect::closing_worker;
 use super::streams::connect_from;
-use super::{for_each_row, run_exclusively, start_with_faults, LONGEST_STALL, LONG_OBJECTIVE};
+use super::{for_each_row, run_exclusively, start_with_faults, LONG_OBJECTIVE, MAX_PROCESS_PAUSE};
 
 /// The source address of clients, so that fault rows can select their connections.
 const CLIENT: &str = "127.0.0.9";
@@ -123,7 +123,7 @@
             break;
         }
         client.shutdown(Shutdown::Both).expect("closed");
-        std::thread::sleep(LONGEST_STALL);
+        std::thread::sleep(MAX_PROCESS_PAUSE);
         let has_begun = has_arrived(&worker, &id);
         program.signal("-CONT");
         if has_begun {
@@ -220,7 +220,7 @@
             &program, &faults, 1, second, &client
         ));
         faults.switch(1, Switch::Off);
-        sleep_until(resumed + LONGEST_STALL);
+        sleep_until(resumed + MAX_PROCESS_PAUSE);
         program.signal("-CONT");
         let answer = Message::read(&mut BufReader::new(client)).expect("an answer");
         assert_eq!(answer.status(), 200);
@@ -232,7 +232,8 @@
             resumed - was_read
         );
         // If the stall was not longer than tolerated, the worker was given at most the remaining time and the slack.
-        let in_time = (was_read - sent) + (arrived - resumed) <= LONGEST_STALL + DEADLINE_MARGIN;
+        let in_time =
+            (was_read - sent) + (arrived - resumed) <= MAX_PROCESS_PAUSE + DEADLINE_MARGIN;
         let left = DEADLINE.saturating_sub(arrived - sent);
         assert!(
             !in_time || forwarded <= left + DEADLINE_SLACK,
