--- a/crates/server/src/net/front/handle.rs
+++ b/crates/server/src/net/front/handle.rs
@@ -1,8 +1,8 @@
 //! Answers one client request.
 //!
-//! The scheduler decides what happens to a request: each step comes from the facade's `pick` and is performed here at
-//! once. This module also reports the progress of the request's attempts to the facade and counts the request and its
-//! outcome in the request counts.
+//! The scheduler decides what happens to a request: each step comes from the facade's `poll_step`, which
+//! `Net::next_step` awaits, and is performed here at once. This module also reports the progress of the request's
+//! attempts to the facade and counts the request and its outcome in the request counts.
 
 use std::cell::RefCell;
 use std::rc::Rc;
