--- a/crates/server/src/operator/jobs.rs
+++ b/crates/server/src/operator/jobs.rs
@@ -25,7 +25,7 @@
     #[serde(default = "default_keep_answers_s")]
     #[schemars(range(min = 1, max = 2_592_000))]
     pub keep_answers_s: u64,
-    /// The maximum number of open jobs, including those in doubt. Further jobs get 503.
+    /// The maximum number of open jobs, not counting finished ones that are in doubt. Further jobs get 503.
     #[serde(default = "default_max_open")]
     #[schemars(range(min = 1, max = 1_000_000))]
     pub max_open: usize,
