--- a/crates/core/src/scheduler/attempts.rs
+++ b/crates/core/src/scheduler/attempts.rs
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Counts an error answer. Several in a row mark the worker as failing.
+    /// Counts an error answer. Several consecutive ones mark the worker as failing.
     fn on_error(&mut self, w: WorkerIndex) {
         self.workers[w].health.errors += 1;
         self.observe_worker(w);
@@ -135,9 +135,9 @@
         if !self.workers[w].listing.is_active || is_late {
             return self.back_off_worker(w);
         }
-        // The first decline in a row shows that the worker is full. If it declines the next job as
-        // well, it is draining or unusable for now, which says nothing about the load of other
-        // workers.
+        // The first of consecutive declines shows that the worker is full. If it declines the next
+        // job as well, it is draining or unusable for now, which says nothing about the load of
+        // other workers.
         self.workers[w].health.declined += 1;
         if self.workers[w].health.declined > 1 {
             return self.back_off_worker(w);
--- a/crates/core/src/state/worker.rs
+++ b/crates/core/src/state/worker.rs
@@ -110,7 +110,7 @@
 pub(crate) struct Health {
     /// Consecutive errors, with no job served in between.
     pub errors: u32,
-    /// Jobs declined in a row, with none started or served in between.
+    /// Consecutive declines, with no job started or served in between.
     pub declined: u32,
     /// Since when nothing has been observed of the attempts there.
     pub unobserved_since: Instant,
--- a/crates/core/tests/model/world.rs
+++ b/crates/core/tests/model/world.rs
@@ -16,7 +16,7 @@
 
 pub const MS: Micros = 1_000;
 
-/// Fleet sizes: a single scheduler, and so many that first polls are jittered.
+/// Fleet sizes: a single scheduler, and enough schedulers for first polls to be jittered.
 pub const SCHEDULERS: [u32; 2] = [1, 100];
 
 /// Returns settings with two classes, the first of which is unsafe.
--- a/crates/jobs/src/machine/attempts.rs
+++ b/crates/jobs/src/machine/attempts.rs
@@ -230,8 +230,8 @@
         }
     }
 
-    /// Ends an attempt with its result, which becomes the job's answer unless another attempt's result came
-    /// first.
+    /// Ends an attempt with its result, which becomes the job's answer unless another attempt's result
+    /// arrived first.
     pub(super) fn accept_result(
         &mut self,
         id: JobId,
--- a/crates/quarantine/src/classify/rates.rs
+++ b/crates/quarantine/src/classify/rates.rs
@@ -55,7 +55,7 @@
         rates
     }
 
-    /// The failures to be expected of so many attempts.
+    /// The expected number of failures among the counted attempts.
     pub(super) fn expected(&self, count: &ClassCounts) -> f64 {
         count
             .iter()
--- a/crates/quarantine/src/machine/mod.rs
+++ b/crates/quarantine/src/machine/mod.rs
@@ -54,7 +54,7 @@
     /// Workers with enough evidence but no proposal, and the reason.
     withheld: BTreeMap<Arc<str>, (TotalEvidence, &'static str)>,
     effects: VecDeque<Effect>,
-    /// When the first tick came.
+    /// The time of the first tick.
     started_at: Option<Micros>,
     /// The number of rows that were malformed, or could not be held.
     unread_rows: u64,
--- a/crates/server/src/net/discovery/watch.rs
+++ b/crates/server/src/net/discovery/watch.rs
@@ -119,8 +119,8 @@
                     Err(failure) => break failure,
                 };
                 is_new = false;
-                // A lower generation means that discovery has restarted and counts anew: these changes are not changes
-                // to the list at hand.
+                // A lower generation means that discovery has restarted and numbers its generations from the
+                // start again: these changes are not changes to the list at hand.
                 if !answer.reset && generation.is_some_and(|from| answer.generation < from) {
                     *generation = None;
                     sleep(REPOLL_PAUSE).await;
--- a/crates/server/src/net/durable/fence.rs
+++ b/crates/server/src/net/durable/fence.rs
@@ -21,7 +21,7 @@
     result: Option<String>,
 }
 
-/// Fences a job's attempts up to `token` at a worker; returns its reply, or `None` if no usable one came.
+/// Fences a job's attempts up to `token` at a worker; returns its reply, or `None` if there was no valid reply.
 pub(super) async fn fence(net: &Net, worker: &str, id: JobId, token: u64) -> Option<FenceReply> {
     let path = format!("/leases/{id}/fence");
     let body = workers::call_lease_endpoint(net, worker, &path, token, Bytes::new()).await?;
--- a/crates/server/src/net/workers/attempt.rs
+++ b/crates/server/src/net/workers/attempt.rs
@@ -186,7 +186,7 @@
         } = self.deadlines;
         let clock = &self.net.clock;
         tokio::time::sleep_until(clock.instant(write_deadline)).await;
-        // Ends the attempt as soon as it can no longer run, so that its client does not wait for it in vain.
+        // Ends the attempt as soon as it can no longer run, so that its client does not wait for its deadline.
         if write_deadline < answer_deadline && !self.progress.is_complete() {
             return Ending::Unused;
         }
--- a/crates/server/tests/sockets/attempts.rs
+++ b/crates/server/tests/sockets/attempts.rs
@@ -86,7 +86,7 @@
         });
     }
 
-    /// Waits for the end of all accepted connections and returns how many bytes came on them.
+    /// Waits for the end of all accepted connections and returns the number of bytes received on them.
     fn received_bytes(mut self) -> usize {
         until("the end of the connections", || {
             self.accept();
--- a/crates/server/tests/sockets/main.rs
+++ b/crates/server/tests/sockets/main.rs
@@ -31,8 +31,8 @@
 
 use oakshed_standin::*;
 
-/// Returns an address at which connections are never established, because the accept queue is full and nobody accepts.
-/// The sockets are the listener, first, and the connections that fill the queue.
+/// Returns an address at which connections are never established, because the accept queue is full and no connection
+/// is accepted from it. The sockets are the listener, first, and the connections that fill the queue.
 fn unreachable_address() -> (std::net::SocketAddr, Vec<socket2::Socket>) {
     let new_socket = || {
         socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
--- a/crates/server/tests/sockets/start.rs
+++ b/crates/server/tests/sockets/start.rs
@@ -126,7 +126,7 @@
     _ = std::fs::remove_file(path);
 }
 
-/// The process must survive when nobody reads its log any more. Reporting that on standard error would end it.
+/// The process must survive when the reading end of its log is closed. Reporting that on standard error would end it.
 #[test]
 fn process_survives_the_closing_of_its_json_log() {
     let worker = good();
